--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,8 @@
 	$(PYTHON) -m pytest -q -n $(WORKERS) --dist loadfile
 
 lint: build
-	$(VENV)/bin/ruff check marllift gaugesail tests
+	$(VENV)/bin/ruff format --check gaugesail tests
+	$(VENV)/bin/ruff check gaugesail tests
 	$(VENV)/bin/mypy
 
 run: build
--- a/gaugesail/__init__.py
+++ b/gaugesail/__init__.py
@@ -1,1 +1,1 @@
-"""A storage head: fronts for clients, connections to storage nodes, and an engine around ``marllift``."""
+"""A storage gateway: fronts for clients, connections to storage nodes, and an engine around ``policy``."""
--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import maybeDeferred
 from twisted.logger import globalLogBeginner
 
-from marllift.interface import NodeList
+from gaugesail.policy.events import EndpointList
 
 from . import config as configuration
 from .core.clock import ReactorClock, boot_ns, use_monotonic_time
@@ -78,10 +78,10 @@
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.tell, log)
 
-    def known(self, told: dict[str, Any]) -> NodeList:
+    def known(self, told: dict[str, Any]) -> EndpointList:
         # Another service may count its revisions from anywhere: the process before must have used the same.
         same = told.get("discovery") == self.discovery.host
-        news: NodeList = self.discovery.know(told["list"] if same else self._config.known)
+        news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
         return news
 
     def bequeath(self) -> tuple[int, dict[str, Any]] | None:
--- a/gaugesail/cli.py
+++ b/gaugesail/cli.py
@@ -1,5 +1,4 @@
-"""The operators' command line.  Each command's own libraries are imported when it is called, and only then.
-"""
+"""The command line.  Libraries of a command are imported when it is called, and only then."""
 
 from __future__ import annotations
 
@@ -27,9 +26,14 @@
         return command
 
 
-@click.group(cls=LazyGroup, lazy={
-    "ctl": "gaugesail.fleet.ctl:command", "measure": "gaugesail.cli:measure", "trial": "gaugesail.cli:trial",
-})  # fmt: skip
+@click.group(
+    cls=LazyGroup,
+    lazy={
+        "ctl": "gaugesail.fleet.ctl:command",
+        "measure": "gaugesail.cli:measure",
+        "trial": "gaugesail.cli:trial",
+    },
+)
 def main() -> None:
     """gaugesail: a storage head, its rehearsal kit and its laboratory."""
 
--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from marllift import interface as api
-from marllift.wire import WireError, parse_settings
+from gaugesail.policy.settings import Settings
+from gaugesail.simulator.protocol import WireError, parse_settings
 
 from .http.discovery import BadList, split_address
 from .http.management import MOST_CALLS
@@ -66,7 +66,7 @@
     discovery: tuple[str, int]
     seed: int
     limits: Limits
-    settings: api.Settings
+    settings: Settings
     known: Any
     conn_idle_us: int
     connect_timeout_us: int
@@ -168,7 +168,7 @@
             # On this wire an agent that lists are pushed to is watched like discovery itself.
             settings=replace(
                 parse_settings("\n".join(flatten(settings | {"domain": domain})).encode()),
-                ask_for_lists=True,
+                subscribes_to_endpoints=True,
             ),
             known=data.get("known") or {"revision": 0, "complete": True, "members": []},
             conn_idle_us=int(permissions.get("conn_idle_us", 15_000_000)),
--- a/marllift/founding.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -11,14 +11,14 @@
 import hashlib
 from dataclasses import dataclass
 
-from .messages import Bind, Hello, Message
+from .messages import BootstrapBind, BootstrapStatus, Message
 
 HELLO_US = 500_000
 MOST_SEATS = 16
 
 
 @dataclass(slots=True)
-class Founded:
+class BootstrapRecord:
     """What a keeper has kept of its fleet's beginning."""
 
     fleet: str = ""  # its id; empty: none yet
@@ -38,10 +38,12 @@
     return seat.rpartition("#")[2]
 
 
-class Founding:
+class Bootstrap:
     """One keeper's way into its fleet."""
 
-    def __init__(self, name: str, store: str, keepers: tuple[str, ...], charter: str, kept: Founded) -> None:
+    def __init__(
+        self, name: str, store: str, keepers: tuple[str, ...], charter: str, kept: BootstrapRecord
+    ) -> None:
         self._name, self.store, self._keepers, self._charter = name, store, keepers, charter
         self.kept = kept
         self._hello_at = 0
@@ -64,9 +66,9 @@
         found, self._asked = self._asked, {}
         return found
 
-    def _hello(self) -> Hello:
+    def _hello(self) -> BootstrapStatus:
         kept = self.kept
-        return Hello(self._charter, self.store, kept.fleet, kept.seats, kept.bound)
+        return BootstrapStatus(self._charter, self.store, kept.fleet, kept.seats, kept.bound)
 
     def tick(self, now: int, seated: bool) -> list[tuple[str, Message]]:
         """Ask the others while there is no fleet, or no seat in it."""
@@ -78,11 +80,11 @@
         if self.first and not self.kept.fleet:
             if self.kept.bound != self.store:
                 self.kept.bound, self.dirty = self.store, True
-            said += [(name, Bind(self._charter, self.store)) for name in others]
+            said += [(name, BootstrapBind(self._charter, self.store)) for name in others]
             self._found()
         return said
 
-    def receive(self, sender: str, message: Hello | Bind) -> list[tuple[str, Message]]:
+    def receive(self, sender: str, message: BootstrapStatus | BootstrapBind) -> list[tuple[str, Message]]:
         """Take in what another keeper says; nothing it says undoes what is kept."""
         if sender not in self._keepers:
             return []
@@ -90,7 +92,7 @@
             self.strange[sender] = "its file differs in what binds the fleet"
             return []
         self.strange.pop(sender, None)
-        if isinstance(message, Bind):
+        if isinstance(message, BootstrapBind):
             return self._bind(sender, message)
         kept = self.kept
         if message.fleet and not kept.fleet:
@@ -109,7 +111,7 @@
             self._asked[sender] = message.store
         return []
 
-    def _bind(self, sender: str, message: Bind) -> list[tuple[str, Message]]:
+    def _bind(self, sender: str, message: BootstrapBind) -> list[tuple[str, Message]]:
         kept = self.kept
         if sender != self._keepers[0] or kept.fleet:
             return [(sender, self._hello())]
@@ -127,7 +129,7 @@
         fleet = hashlib.blake2b(told.encode(), digest_size=8).hexdigest()
         self.kept.fleet, self.kept.seats, self.dirty = fleet, tuple(sorted(seats)), True
 
-    def _adopt(self, told: Hello) -> None:
+    def _adopt(self, told: BootstrapStatus) -> None:
         """There is a fleet: this one is among its founders, or asks for a seat."""
         mine = seat_of(self._name, self.store) in told.seats
         if mine and self.kept.bound and not any(self.kept.bound == store_of(seat) for seat in told.seats):
--- a/marllift/raft.py
+++ b/gaugesail/coordination/consensus.py
@@ -16,7 +16,19 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .messages import Append, Appended, Command, Entry, Install, Lead, Message, Noop, Seats, Vote, Voted
+from .messages import (
+    AppendEntries,
+    AppendResponse,
+    Command,
+    InstallSnapshot,
+    LogEntry,
+    Message,
+    Noop,
+    ReplaceVoters,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
+)
 
 HEARTBEAT_US = 150_000
 ROUND_US = 20_000  # between two rounds, however many wait for one
@@ -27,7 +39,7 @@
 KEEP = 512  # entries, from which on a log is made short
 
 
-class Broken(Exception):
+class LogBroken(Exception):
     """What never happens while stores keep what they were given: this keeper can be one no longer."""
 
 
@@ -51,13 +63,13 @@
 
 
 @dataclass(slots=True)
-class RaftSave:
+class RaftWrite:
     """What has changed and is to be written, whole or not at all, before anything more is said."""
 
     term: int
     vote: str
     first: int | None = None  # entries from this index on are those below, and no others
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None  # and no entry up to its index
 
 
@@ -75,7 +87,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Raft:
+class RaftNode:
     """One keeper's replica."""
 
     seat: str
@@ -84,7 +96,7 @@
     term: int = 0
     vote: str = ""
     snapshot: Snapshot = field(default_factory=Snapshot)
-    log: list[Entry] = field(default_factory=list)  # after the snapshot
+    log: list[LogEntry] = field(default_factory=list)  # after the snapshot
     role: Role = Role.FOLLOWER
     leader: str = ""  # its seat, as far as known
     commit: int = 0
@@ -110,7 +122,7 @@
         self.commit = self.applied = self.snapshot.index
         self._seats = [(self.snapshot.index, self.snapshot.seats)]
         for place, entry in enumerate(self.log, self.snapshot.index + 1):
-            if isinstance(entry.command, Seats):
+            if isinstance(entry.command, ReplaceVoters):
                 self._seats.append((place, entry.command.seats))
         self._heard_at = self.now - ELECTION_US
         self._rest(self.now)
@@ -155,11 +167,11 @@
 
     # ---- what is to be written and said ----
 
-    def take_save(self) -> RaftSave | None:
+    def take_save(self) -> RaftWrite | None:
         """What is to be written before anything is said; None where nothing changed."""
         if not (self._hard or self._shorter or self._first is not None):
             return None
-        save = RaftSave(self.term, self.vote)
+        save = RaftWrite(self.term, self.vote)
         if self._first is not None:
             save.first = max(self._first, self.snapshot.index + 1)
             save.entries = tuple(self.log[save.first - self.snapshot.index - 1 :])
@@ -206,7 +218,7 @@
         for seat in self.seats:
             if seat != self.seat:
                 last = self.term_at(self.last) or 0
-                self._out.append((seat, Vote(self.seat, term, pre, self.last, last)))
+                self._out.append((seat, VoteRequest(self.seat, term, pre, self.last, last)))
         self._elected(now)
 
     def _enter(self, term: int, vote: str = "") -> None:
@@ -233,17 +245,17 @@
         self.role, self.leader = Role.FOLLOWER, leader
         self._others, self._votes, self._round_wanted = {}, set(), False
 
-    def _longer(self, vote: Vote) -> bool:
+    def _longer(self, vote: VoteRequest) -> bool:
         """Whoever stands has all that may be committed."""
         return (vote.last_term, vote.last_index) >= (self.term_at(self.last) or 0, self.last)
 
-    def _asked(self, now: int, vote: Vote) -> None:
+    def _asked(self, now: int, vote: VoteRequest) -> None:
         if vote.pre:
             led = self.role is Role.LEADER or now - self._heard_at < ELECTION_US
             granted = vote.term > self.term and not led and self._longer(vote)
             # Refused, it hears our term: who has the longer log and an older term could be elected by nobody.
             term = vote.term if granted else self.term
-            self._out.append((vote.seat, Voted(self.seat, term, True, granted)))
+            self._out.append((vote.seat, VoteResponse(self.seat, term, True, granted)))
             return
         if vote.term > self.term:
             self._follow(now, vote.term, "")
@@ -251,9 +263,9 @@
         if granted and not self.vote:
             self.vote, self._hard = vote.seat, True
             self._rest(now)
-        self._out.append((vote.seat, Voted(self.seat, self.term, False, granted)))
+        self._out.append((vote.seat, VoteResponse(self.seat, self.term, False, granted)))
 
-    def _answered(self, now: int, voted: Voted) -> None:
+    def _answered(self, now: int, voted: VoteResponse) -> None:
         if voted.pre and voted.granted:
             counts = self.role is Role.STANDS and voted.term == self.term + 1
         else:
@@ -279,7 +291,7 @@
         settled = self._seats[-1][0] <= self.commit
         if not self.serving or not settled or len(set(fresh) ^ set(self.seats)) != 1 or not fresh:
             return None
-        index = self.propose(Seats(fresh))
+        index = self.propose(ReplaceVoters(fresh))
         self._arrange(now)
         return index
 
@@ -303,7 +315,7 @@
         """Let another that has all entries stand at once."""
         other = self._others.get(seat)
         if self.role is Role.LEADER and other is not None and other.match == self.last:
-            self._out.append((seat, Lead(self.seat, self.term)))
+            self._out.append((seat, TimeoutNow(self.seat, self.term)))
 
     def match(self, seat: str) -> int:
         """Up to where another keeper has the log, as this leader knows."""
@@ -316,9 +328,9 @@
         return None if other is None else other.heard_at
 
     def _put(self, command: Command) -> None:
-        self.log.append(Entry(self.term, command))
+        self.log.append(LogEntry(self.term, command))
         self._first = self.last if self._first is None else min(self._first, self.last)
-        if isinstance(command, Seats):
+        if isinstance(command, ReplaceVoters):
             self._seats.append((self.last, command.seats))
 
     def _arrange(self, now: int) -> None:
@@ -353,23 +365,27 @@
                 other.installed_at = now
                 kept = self.snapshot
                 self._out.append(
-                    (seat, Install(self.seat, self.term, kept.index, kept.term, kept.seats, kept.state,
-                                   self.round))
-                )  # fmt: skip
+                    (
+                        seat,
+                        InstallSnapshot(
+                            self.seat, self.term, kept.index, kept.term, kept.seats, kept.state, self.round
+                        ),
+                    )
+                )
                 return
             # The whole ledger is on its way: a sign of life until it has come.
-            self._out.append((seat, Append(self.seat, self.term, 0, 0, (), 0, self.round)))
+            self._out.append((seat, AppendEntries(self.seat, self.term, 0, 0, (), 0, self.round)))
             return
         first = other.next
         entries = self._some(first)
         if entries:
             other.next, other.sent_at = first + len(entries), now
         self._out.append(
-            (seat, Append(self.seat, self.term, first - 1, term, entries, self.commit, self.round))
+            (seat, AppendEntries(self.seat, self.term, first - 1, term, entries, self.commit, self.round))
         )
 
-    def _some(self, first: int) -> tuple[Entry, ...]:
-        found: list[Entry] = []
+    def _some(self, first: int) -> tuple[LogEntry, ...]:
+        found: list[LogEntry] = []
         size = 0
         for entry in self.log[first - self.snapshot.index - 1 :][:MOST_ENTRIES]:
             size += entry_bytes(entry)
@@ -385,7 +401,7 @@
         if reached > self.commit and self.term_at(reached) == self.term:
             self.commit = reached
 
-    def _acknowledged(self, now: int, told: Appended) -> None:
+    def _acknowledged(self, now: int, told: AppendResponse) -> None:
         if told.term > self.term:
             self._follow(now, told.term, "")
             return
@@ -410,33 +426,33 @@
 
     def receive(self, now: int, message: Message) -> None:
         """Take in one message.  Who may not vote makes no promise of any kind."""
-        if isinstance(message, (Append, Install)) and message.term >= self.term:
+        if isinstance(message, (AppendEntries, InstallSnapshot)) and message.term >= self.term:
             self._heard_at = now
         if not self.may_vote:
-            if isinstance(message, (Append, Install)) and message.term >= self.term:
+            if isinstance(message, (AppendEntries, InstallSnapshot)) and message.term >= self.term:
                 self.leader = message.seat
             return
         match message:
-            case Vote():
+            case VoteRequest():
                 self._asked(now, message)
-            case Voted():
+            case VoteResponse():
                 self._answered(now, message)
-            case Append():
+            case AppendEntries():
                 self._append(now, message)
-            case Appended():
+            case AppendResponse():
                 self._acknowledged(now, message)
-            case Install():
+            case InstallSnapshot():
                 self._install(now, message)
-            case Lead():
+            case TimeoutNow():
                 if message.term == self.term and self.seat in self.seats and self.role is Role.FOLLOWER:
                     self._stand(now, pre=False)
 
-    def _append(self, now: int, told: Append) -> None:
+    def _append(self, now: int, told: AppendEntries) -> None:
         if told.term < self.term:
-            self._out.append((told.seat, Appended(self.seat, self.term, False, 0, 0)))
+            self._out.append((told.seat, AppendResponse(self.seat, self.term, False, 0, 0)))
             return
         if self.role is Role.LEADER and told.term == self.term:
-            raise Broken(f"{told.seat} leads term {self.term} too")
+            raise LogBroken(f"{told.seat} leads term {self.term} too")
         self._follow(now, told.term, told.seat)
         mine = self.term_at(told.prev_index)
         if mine != told.prev_term:
@@ -450,7 +466,7 @@
             if told.prev_index < self.snapshot.index:
                 ok = self._overlaps(told)
             if not ok:
-                self._out.append((told.seat, Appended(self.seat, self.term, False, most, told.round)))
+                self._out.append((told.seat, AppendResponse(self.seat, self.term, False, most, told.round)))
                 return
         for place, entry in enumerate(told.entries, told.prev_index + 1):
             if place <= self.snapshot.index:
@@ -463,32 +479,32 @@
             self._take(place, entry)
         match = max(told.prev_index + len(told.entries), min(self.commit, told.commit))
         self.commit = max(self.commit, min(told.commit, match))
-        self._out.append((told.seat, Appended(self.seat, self.term, True, match, told.round)))
+        self._out.append((told.seat, AppendResponse(self.seat, self.term, True, match, told.round)))
 
-    def _overlaps(self, told: Append) -> bool:
+    def _overlaps(self, told: AppendEntries) -> bool:
         """Entries that reach past a snapshot of ours: all up to the snapshot is the same everywhere."""
         return told.prev_index + len(told.entries) > self.snapshot.index > 0 and told.prev_index > 0
 
     def _cut(self, place: int) -> None:
         """Entries from there on are another leader's, and were never committed."""
         if place <= self.commit:
-            raise Broken(f"entry {place} of the log differs, and it is committed up to {self.commit}")
+            raise LogBroken(f"entry {place} of the log differs, and it is committed up to {self.commit}")
         del self.log[place - self.snapshot.index - 1 :]
         self._first = place if self._first is None else min(self._first, place)
         while self._seats[-1][0] >= place and len(self._seats) > 1:
             self._seats.pop()
 
-    def _take(self, place: int, entry: Entry) -> None:
+    def _take(self, place: int, entry: LogEntry) -> None:
         if place != self.last + 1:
-            raise Broken(f"entry {place} after {self.last}")
+            raise LogBroken(f"entry {place} after {self.last}")
         self.log.append(entry)
         self._first = place if self._first is None else min(self._first, place)
-        if isinstance(entry.command, Seats):
+        if isinstance(entry.command, ReplaceVoters):
             self._seats.append((place, entry.command.seats))
 
-    def _install(self, now: int, told: Install) -> None:
+    def _install(self, now: int, told: InstallSnapshot) -> None:
         if told.term < self.term:
-            self._out.append((told.seat, Appended(self.seat, self.term, False, 0, 0)))
+            self._out.append((told.seat, AppendResponse(self.seat, self.term, False, 0, 0)))
             return
         self._follow(now, told.term, told.seat)
         if told.index > self.commit:
@@ -502,7 +518,7 @@
             self._first = told.index + 1
             self._seats = [(told.index, told.seats), *(s for s in self._seats if s[0] > told.index and same)]
         match = max(told.index, 0)
-        self._out.append((told.seat, Appended(self.seat, self.term, True, match, told.round)))
+        self._out.append((told.seat, AppendResponse(self.seat, self.term, True, match, told.round)))
 
     def shorten(self, state: bytes) -> None:
         """Put the ledger as it is after the latest entry applied in place of all up to there."""
@@ -516,7 +532,7 @@
         self._shorter = True
 
 
-def entry_bytes(entry: Entry) -> int:
+def entry_bytes(entry: LogEntry) -> int:
     """About the bytes that an entry takes on the wire."""
     return 48 + sum(len(item) for item in _texts(entry.command))
 
--- /dev/null
+++ b/gaugesail/coordination/consensus_messages.py
@@ -0,0 +1,64 @@
+"""What replicas of the log say to each other (Raft)."""
+
+from __future__ import annotations
+
+from .log_commands import LogEntry
+from .record import Record
+
+
+class VoteRequest(Record, frozen=True, tag="Vote"):
+    """Asks for a vote; ``pre`` asks only whether there would be one."""
+
+    seat: str
+    term: int
+    pre: bool
+    last_index: int
+    last_term: int
+
+
+class VoteResponse(Record, frozen=True, tag="Voted"):
+    seat: str
+    term: int
+    pre: bool
+    granted: bool
+
+
+class AppendEntries(Record, frozen=True, tag="Append"):
+    """Entries after ``prev_index``, and a sign of life; ``round`` comes back with the answer."""
+
+    seat: str
+    term: int
+    prev_index: int
+    prev_term: int
+    entries: tuple[LogEntry, ...]
+    commit: int
+    round: int
+
+
+class AppendResponse(Record, frozen=True, tag="Appended"):
+    """``match``: all up to there is the leader's, and kept; where not ``ok``, what the sender has at most."""
+
+    seat: str
+    term: int
+    ok: bool
+    match: int
+    round: int
+
+
+class InstallSnapshot(Record, frozen=True, tag="Install"):
+    """The ledger as it stood after entry ``index``, in place of all entries up to there."""
+
+    seat: str
+    term: int
+    index: int
+    at_term: int
+    seats: tuple[str, ...]
+    state: bytes
+    round: int
+
+
+class TimeoutNow(Record, frozen=True, tag="Lead"):
+    """The leader goes: the one that is told stands for election at once."""
+
+    seat: str
+    term: int
--- a/marllift/charter.py
+++ b/gaugesail/coordination/fleet_terms.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Charter:
+class FleetTerms:
     """The fleet's terms.  Times in microseconds, shares and drift in millionths."""
 
     name: str
--- a/marllift/holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .charter import Charter
-from .ledger import Pair
-from .messages import Answer, Ask, Demand, Held, Message, Orders, Status
+from .fleet_terms import FleetTerms
+from .messages import HeldQuota, LeaseRequest, LeaseResponse, LeaseStatus, Message, QuotaDemand, QuotaOrders
+from .quota_ledger import Pair
 
 ASKS = 4  # in one lease
 SOON_US = 60_000  # between two asks where something has changed
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Floor:
+class HeadFloor:
     """The floor that this head has kept: its slot, and the wholes that it goes by."""
 
     slot: int = -1
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spendable:
+class QuotaUpdate:
     """What the gateway may go by from now on.  ``parts`` are those that have changed, by amount; ``floors``
     are by plan, and None where they have not changed."""
 
@@ -63,18 +63,25 @@
     carried: int = 0  # by which ask, while that has no answer
 
 
-class Holder:
+class LeaseHolder:
     """One process's rights and wishes."""
 
     def __init__(
-        self, charter: Charter, digest: str, head: str, process: int, store: str, floor: Floor, now: int,
+        self,
+        charter: FleetTerms,
+        digest: str,
+        head: str,
+        process: int,
+        store: str,
+        floor: HeadFloor,
+        now: int,
         rng: random.Random,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._charter, self._digest, self._head, self._process = charter, digest, head, process
         self._store, self.floor, self._rng = store, floor, rng
         self.session, self.until, self.term, self.leader = 0, 0, 0, ""
         self._fleet, self._seen = "", 0
-        self.book: dict[str, Held] = {}
+        self.book: dict[str, HeldQuota] = {}
         self._wants: dict[str, _Want] = {}
         self._wanted_at = now
         self._wholes: tuple[tuple[str, int, int], ...] = ()
@@ -101,7 +108,7 @@
 
     # ---- what it may spend ----
 
-    def spendable(self) -> Spendable | None:
+    def spendable(self) -> QuotaUpdate | None:
         """What has changed for the gateway since the last call; to be passed on after the save is written."""
         floors = self.floors()
         same = floors == self._floors_told and self.until == self._until_told
@@ -111,7 +118,7 @@
             (amount, held.rate, held.burst) if (held := self.book.get(amount)) is not None else (amount, 0, 0)
             for amount in self._fresh
         )
-        told = Spendable(self.until, parts, floors if floors != self._floors_told else None, self._anew)
+        told = QuotaUpdate(self.until, parts, floors if floors != self._floors_told else None, self._anew)
         self._fresh, self._anew = {}, False
         self._floors_told, self._until_told = floors, self.until
         return told
@@ -139,18 +146,18 @@
 
     def renew(self, now: int, store: str) -> None:
         """Its store was an old copy and is put aside: what it says of a floor is nothing."""
-        self._store, self.floor = store, Floor()
+        self._store, self.floor = store, HeadFloor()
         self._first_at = self._ask_at = now + self._charter.count_us
         self._drop()
 
-    def unkept(self, kept: Floor) -> None:
+    def unkept(self, kept: HeadFloor) -> None:
         """The store takes no more: of two floors the less holds, and no more is said of it."""
         wholes = {
             plan: (min(rate, self.floor.wholes[plan][0]), min(burst, self.floor.wholes[plan][1]))
             for plan, (rate, burst) in kept.wholes.items() if plan in self.floor.wholes
         }  # fmt: skip
         same = (kept.slot, kept.fleet) == (self.floor.slot, self.floor.fleet)
-        self.floor = Floor(kept.slot if same else -1, kept.version, wholes, kept.fleet)
+        self.floor = HeadFloor(kept.slot if same else -1, kept.version, wholes, kept.fleet)
         self._frozen = True
         self.again()
 
@@ -241,7 +248,7 @@
         demands = []
         for amount, want in due[:MOST_TOLD]:
             want.told, want.carried = self._rate(now, want), self._number
-            demands.append(Demand(amount, want.told, want.worth, round(want.used)))
+            demands.append(QuotaDemand(amount, want.told, want.worth, round(want.used)))
         held = []
         for amount in list(self._changed)[:MOST_TOLD]:
             if (line := self.book.get(amount)) is None:
@@ -252,54 +259,54 @@
         more = len(due) > MOST_TOLD or len(self._changed) > MOST_TOLD
         self._ask_at = now + (SOON_US if more else PATIENCE_US)
         floor = self.floor
-        self._out.append((whom, Ask(
+        self._out.append((whom, LeaseRequest(
             self._process, self._number, self.session, self._digest, self._store, self._wholes, floor.slot,
             floor.version, self._quantum, self._fleet, self._seen, tuple(demands), tuple(held), self.leaving,
         )))  # fmt: skip
 
     # ---- what it is told ----
 
-    def receive(self, now: int, sender: str, message: Answer | Orders) -> None:
+    def receive(self, now: int, sender: str, message: LeaseResponse | QuotaOrders) -> None:
         """Take in what a leader says; what is not for this process, or not for its session, is nothing."""
         if message.process != self._process:
             return
-        if isinstance(message, Orders):
+        if isinstance(message, QuotaOrders):
             same = message.session == self.session and message.fleet == self._fleet
             if same and self.session and not self.leaving:
                 self._ordered(now, message)
         elif (asked := self._sent.get(message.number)) is not None:
             self._told(now, sender, message, asked)
 
-    def _told(self, now: int, sender: str, answer: Answer, asked: int) -> None:
+    def _told(self, now: int, sender: str, answer: LeaseResponse, asked: int) -> None:
         newest = answer.number == self._number
         if newest:
             self._waits, self.refused = None, ""
         match answer.status:
-            case Status.RENEWED:
+            case LeaseStatus.RENEWED:
                 self._renewed(now, sender, answer, asked, newest)
-            case Status.UNKNOWN:
+            case LeaseStatus.UNKNOWN:
                 if newest:
                     self._drop()
                     self._seen, self._ask_at = 0, now
-            case Status.ELSEWHERE:
+            case LeaseStatus.ELSEWHERE:
                 self._mute.add(sender)
                 self._whom = answer.leader if answer.leader not in self._mute else ""
                 if newest:
                     self._ask_at = now if self._whom else now + PATIENCE_US // 2
-            case Status.CHARTER:
+            case LeaseStatus.CHARTER:
                 self.refused = f"{sender}'s file differs in what binds the fleet"
                 self._ask_at = now + self._charter.lease_us
-            case Status.LEFT:
+            case LeaseStatus.LEFT:
                 self.left = True
 
-    def _renewed(self, now: int, sender: str, answer: Answer, asked: int, newest: bool) -> None:
+    def _renewed(self, now: int, sender: str, answer: LeaseResponse, asked: int, newest: bool) -> None:
         if self.leaving or (answer.fleet == self._fleet and answer.session < self.session):
             return
         if answer.fleet != self._fleet:  # numbers of another fleet of this name mean nothing in this one
             self._drop()
             self._fleet, self.term, self._seen = answer.fleet, 0, 0
             if self.floor.fleet != answer.fleet:
-                self.floor, self.floor_dirty = Floor(), bool(self._store)
+                self.floor, self.floor_dirty = HeadFloor(), bool(self._store)
         if answer.session != self.session:
             self._drop()  # parts of an earlier session are nothing under another
             self.session = answer.session
@@ -327,7 +334,7 @@
             if self._changed or any(self._differs(now, want) for want in self._wants.values()):
                 self._hurry(now)
 
-    def _floored(self, answer: Answer) -> None:
+    def _floored(self, answer: LeaseResponse) -> None:
         """The slot and its wholes: kept, and gone by from then on."""
         floor = self.floor
         if not self._store or self._frozen or (answer.slot, answer.version) == (floor.slot, floor.version):
@@ -335,10 +342,10 @@
         if answer.version < floor.version and answer.slot == floor.slot:
             return
         wholes = {plan: (rate, burst) for plan, rate, burst in answer.wholes}
-        self.floor = Floor(answer.slot, answer.version, wholes, answer.fleet)
+        self.floor = HeadFloor(answer.slot, answer.version, wholes, answer.fleet)
         self.floor_dirty = True
 
-    def _ordered(self, now: int, message: Orders) -> None:
+    def _ordered(self, now: int, message: QuotaOrders) -> None:
         for order in message.orders:
             self._seen = max(self._seen, order.version)
             have = self.book.get(order.amount)
@@ -351,7 +358,7 @@
                     self._changed[order.amount] = 0
                     continue
                 rate, burst = min(rate, have.rate), min(burst, have.burst)
-            self.book[order.amount] = Held(order.amount, order.version, rate, burst)
+            self.book[order.amount] = HeldQuota(order.amount, order.version, rate, burst)
             self._fresh[order.amount] = None
             self._changed[order.amount] = 0
         if any(order.lower for order in message.orders):
--- a/marllift/granting.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -11,26 +11,26 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .charter import Charter
-from .division import Claim, divide
-from .ledger import Ledger, Pair, plan_of
+from .consensus import RaftNode
+from .fleet_terms import FleetTerms
 from .messages import (
-    Answer,
-    Ask,
-    Close,
-    Demand,
-    FloorAt,
-    Held,
+    AcknowledgeFloor,
+    AllocateQuota,
+    CloseSession,
+    HeldQuota,
+    LeaseRequest,
+    LeaseResponse,
+    LeaseStatus,
     Message,
-    Open,
-    Order,
-    Orders,
-    Part,
-    Settle,
-    Status,
-    Wholes,
-)  # fmt: skip
-from .raft import Raft
+    OpenSession,
+    QuotaDemand,
+    QuotaOrder,
+    QuotaOrders,
+    SetLimits,
+    SettleLimits,
+)
+from .quota_division import QuotaClaim, divide
+from .quota_ledger import Pair, QuotaLedger, plan_of
 
 RETELL_US = 250_000  # an order that its holder's book does not show yet
 MOST_ORDERS = 24  # in one message
@@ -46,10 +46,10 @@
     until: int  # its lease has surely run out then
     head: str
     round: int = 0  # the ask that waits for this round
-    ask: Ask | None = None
+    ask: LeaseRequest | None = None
     untold: dict[str, int] = field(default_factory=dict)  # amounts its book does not show, when last said
     lower: dict[str, Pair] = field(default_factory=dict)  # what it is asked to come down to
-    demands: dict[str, Demand] = field(default_factory=dict)
+    demands: dict[str, QuotaDemand] = field(default_factory=dict)
     wholes: tuple[tuple[str, int, int], ...] = ()
     quantum: int = 0
     closing: bool = False
@@ -63,11 +63,18 @@
     fields: tuple[tuple[str, str | int | float], ...] = ()
 
 
-class Office:
+class LeaseManager:
     """The leader's books and duties in one term."""
 
     def __init__(
-        self, charter: Charter, digest: str, fleet: str, ledger: Ledger, raft: Raft, now: int, fresh: bool
+        self,
+        charter: FleetTerms,
+        digest: str,
+        fleet: str,
+        ledger: QuotaLedger,
+        raft: RaftNode,
+        now: int,
+        fresh: bool,
     ) -> None:
         self._charter, self._digest, self._ledger, self._raft = charter, digest, ledger, raft
         self._fleet = fleet
@@ -83,7 +90,7 @@
             for number in stakes:
                 self.tenants[number].untold[amount] = now - RETELL_US
         self._pending: dict[str, set[int]] = {}  # sessions with an entry on its way, by amount
-        self._opening: dict[int, tuple[str, Ask]] = {}  # by process
+        self._opening: dict[int, tuple[str, LeaseRequest]] = {}  # by process
         self._settle_at = until
         self._dirty: dict[str, None] = dict.fromkeys(ledger.parts)
         self._over: dict[str, int] = {}  # amounts that are given beyond their whole, and since when
@@ -107,26 +114,26 @@
 
     # ---- asks ----
 
-    def ask(self, now: int, sender: str, ask: Ask) -> None:
+    def ask(self, now: int, sender: str, ask: LeaseRequest) -> None:
         """A holder asks.  It is answered once a round that begins now is confirmed."""
         if ask.charter != self._digest:
-            self._answer(sender, ask, Status.CHARTER)
+            self._answer(sender, ask, LeaseStatus.CHARTER)
             return
         session = self._ledger.process(ask.process)
         if ask.fleet == self._fleet and ask.seen > self._raft.last:
             # This log has lost entries: the stores are older than the fleet.  What the holder has by those is
             # not renewed; told so it gives up all, and may then have what this log says.
             self._note("stores_are_old", head=sender, seen=ask.seen, last=self._raft.last)
-            self._answer(sender, ask, Status.UNKNOWN)
+            self._answer(sender, ask, LeaseStatus.UNKNOWN)
             return
         if session is None:
             if ask.session:
-                self._answer(sender, ask, Status.UNKNOWN)
+                self._answer(sender, ask, LeaseStatus.UNKNOWN)
             elif ask.leaving:
-                self._answer(sender, ask, Status.LEFT)
+                self._answer(sender, ask, LeaseStatus.LEFT)
             else:
                 self._opening[ask.process] = sender, ask
-                self._once(f"open {ask.process}", Open(sender, ask.process, ask.store))
+                self._once(f"open {ask.process}", OpenSession(sender, ask.process, ask.store))
             return
         tenant = self.tenants[session.number]
         if tenant.closing:
@@ -134,13 +141,13 @@
         if ask.leaving:
             self._shut(session.number)
             self._note("session_left", head=session.head, session=session.number)
-            self._answer(sender, ask, Status.LEFT)
+            self._answer(sender, ask, LeaseStatus.LEFT)
             return
         self._learn(now, session.number, tenant, ask)
         if tenant.ask is None or ask.number > tenant.ask.number:
             tenant.ask, tenant.round = ask, self._raft.confirm()
 
-    def _learn(self, now: int, number: int, tenant: _Tenant, ask: Ask) -> None:
+    def _learn(self, now: int, number: int, tenant: _Tenant, ask: LeaseRequest) -> None:
         """What the holder says of itself: its wholes, its floor, its book and its wants."""
         tenant.quantum = ask.quantum
         if ask.wholes != tenant.wholes:
@@ -149,7 +156,7 @@
         session = self._ledger.sessions[number]
         slot = self._ledger.slots.get(session.slot)
         if slot is not None and ask.slot == session.slot and slot.versions[0] < ask.floor:
-            self._once(f"floor {ask.slot}", FloorAt(ask.slot, ask.floor))
+            self._once(f"floor {ask.slot}", AcknowledgeFloor(ask.slot, ask.floor))
         for held in ask.held:
             self._booked(number, tenant, held)
         for demand in ask.demands:
@@ -159,7 +166,7 @@
                 tenant.demands.pop(demand.amount, None)
             self._dirty[demand.amount] = None
 
-    def _booked(self, number: int, tenant: _Tenant, held: Held) -> None:
+    def _booked(self, number: int, tenant: _Tenant, held: HeldQuota) -> None:
         """What the holder's book says of one part: an order has come, or it has released some."""
         stake = self._ledger.parts.get(held.amount, {}).get(number)
         if stake is None or held.version != stake.version:
@@ -170,19 +177,21 @@
         elif held.amount not in tenant.lower:
             tenant.untold.pop(held.amount, None)
 
-    def _answer(self, to: str, ask: Ask, status: Status, session: int = 0) -> None:
+    def _answer(self, to: str, ask: LeaseRequest, status: LeaseStatus, session: int = 0) -> None:
         ledger = self._ledger
         found = ledger.sessions.get(session)
         wholes = tuple((plan, *pair) for plan, pair in sorted(ledger.wholes.items()))
         slot = found.slot if found is not None else -1
         self._out.append(
-            (to, Answer(ask.process, ask.number, status, session, self.term, self._leader, slot,
+            (to, LeaseResponse(ask.process, ask.number, status, session, self.term, self._leader, slot,
                         ledger.version, wholes, self._fleet))
         )  # fmt: skip
 
     # ---- the log ----
 
-    def _once(self, duty: str, command: Open | Close | Settle | Wholes | FloorAt) -> None:
+    def _once(
+        self, duty: str, command: OpenSession | CloseSession | SettleLimits | SetLimits | AcknowledgeFloor
+    ) -> None:
         """Propose something that is not on its way yet."""
         if duty not in self._proposed and (index := self._raft.propose(command)) is not None:
             self._proposed[duty] = index
@@ -191,16 +200,16 @@
         pending = self._pending.setdefault(amount, set())
         if session not in pending:
             pending.add(session)
-            self._raft.propose(Part(amount, session, rate, burst, held))
+            self._raft.propose(AllocateQuota(amount, session, rate, burst, held))
 
     def _shut(self, number: int) -> None:
         self.tenants[number].closing = True
-        self._once(f"close {number}", Close(number))
+        self._once(f"close {number}", CloseSession(number))
 
     def applied(self, now: int, index: int, command: object, done: bool) -> None:
         """An entry of this term has been carried out."""
         match command:
-            case Open():
+            case OpenSession():
                 session = self._ledger.process(command.process)
                 waiting = self._opening.pop(command.process, None)
                 if session is not None and session.number not in self.tenants:
@@ -212,30 +221,30 @@
                         self._learn(now, session.number, tenant, waiting[1])
                         tenant.ask, tenant.round = waiting[1], self._raft.confirm()
                 self._proposed.pop(f"open {command.process}", None)
-            case Close():
+            case CloseSession():
                 tenant_gone = self.tenants.pop(command.session, None)
                 self._proposed.pop(f"close {command.session}", None)
                 self._dirty.update(dict.fromkeys(tenant_gone.demands if tenant_gone else ()))
                 self._dirty.update(dict.fromkeys(self._wanted()))
                 self._agree(now)
-            case Part():
+            case AllocateQuota():
                 self._parted(now, command, done)
-            case Wholes():
+            case SetLimits():
                 self._settle_at = now + self._charter.count_us
                 self._proposed.pop("wholes", None)
                 self._dirty.update(dict.fromkeys(self._wanted()))
                 self._note("wholes", version=self._ledger.version, settled=self._ledger.settled)
                 if not self._ledger.parts:
                     self._settle_at = now  # nothing that was given under the old ones is left
-            case Settle():
+            case SettleLimits():
                 self._proposed.pop("settle", None)
                 self._dirty.update(dict.fromkeys(self._wanted()))
                 self._note("wholes", version=self._ledger.version, settled=self._ledger.settled)
-            case FloorAt():
+            case AcknowledgeFloor():
                 self._proposed.pop(f"floor {command.slot}", None)
                 self._dirty.update(dict.fromkeys(self._wanted()))
 
-    def _parted(self, now: int, part: Part, done: bool) -> None:
+    def _parted(self, now: int, part: AllocateQuota, done: bool) -> None:
         pending = self._pending.get(part.amount, set())
         pending.discard(part.session)
         if not pending:
@@ -271,7 +280,7 @@
                 least[plan] = min(rate, old[0]), min(burst, old[1])
         if least and {**self._ledger.wanted, **least} != self._ledger.wanted:
             told = {**self._ledger.wanted, **least}
-            self._once("wholes", Wholes(tuple((plan, *pair) for plan, pair in sorted(told.items()))))
+            self._once("wholes", SetLimits(tuple((plan, *pair) for plan, pair in sorted(told.items()))))
 
     # ---- time ----
 
@@ -288,13 +297,13 @@
                 ask, tenant.ask = tenant.ask, None
                 # Counted from here, after it was given; the holder counts from before it asked.
                 tenant.until = now + self._charter.count_us
-                self._answer(tenant.head, ask, Status.RENEWED, number)
+                self._answer(tenant.head, ask, LeaseStatus.RENEWED, number)
             elif now > tenant.until and not tenant.closing:
                 self._note("session_expired", head=tenant.head, session=number)
                 self._shut(number)
         stated = all(tenant.wholes for tenant in self.tenants.values())
         if not self._ledger.settled and now >= self._settle_at and stated:
-            self._once("settle", Settle(self._ledger.version))
+            self._once("settle", SettleLimits(self._ledger.version))
         if "wholes" not in self._proposed:
             self._agree(now)
         # One amount is divided again once the entries of the last time are carried out.
@@ -332,7 +341,7 @@
         stakes = ledger.parts.get(amount, {})
         most = ledger.leasable(plan)
         floor = self._charter.floor(*ledger.wholes.get(plan, (0, 0)))[1]
-        claims: dict[int, Claim] = {}
+        claims: dict[int, QuotaClaim] = {}
         for number, tenant in self.tenants.items():
             demand, stake = tenant.demands.get(amount), stakes.get(number)
             if tenant.closing or (demand is None and stake is None):
@@ -340,7 +349,7 @@
             has = (stake.rate, stake.burst) if stake is not None else (0, 0)
             own = floor if ledger.sessions[number].slot >= 0 else 0
             need = max(0, tenant.quantum - own)
-            claims[number] = Claim(
+            claims[number] = QuotaClaim(
                 0 if demand is None else demand.rate, 1 if demand is None else demand.worth, has, need
             )
         # What a session that is being closed still has is not to be had yet.
@@ -368,7 +377,7 @@
 
     def _tell(self, now: int, number: int, tenant: _Tenant, amounts: Iterable[str]) -> None:
         """What the ledger says of some parts, or what is asked of their holder."""
-        session, orders = self._ledger.sessions.get(number), list[Order]()
+        session, orders = self._ledger.sessions.get(number), list[QuotaOrder]()
         for amount in list(amounts):
             stake = self._ledger.parts.get(amount, {}).get(number)
             if stake is None:
@@ -380,11 +389,11 @@
             lower = tenant.lower.get(amount)
             rate, burst = lower if lower is not None else (stake.rate, stake.burst)
             rate, burst = min(rate, stake.rate), min(burst, stake.burst)
-            orders.append(Order(amount, stake.version, rate, burst, lower is not None))
+            orders.append(QuotaOrder(amount, stake.version, rate, burst, lower is not None))
         if session is not None:
             for first in range(0, len(orders), MOST_ORDERS):
                 part = tuple(orders[first : first + MOST_ORDERS])
-                self._out.append((tenant.head, Orders(session.process, number, self._fleet, part)))
+                self._out.append((tenant.head, QuotaOrders(session.process, number, self._fleet, part)))
 
     # ---- what staff see ----
 
--- a/marllift/members.py
+++ b/gaugesail/coordination/membership.py
@@ -21,7 +21,7 @@
 import msgspec
 import xxhash
 
-from .messages import Ack, Compare, Message, Nack, Ping, PingFor, Rumour, Sync
+from .messages import Ack, DigestOffer, MemberUpdate, Message, Nack, Ping, PingRequest, StateSync
 
 PERIOD_US = 1_000_000  # of the protocol: one member is asked in each
 PING_US = 300_000  # for an answer, before others are asked to try
@@ -40,7 +40,7 @@
 LONGEST = 128  # of a name or an address in a rumour
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What is thought of a member, the worse the larger."""
 
     ALIVE = 0
@@ -53,14 +53,14 @@
 class Member:
     """One head, by the largest rumour of it."""
 
-    rumour: Rumour
+    rumour: MemberUpdate
     since: int  # of its state
     until: int = 0  # then a suspicion is believed
     sharers: set[str] = field(default_factory=set)
 
     @property
-    def state(self) -> State:
-        return State(self.rumour.state)
+    def state(self) -> MemberState:
+        return MemberState(self.rumour.state)
 
 
 @dataclass(slots=True, eq=False)
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class MemberChange:
     """A member's state has changed; ``how`` is join, suspect, refute, gone, left or back."""
 
     how: str
@@ -84,19 +84,19 @@
     address: str
 
 
-def rank(rumour: Rumour) -> tuple[int, int, int]:
+def rank(rumour: MemberUpdate) -> tuple[int, int, int]:
     """The larger of two rumours of one member holds."""
     return rumour.generation, rumour.incarnation, rumour.state
 
 
-class Members:
+class Membership:
     """One head's view of all."""
 
     def __init__(
         self, name: str, address: str, process: int, generation: int, rng: random.Random, now: int
     ) -> None:
         self.name, self._rng = name, rng
-        me = Rumour(name, address, generation, 0, State.ALIVE, process)
+        me = MemberUpdate(name, address, generation, 0, MemberState.ALIVE, process)
         self.process, self._born = process, now
         self._all: dict[str, Member] = {name: Member(me, now)}
         self._fresh: dict[str, int] = {name: 0}  # rumours to pass on, by how often they were
@@ -108,7 +108,7 @@
         self._periods = 0
         self.health = 0  # 0: well
         self.usurped = False  # a later process has this name
-        self._changes: list[Change] = []
+        self._changes: list[MemberChange] = []
         self._out: list[tuple[str, Message]] = []
 
     # ---- what is known ----
@@ -120,10 +120,10 @@
         return len(self._all)
 
     @property
-    def me(self) -> Rumour:
+    def me(self) -> MemberUpdate:
         return self._all[self.name].rumour
 
-    def state(self, name: str) -> State | None:
+    def state(self, name: str) -> MemberState | None:
         member = self._all.get(name)
         return None if member is None else member.state
 
@@ -133,14 +133,14 @@
 
     def alive(self) -> list[str]:
         """All who may be there, this head too: what is suspected counts."""
-        return [name for name, member in self._all.items() if member.state <= State.SUSPECT]
+        return [name for name, member in self._all.items() if member.state <= MemberState.SUSPECT]
 
     def digest(self) -> int:
         """The same at two heads that know the same."""
         told = sorted((name, *rank(member.rumour)) for name, member in self._all.items())
         return xxhash.xxh3_64_intdigest(repr(told).encode())
 
-    def changes(self) -> list[Change]:
+    def changes(self) -> list[MemberChange]:
         """What has changed since the last call."""
         found, self._changes = self._changes, []
         return found
@@ -156,7 +156,7 @@
         times = [self._period_at]
         if self._probe is not None and not self._probe.relayed:
             times.append(self._probe.began + self._patience)
-        times += [member.until for member in self._all.values() if member.state is State.SUSPECT]
+        times += [member.until for member in self._all.values() if member.state is MemberState.SUSPECT]
         return min(times)
 
     @property
@@ -174,14 +174,14 @@
         """Make oneself known to some who may be there, and hear what they know."""
         for name in through:
             if name != self.name:
-                self._say(name, Sync(self._told(), True))
+                self._say(name, StateSync(self._told(), True))
 
     def leave(self, now: int) -> None:
         """Tell some that this head goes by its own will."""
         me = self.me
-        self._hold(now, _with(me, state=State.LEFT), self.name)
+        self._hold(now, _with(me, state=MemberState.LEFT), self.name)
         for name in self._others(RELAYS):
-            self._say(name, Sync((self.me,), False))
+            self._say(name, StateSync((self.me,), False))
 
     # ---- time ----
 
@@ -193,15 +193,15 @@
             self._ail(1)
             self._probe = None
             for member in self._all.values():
-                if member.state is State.SUSPECT:
+                if member.state is MemberState.SUSPECT:
                     member.until = max(member.until, now + PERIOD_US)
         probe = self._probe
         if probe is not None and not probe.relayed and now >= probe.began + self._patience:
             self._relay(probe)
         for name, member in list(self._all.items()):
-            if member.state is State.SUSPECT and now >= member.until:
-                self._hold(now, _with(member.rumour, state=State.GONE), self.name)
-            elif member.state >= State.GONE and now - member.since > FORGET_US:
+            if member.state is MemberState.SUSPECT and now >= member.until:
+                self._hold(now, _with(member.rumour, state=MemberState.GONE), self.name)
+            elif member.state >= MemberState.GONE and now - member.since > FORGET_US:
                 del self._all[name]
                 self._fresh.pop(name, None)
         if now >= self._period_at:
@@ -217,7 +217,7 @@
         self._periods += 1
         if self._periods % COMPARE_PERIODS == 0:
             for name in self._others(1):
-                self._say(name, Compare(self.digest()))
+                self._say(name, DigestOffer(self.digest()))
         if (target := self._next()) is not None:
             self._number += 1
             self._probe = _Probe(target, self._number, now)
@@ -228,7 +228,7 @@
         for _ in range(2):
             while self._ring:
                 member = self._all.get(name := self._ring.pop())
-                if member is not None and member.state <= State.SUSPECT:
+                if member is not None and member.state <= MemberState.SUSPECT:
                     return name
             self._ring = [name for name in self.alive() if name != self.name]
             self._rng.shuffle(self._ring)
@@ -237,21 +237,21 @@
     def _ping(self, name: str, number: int) -> None:
         """Who is suspected hears of it first, so that it can say no."""
         member = self._all.get(name)
-        first = [member.rumour] if member is not None and member.state is State.SUSPECT else []
+        first = [member.rumour] if member is not None and member.state is MemberState.SUSPECT else []
         self._say(name, Ping(number, self._rumours(first)))
 
     def _relay(self, probe: _Probe) -> None:
         probe.relayed = True
         for name in self._others(RELAYS, probe.target):
             probe.asked += 1
-            self._say(name, PingFor(probe.number, probe.target, self._rumours()))
+            self._say(name, PingRequest(probe.number, probe.target, self._rumours()))
 
     def _failed(self, now: int, probe: _Probe) -> None:
         """Nobody heard of it.  Relays that were silent too say that it may be this head that is deaf."""
         self._ail(max(1, probe.asked - probe.nacks) if probe.asked else 1)
         member = self._all.get(probe.target)
-        if member is not None and member.state is State.ALIVE:
-            self._hold(now, _with(member.rumour, state=State.SUSPECT), self.name)
+        if member is not None and member.state is MemberState.ALIVE:
+            self._hold(now, _with(member.rumour, state=MemberState.SUSPECT), self.name)
 
     def _ail(self, much: int) -> None:
         self.health = max(0, min(MOST_HEALTH, self.health + much))
@@ -267,7 +267,7 @@
             case Ack():
                 self._hear(now, sender, message.rumours)
                 self._acked(now, sender, message)
-            case PingFor():
+            case PingRequest():
                 self._hear(now, sender, message.rumours)
                 self._number += 1
                 self._for[self._number] = sender, message.number, now
@@ -276,13 +276,13 @@
             case Nack():
                 if self._probe is not None and self._probe.number == message.number:
                     self._probe.nacks += 1
-            case Compare():
+            case DigestOffer():
                 if message.digest != self.digest():
-                    self._say(sender, Sync(self._told(), True))
-            case Sync():
+                    self._say(sender, StateSync(self._told(), True))
+            case StateSync():
                 self._hear(now, sender, message.rumours)
                 if message.answer:
-                    self._say(sender, Sync(self._told(), False))
+                    self._say(sender, StateSync(self._told(), False))
 
     def _acked(self, now: int, sender: str, ack: Ack) -> None:
         probe = self._probe
@@ -292,12 +292,15 @@
         elif (asker := self._for.pop(ack.number, None)) is not None:
             self._say(asker[0], Ack(asker[1], ack.about, self._rumours()))
 
-    def _hear(self, now: int, sender: str, rumours: tuple[Rumour, ...]) -> None:
+    def _hear(self, now: int, sender: str, rumours: tuple[MemberUpdate, ...]) -> None:
         for rumour in rumours:
-            if 0 <= rumour.state <= State.LEFT and max(len(rumour.name), len(rumour.address)) <= LONGEST:
+            if (
+                0 <= rumour.state <= MemberState.LEFT
+                and max(len(rumour.name), len(rumour.address)) <= LONGEST
+            ):
                 self._hold(now, rumour, sender)
 
-    def _hold(self, now: int, rumour: Rumour, sender: str) -> None:
+    def _hold(self, now: int, rumour: MemberUpdate, sender: str) -> None:
         """Keep a rumour if it is larger than what stands, and pass it on."""
         name = rumour.name
         if name == self.name and sender != self.name:
@@ -309,21 +312,21 @@
                 self._all[name] = member = Member(rumour, now)
                 self._turned(now, member, None, sender)
             return
-        if rank(rumour) == rank(member.rumour) and rumour.state == State.SUSPECT:
+        if rank(rumour) == rank(member.rumour) and rumour.state == MemberState.SUSPECT:
             self._shared(now, member, sender)
         if rank(rumour) > rank(member.rumour):
             old, member.rumour = member.rumour, rumour
             self._turned(now, member, old, sender)
 
-    def _of_me(self, now: int, rumour: Rumour) -> None:
+    def _of_me(self, now: int, rumour: MemberUpdate) -> None:
         """What others think of this head: refuted by a larger incarnation, unless it is another process."""
         me = self.me
         if rank(rumour) < rank(me) or (rank(rumour) == rank(me) and rumour.process == self.process):
             return
         if rumour.process == self.process:
-            if me.state == State.LEFT:
+            if me.state == MemberState.LEFT:
                 return
-            if rumour.state == State.SUSPECT:
+            if rumour.state == MemberState.SUSPECT:
                 self._ail(1)  # it was slow to answer
             fresh = _with(me, incarnation=rumour.incarnation + 1)
         elif now - self._born > JOIN_US:
@@ -349,29 +352,29 @@
         share = math.log(shared + 1) / math.log(SHARERS + 1)
         return int(max(least, most - (most - least) * share))
 
-    def _turned(self, now: int, member: Member, old: Rumour | None, sender: str) -> None:
+    def _turned(self, now: int, member: Member, old: MemberUpdate | None, sender: str) -> None:
         rumour = member.rumour
         self._fresh[rumour.name] = 0
-        state = State(rumour.state)
-        was = None if old is None else State(old.state)
+        state = MemberState(rumour.state)
+        was = None if old is None else MemberState(old.state)
         born = old is not None and old.process != rumour.process
-        member.sharers = {sender} if state is State.SUSPECT else set()
+        member.sharers = {sender} if state is MemberState.SUSPECT else set()
         if state is not was or born:
             member.since = now
-        if state is State.SUSPECT:
+        if state is MemberState.SUSPECT:
             member.until = member.since + self._suspicion_us(0)
         how = None
-        if state is State.ALIVE:
+        if state is MemberState.ALIVE:
             if was is None:
                 how = "join"
-            elif born or was >= State.GONE:
+            elif born or was >= MemberState.GONE:
                 how = "back"
-            elif was is State.SUSPECT:
+            elif was is MemberState.SUSPECT:
                 how = "refute"
         elif was is not state:
-            how = {State.SUSPECT: "suspect", State.GONE: "gone", State.LEFT: "left"}[state]
+            how = {MemberState.SUSPECT: "suspect", MemberState.GONE: "gone", MemberState.LEFT: "left"}[state]
         if how is not None and rumour.name != self.name:
-            self._changes.append(Change(how, rumour.name, rumour.address))
+            self._changes.append(MemberChange(how, rumour.name, rumour.address))
 
     # ---- what is said ----
 
@@ -381,14 +384,14 @@
     def _others(self, count: int, but: str = "") -> list[str]:
         names = [
             name for name, member in self._all.items()
-            if member.state is State.ALIVE and name not in (self.name, but)
+            if member.state is MemberState.ALIVE and name not in (self.name, but)
         ]  # fmt: skip
         return self._rng.sample(names, min(count, len(names)))
 
-    def _told(self) -> tuple[Rumour, ...]:
+    def _told(self) -> tuple[MemberUpdate, ...]:
         return tuple(member.rumour for member in self._all.values())
 
-    def _rumours(self, first: list[Rumour] | None = None) -> tuple[Rumour, ...]:
+    def _rumours(self, first: list[MemberUpdate] | None = None) -> tuple[MemberUpdate, ...]:
         """The ones passed on least, as many as fit; each goes out a number of times that grows slowly."""
         chosen = list(first or [])
         room = RUMOUR_BYTES - sum(map(_size, chosen))
@@ -406,11 +409,11 @@
         return tuple(chosen)
 
 
-def _size(rumour: Rumour) -> int:
+def _size(rumour: MemberUpdate) -> int:
     """About the bytes that it takes on the wire."""
     return len(rumour.name) + len(rumour.address) + 40
 
 
-def _with(rumour: Rumour, **changes: int) -> Rumour:
+def _with(rumour: MemberUpdate, **changes: int) -> MemberUpdate:
     """A copy with other fields."""
     return msgspec.structs.replace(rumour, **changes)
--- /dev/null
+++ b/gaugesail/coordination/messages.py
@@ -0,0 +1,109 @@
+"""All records that gateways of one fleet exchange or keep; each group stands in a module of its own.
+
+Every message may come late, twice, out of order or not at all; each says enough of what it rests on that its
+receiver can tell an old one.
+"""
+
+from __future__ import annotations
+
+from .bootstrap_messages import BootstrapBind, BootstrapStatus
+from .consensus_messages import (
+    AppendEntries,
+    AppendResponse,
+    InstallSnapshot,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
+)
+from .lease_messages import (
+    HeldQuota,
+    LeaseRequest,
+    LeaseResponse,
+    LeaseStatus,
+    QuotaDemand,
+    QuotaOrder,
+    QuotaOrders,
+)
+from .log_commands import (
+    AcknowledgeFloor,
+    AllocateQuota,
+    CloseSession,
+    Command,
+    ForgetHead,
+    LogEntry,
+    Noop,
+    OpenSession,
+    ReplaceVoters,
+    SetLimits,
+    SettleLimits,
+)
+from .membership_messages import Ack, DigestOffer, MemberUpdate, Nack, Ping, PingRequest, StateSync
+from .operator_messages import OperatorCommand, OperatorCommandResult
+from .record import Record
+from .store_messages import StoreMark, StoreMarkVerdict
+
+Message = (
+    VoteRequest
+    | VoteResponse
+    | AppendEntries
+    | AppendResponse
+    | InstallSnapshot
+    | TimeoutNow
+    | StoreMark
+    | StoreMarkVerdict
+    | BootstrapStatus
+    | BootstrapBind
+    | LeaseRequest
+    | LeaseResponse
+    | QuotaOrders
+    | Ping
+    | Ack
+    | PingRequest
+    | Nack
+    | DigestOffer
+    | StateSync
+    | OperatorCommand
+    | OperatorCommandResult
+)
+
+__all__ = [
+    "Ack",
+    "AcknowledgeFloor",
+    "AllocateQuota",
+    "AppendEntries",
+    "AppendResponse",
+    "BootstrapBind",
+    "BootstrapStatus",
+    "CloseSession",
+    "Command",
+    "DigestOffer",
+    "ForgetHead",
+    "HeldQuota",
+    "InstallSnapshot",
+    "LeaseRequest",
+    "LeaseResponse",
+    "LeaseStatus",
+    "LogEntry",
+    "MemberUpdate",
+    "Message",
+    "Nack",
+    "Noop",
+    "OpenSession",
+    "OperatorCommand",
+    "OperatorCommandResult",
+    "Ping",
+    "PingRequest",
+    "QuotaDemand",
+    "QuotaOrder",
+    "QuotaOrders",
+    "Record",
+    "ReplaceVoters",
+    "SetLimits",
+    "SettleLimits",
+    "StateSync",
+    "StoreMark",
+    "StoreMarkVerdict",
+    "TimeoutNow",
+    "VoteRequest",
+    "VoteResponse",
+]
--- a/marllift/fleet.py
+++ b/gaugesail/coordination/node.py
@@ -16,22 +16,23 @@
 
 import msgspec
 
-from . import interface as api
+from gaugesail.policy.events import QuotaChanged
+
 from . import messages as m
-from .charter import Charter
-from .founding import Founded, Founding, name_of, seat_of
-from .holder import Floor, Holder, Spendable
-from .keeper import Keeper, elsewhere
-from .ledger import Pair
-from .members import Members, State
-from .messages import Entry, Message
-from .raft import Broken, Raft, Snapshot
-from .witness import Known, Witness
+from .bootstrap import Bootstrap, BootstrapRecord, name_of, seat_of
+from .consensus import LogBroken, RaftNode, Snapshot
+from .fleet_terms import FleetTerms
+from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
+from .membership import Membership, MemberState
+from .messages import LogEntry, Message
+from .quota_ledger import Pair
+from .replica import Replica, elsewhere
+from .store_fencing import KnownStore, StoreFence
 
 Notices = tuple[tuple[str, dict[str, Any]], ...]
 
 
-class Kept(msgspec.Struct):
+class PersistentState(msgspec.Struct):
     """All that a head keeps beside its log, written as one."""
 
     store: str  # drawn when the store was made
@@ -52,32 +53,32 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class StoredState:
     """What a store held at the start."""
 
-    kept: Kept
+    kept: PersistentState
     snapshot: Snapshot = field(default_factory=Snapshot)
-    log: list[Entry] = field(default_factory=list)
+    log: list[LogEntry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Save:
+class StoreWrite:
     """One write: ``kept`` in place of the last; the log from ``first`` on in place of what stood there; and a
     snapshot in place of all entries up to its index."""
 
-    kept: Kept
+    kept: PersistentState
     first: int | None = None
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
     anew: bool = False  # the store is another one: nothing of the old log stays
 
 
 @dataclass(slots=True)
-class Output:
+class StepOutput:
     """What a step comes to, to be done in this order."""
 
-    save: Save | None = None
-    shares: Spendable | None = None
+    save: StoreWrite | None = None
+    shares: QuotaUpdate | None = None
     sends: list[tuple[str, Message]] = field(default_factory=list)
     notices: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
 
@@ -87,14 +88,14 @@
     return f"{plan}/{volume:x}"
 
 
-def shares_of(told: Spendable) -> api.Shares:
+def shares_of(told: QuotaUpdate) -> QuotaChanged:
     """What the gateway is told: by plan and volume, in units."""
     parts = []
     for amount, rate, burst in told.parts:
         plan, _, volume = amount.rpartition("/")
         parts.append((plan, int(volume, 16), rate / 1000, burst / 1000))
     floors = told.floors
-    return api.Shares(
+    return QuotaChanged(
         told.until, tuple(parts),
         None if floors is None else tuple((plan, rate / 1000, burst / 1000) for plan, rate, burst in floors),
         told.anew,
@@ -105,26 +106,26 @@
     """The fleet's decisions at one head; the same calls give the same outputs."""
 
     def __init__(
-        self, charter: Charter, digest: str, name: str, address: str, process: int, unix_ms: int,
-        loaded: Loaded | None, seed: int, now: int,
+        self, charter: FleetTerms, digest: str, name: str, address: str, process: int, unix_ms: int,
+        loaded: StoredState | None, seed: int, now: int,
     ) -> None:  # fmt: skip
         self.charter, self.digest, self.name = charter, digest, name
         self.process, self._rng, self._born = process, random.Random(seed), now
         self.keeper = name in charter.keepers and loaded is not None
         self.holds_store = loaded is not None
-        kept = loaded.kept if loaded is not None else Kept("")
+        kept = loaded.kept if loaded is not None else PersistentState("")
         self._loaded_saves = kept.saves
         kept.life, kept.process = kept.life + 1, process
         kept.generation = max(unix_ms, kept.generation + 1)
         self.kept = kept
-        self.members = Members(name, address, process, kept.generation, self._rng, now)
-        self.founding = Founding(
-            name, kept.store, charter.keepers, digest, Founded(kept.fleet, kept.seats, kept.bound)
+        self.members = Membership(name, address, process, kept.generation, self._rng, now)
+        self.founding = Bootstrap(
+            name, kept.store, charter.keepers, digest, BootstrapRecord(kept.fleet, kept.seats, kept.bound)
         )
-        self.witness = Witness({store: Known(*item) for store, item in kept.known.items()}, now)
-        self.seat: Keeper | None = None
-        floor = Floor(kept.slot, kept.version, kept.wholes, kept.of_fleet)
-        self.holder = Holder(charter, digest, name, process, kept.store, floor, now, self._rng)
+        self.witness = StoreFence({store: KnownStore(*item) for store, item in kept.known.items()}, now)
+        self.seat: Replica | None = None
+        floor = HeadFloor(kept.slot, kept.version, kept.wholes, kept.of_fleet)
+        self.holder = LeaseHolder(charter, digest, name, process, kept.store, floor, now, self._rng)
         self._floor_kept = floor
         self._changed = self.holds_store  # the life counts before anything is said
         self._anew = False
@@ -139,15 +140,15 @@
             self._sit(now, loaded.snapshot, loaded.log)
         self.members.join(list(charter.keepers))
 
-    def _sit(self, now: int, snapshot: Snapshot, log: list[Entry]) -> None:
+    def _sit(self, now: int, snapshot: Snapshot, log: list[LogEntry]) -> None:
         """Take up a keeper's log as it was kept."""
         founded = self.founding.kept
         seat = seat_of(self.name, self.kept.store)
         if founded.fleet and not snapshot.index and seat in founded.seats:
             snapshot = Snapshot(0, 0, founded.seats, b"")
         if founded.fleet:
-            raft = Raft(seat, self._rng, now, self.kept.term, self.kept.vote, snapshot, log)
-            self.seat = Keeper(self.charter, self.digest, founded.fleet, raft, self._born)
+            raft = RaftNode(seat, self._rng, now, self.kept.term, self.kept.vote, snapshot, log)
+            self.seat = Replica(self.charter, self.digest, founded.fleet, raft, self._born)
 
     # ---- what is told from outside ----
 
@@ -182,12 +183,12 @@
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
         self.holder.state(wholes, quantum)
 
-    def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> Output:
+    def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
         self.holder.want(now, asked)
         return self.tick(now)
 
-    def leave(self, now: int) -> Output:
+    def leave(self, now: int) -> StepOutput:
         """This head ends in order: its parts go back, and the others hear of it."""
         self.holder.leave(now)
         self.members.leave(now)
@@ -195,32 +196,32 @@
             self.seat.hand_on()
         return self.tick(now)
 
-    def petition(self, now: int, command: m.Forget) -> tuple[int, Output]:
+    def petition(self, now: int, command: m.ForgetHead) -> tuple[int, StepOutput]:
         """What operators ask for: its number, by which ``answer`` tells what became of it."""
         self._petitions += 1
         number = self._petitions
         if self.seat is not None and self.leads:
-            self.seat.petition(self.name, m.Petition(number, command), self.leader)
+            self.seat.petition(self.name, m.OperatorCommand(number, command), self.leader)
             return number, self._finish(now)
         if not self.leader:
             self._answers[number] = False, "no leader is known"
-            return number, Output()
+            return number, StepOutput()
         out = self._finish(now)
-        out.sends.append((self.leader, m.Petition(number, command)))
+        out.sends.append((self.leader, m.OperatorCommand(number, command)))
         return number, out
 
     def answer(self, number: int) -> tuple[bool, str] | None:
         """What became of a petition; None while nothing is known."""
         return self._answers.pop(number, None)
 
-    def trust_store(self, now: int) -> Output:
+    def trust_store(self, now: int) -> StepOutput:
         """Operators say that this head's store is its latest: it need not wait for others to vouch."""
         self.witness.trusted = True
         return self.tick(now)
 
     # ---- steps ----
 
-    def tick(self, now: int) -> Output:
+    def tick(self, now: int) -> StepOutput:
         """Take up what is due."""
         self.members.tick(now)
         if self.keeper:
@@ -230,34 +231,41 @@
         self.holder.tick(now, self._likely())
         return self._finish(now)
 
-    def receive(self, now: int, sender: str, process: int, message: Message) -> Output:
+    def receive(self, now: int, sender: str, process: int, message: Message) -> StepOutput:
         """Take in one message; whose it is was proven by its tag."""
         match message:
-            case m.Ping() | m.Ack() | m.PingFor() | m.Nack() | m.Compare() | m.Sync():
+            case m.Ping() | m.Ack() | m.PingRequest() | m.Nack() | m.DigestOffer() | m.StateSync():
                 self.members.receive(now, sender, message)
-            case m.Answer() | m.Orders():
+            case m.LeaseResponse() | m.QuotaOrders():
                 self.holder.receive(now, sender, message)
-            case m.Ask():
+            case m.LeaseRequest():
                 self._ask(now, sender, message)
-            case m.Mark() if self.keeper:
+            case m.StoreMark() if self.keeper:
                 self._say(sender, self.witness.marked(message))
-            case m.Marked() if self.keeper:
+            case m.StoreMarkVerdict() if self.keeper:
                 if message.store == self.kept.store and message.process == self.process:
                     self.witness.told(sender, message)
                     self._keep(now)
-            case m.Hello() | m.Bind() if self.keeper:
+            case m.BootstrapStatus() | m.BootstrapBind() if self.keeper:
                 for to, said in self.founding.receive(sender, message):
                     self._say(to, said)
                 self._keep(now)
-            case m.Petition():
+            case m.OperatorCommand():
                 if self.seat is not None:
                     self.seat.petition(sender, message, self.leader)
                 else:
-                    self._say(sender, m.Heard(message.number, False, "this head is no keeper"))
-            case m.Heard():
+                    self._say(
+                        sender, m.OperatorCommandResult(message.number, False, "this head is no keeper")
+                    )
+            case m.OperatorCommandResult():
                 self._answers[message.number] = message.done, message.why
             case (
-                m.Vote() | m.Voted() | m.Append() | m.Appended() | m.Install() | m.Lead()
+                m.VoteRequest()
+                | m.VoteResponse()
+                | m.AppendEntries()
+                | m.AppendResponse()
+                | m.InstallSnapshot()
+                | m.TimeoutNow()
             ) if name_of(message.seat) == sender:
                 if self.seat is not None:
                     self._guarded(now, lambda raft: raft.receive(now, message))
@@ -267,11 +275,11 @@
         assert self.seat is not None
         try:
             step(self.seat.raft)
-        except Broken as broken:
+        except LogBroken as broken:
             self._note("log_broken", why=str(broken))
             self._fall(now)
 
-    def _ask(self, now: int, sender: str, ask: m.Ask) -> None:
+    def _ask(self, now: int, sender: str, ask: m.LeaseRequest) -> None:
         if self.seat is not None:
             self._out += self.seat.ask(now, sender, ask, self.leader)
         else:
@@ -295,7 +303,7 @@
             self.seat.raft.may_vote = good
             self.seat.apply_for(self.founding.applicants())
         if self.witness.due(now, good):
-            mark = m.Mark(kept.store, kept.life, kept.saves, self._loaded_saves, self.process)
+            mark = m.StoreMark(kept.store, kept.life, kept.saves, self._loaded_saves, self.process)
             for name in others:
                 self._say(name, mark)
         for to, said in self.founding.tick(now, self.seated):
@@ -314,7 +322,7 @@
         self._note("store_is_old", store=self.kept.store)
         kept = self.kept
         fresh = f"{self._rng.getrandbits(48):012x}"
-        self.kept = Kept(
+        self.kept = PersistentState(
             fresh, kept.life, kept.saves, kept.process, kept.generation, self.founding.kept.fleet,
             self.founding.kept.seats,
         )  # fmt: skip
@@ -339,8 +347,8 @@
 
     # ---- the end of a step ----
 
-    def _finish(self, now: int) -> Output:
-        out = Output()
+    def _finish(self, now: int) -> StepOutput:
+        out = StepOutput()
         seat = self.seat
         if seat is not None:
             seat.work(now)
@@ -353,7 +361,7 @@
         out.shares = self.holder.spendable()
         if seat is not None:
             for to, said in seat.take_out():
-                if isinstance(said, m.Heard) and to == self.name:
+                if isinstance(said, m.OperatorCommandResult) and to == self.name:
                     self._answers[said.number] = said.done, said.why
                 else:
                     out.sends.append((to, said))
@@ -368,7 +376,7 @@
         out.notices, self._notices = self._notices, []
         return out
 
-    def _save(self) -> Save | None:
+    def _save(self) -> StoreWrite | None:
         """All that is to be kept before anything of this step is done."""
         if not self.holds_store:
             return None
@@ -389,7 +397,7 @@
         self._floor_kept = floor
         if raft is not None:
             kept.term, kept.vote = raft.term, raft.vote
-        save = Save(kept, anew=self._anew)
+        save = StoreWrite(kept, anew=self._anew)
         self._anew = False
         if log is not None:
             save.first, save.entries, save.snapshot = log.first, log.entries, log.snapshot
@@ -398,7 +406,7 @@
     def _likely(self) -> list[str]:
         """Keepers to ask, the likeliest to lead first; who is thought to be gone comes last."""
         names = sorted({name_of(seat) for seat in self._seats()} or self.charter.keepers)
-        gone = {name for name in names if (self.members.state(name) or State.ALIVE) >= State.GONE}
+        gone = {name for name in names if (self.members.state(name) or MemberState.ALIVE) >= MemberState.GONE}
         return sorted(names, key=lambda name: (name != self.leader, name in gone, name))
 
     def _say(self, to: str, message: Message) -> None:
--- a/marllift/division.py
+++ b/gaugesail/coordination/quota_division.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
+class QuotaClaim:
     """What one session wants and has.  Rates in thousandths of a unit a second, bursts of a unit."""
 
     rate: int  # what is asked for there
@@ -26,7 +26,7 @@
     need: int = 0  # the least burst without which its largest request could never go
 
 
-def divide(rate: int, burst: int, claims: Mapping[int, Claim]) -> dict[int, tuple[int, int]]:
+def divide(rate: int, burst: int, claims: Mapping[int, QuotaClaim]) -> dict[int, tuple[int, int]]:
     """The parts of all who claim something, by session; they sum to at most ``rate`` and ``burst``."""
     fit = _fit(burst, claims)
     rates = _rates(rate, {n: claim for n, claim in claims.items() if n in fit})
@@ -35,7 +35,7 @@
     return {n: (rates.get(n, 0), bursts.get(n, 0)) for n in claims}
 
 
-def _fit(burst: int, claims: Mapping[int, Claim]) -> set[int]:
+def _fit(burst: int, claims: Mapping[int, QuotaClaim]) -> set[int]:
     """Those whose least burst fits, the most worth first: a part that can never be used helps nobody."""
     room = int(burst * KEPT_BURST)
     found = set()
@@ -48,7 +48,7 @@
     return found
 
 
-def _rates(whole: int, claims: Mapping[int, Claim]) -> dict[int, int]:
+def _rates(whole: int, claims: Mapping[int, QuotaClaim]) -> dict[int, int]:
     asked = sum(claim.rate for claim in claims.values())
     wants = {n: int(claim.rate * HEADROOM) for n, claim in claims.items()}
     if sum(wants.values()) <= whole:
@@ -59,7 +59,7 @@
     return _fill(whole, claims)
 
 
-def _fill(whole: int, claims: Mapping[int, Claim]) -> dict[int, int]:
+def _fill(whole: int, claims: Mapping[int, QuotaClaim]) -> dict[int, int]:
     """Water-filling: each gets up to what it asks for, in proportion to worth."""
     found: dict[int, int] = {}
     left, weight = whole, sum(max(1, claim.worth) for claim in claims.values())
@@ -72,7 +72,7 @@
     return found
 
 
-def _keep_still(whole: int, rates: dict[int, int], claims: Mapping[int, Claim]) -> dict[int, int]:
+def _keep_still(whole: int, rates: dict[int, int], claims: Mapping[int, QuotaClaim]) -> dict[int, int]:
     """Leave small differences, as far as the sum allows; who has too little for what it asks is not small."""
     kept = {}
     for number, fresh in rates.items():
@@ -82,7 +82,7 @@
     return kept if sum(kept.values()) <= whole else rates
 
 
-def _bursts(burst: int, holders: list[int], claims: Mapping[int, Claim]) -> dict[int, int]:
+def _bursts(burst: int, holders: list[int], claims: Mapping[int, QuotaClaim]) -> dict[int, int]:
     """The least that each needs, and of the rest an even part, whatever its rate: what a head has saved up is
     there when its demand rises, and is not lost each time that its rate falls."""
     spare = burst - sum(claims[n].need for n in holders)
--- a/marllift/ledger.py
+++ b/gaugesail/coordination/quota_ledger.py
@@ -10,8 +10,17 @@
 
 import msgspec
 
-from .charter import Charter
-from .messages import Close, Command, FloorAt, Forget, Open, Part, Settle, Wholes
+from .fleet_terms import FleetTerms
+from .messages import (
+    AcknowledgeFloor,
+    AllocateQuota,
+    CloseSession,
+    Command,
+    ForgetHead,
+    OpenSession,
+    SetLimits,
+    SettleLimits,
+)
 
 Pair = tuple[int, int]  # rate and burst, in thousandths
 
@@ -32,7 +41,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Slot:
+class FloorSlot:
     """One head's floor, bound to its store for good.  Its holder goes by one of ``versions``."""
 
     head: str
@@ -41,7 +50,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Stake:
+class Allocation:
     """What one session may spend of one amount."""
 
     rate: int
@@ -63,17 +72,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ledger:
+class QuotaLedger:
     """The state that the log makes."""
 
-    charter: Charter
+    charter: FleetTerms
     version: int = 0  # index of the entry that made the wholes what they are
     wholes: dict[str, Pair] = field(default_factory=dict)  # in force, by plan
     wanted: dict[str, Pair] = field(default_factory=dict)  # what the files say
     settled: bool = True  # both are the same
     sessions: dict[int, Session] = field(default_factory=dict)
-    slots: dict[int, Slot] = field(default_factory=dict)
-    parts: dict[str, dict[int, Stake]] = field(default_factory=dict)
+    slots: dict[int, FloorSlot] = field(default_factory=dict)
+    parts: dict[str, dict[int, Allocation]] = field(default_factory=dict)
     _past: dict[int, dict[str, Pair]] = field(default_factory=dict)  # wholes that a slot may go by
     _floors: dict[str, Pair] = field(default_factory=dict)  # all of a plan's, reckoned when first wanted
     _sums: dict[str, Pair] = field(default_factory=dict)  # of an amount's parts
@@ -131,23 +140,23 @@
     def apply(self, index: int, command: Command) -> bool:
         """Carry out one entry; False where it changes nothing."""
         match command:
-            case Open():
+            case OpenSession():
                 return self._open(index, command)
-            case Close():
+            case CloseSession():
                 return self._close(command.session)
-            case Part():
+            case AllocateQuota():
                 return self._part(index, command)
-            case Wholes():
+            case SetLimits():
                 return self._wholes(index, command)
-            case Settle():
+            case SettleLimits():
                 return self._settle(index, command.version)
-            case FloorAt():
+            case AcknowledgeFloor():
                 return self._floor_at(command)
-            case Forget():
+            case ForgetHead():
                 return self._forget(command.head)
         return False
 
-    def _open(self, index: int, command: Open) -> bool:
+    def _open(self, index: int, command: OpenSession) -> bool:
         if self.process(command.process) is not None:
             return False
         slot = self._slot(command.head, command.store) if command.store else -1
@@ -164,7 +173,7 @@
             elif (slot.head, slot.store) == (head, store):
                 return number
         if free >= 0:
-            self.slots[free] = Slot(head, store, [self.version])
+            self.slots[free] = FloorSlot(head, store, [self.version])
             self._past[self.version] = self.wholes
             self._floors.clear()
         return free
@@ -183,7 +192,7 @@
         if not stakes:
             del self.parts[amount]
 
-    def _part(self, index: int, command: Part) -> bool:
+    def _part(self, index: int, command: AllocateQuota) -> bool:
         amount, session = command.amount, command.session
         stake = self.parts.get(amount, {}).get(session)
         rate, burst, held = (stake.rate, stake.burst, stake.version) if stake is not None else (0, 0, 0)
@@ -198,11 +207,11 @@
             if stake is not None:
                 self._drop(amount, session)
             return stake is not None
-        self.parts.setdefault(amount, {})[session] = Stake(command.rate, command.burst, index)
+        self.parts.setdefault(amount, {})[session] = Allocation(command.rate, command.burst, index)
         self._sums.pop(amount, None)
         return True
 
-    def _wholes(self, index: int, command: Wholes) -> bool:
+    def _wholes(self, index: int, command: SetLimits) -> bool:
         """What is less holds for whatever is given from here on; what is more has to be settled first."""
         wanted = {plan: (rate, burst) for plan, rate, burst in command.wholes}
         if wanted == self.wanted:
@@ -229,7 +238,7 @@
             slot.versions.append(index)  # its holder may go by these from when it hears of them
         self._forget_past()
 
-    def _floor_at(self, command: FloorAt) -> bool:
+    def _floor_at(self, command: AcknowledgeFloor) -> bool:
         """The holder goes by no older version any more."""
         slot = self.slots.get(command.slot)
         if slot is None or command.version not in slot.versions or slot.versions[0] == command.version:
@@ -274,8 +283,9 @@
         self.version, self.wholes, self.wanted = told.version, told.wholes, told.wanted
         self.settled, self._past = told.settled, told.past
         self.sessions = {item[0]: Session(*item) for item in told.sessions}
-        self.slots = {n: Slot(*item) for n, item in told.slots.items()}
+        self.slots = {n: FloorSlot(*item) for n, item in told.slots.items()}
         self.parts = {
-            amount: {n: Stake(*stake) for n, stake in stakes.items()} for amount, stakes in told.parts.items()
+            amount: {n: Allocation(*stake) for n, stake in stakes.items()}
+            for amount, stakes in told.parts.items()
         }
         self._floors, self._sums = {}, {}
--- a/marllift/keeper.py
+++ b/gaugesail/coordination/replica.py
@@ -7,30 +7,37 @@
 
 from typing import Any
 
-from .charter import Charter
-from .founding import name_of, seat_of, store_of
-from .granting import Office
-from .ledger import Ledger, plan_of
-from .messages import Answer, Ask, Heard, Message, Petition, Status
-from .raft import KEEP, Raft, Role
+from .bootstrap import name_of, seat_of, store_of
+from .consensus import KEEP, RaftNode, Role
+from .fleet_terms import FleetTerms
+from .lease_manager import LeaseManager
+from .messages import (
+    LeaseRequest,
+    LeaseResponse,
+    LeaseStatus,
+    Message,
+    OperatorCommand,
+    OperatorCommandResult,
+)
+from .quota_ledger import QuotaLedger, plan_of
 
 RESEAT_US = 5_000_000  # without a word from a seat whose keeper has come back with another store
 STEPS = 8  # of applying what one step commits
 
 
-class Keeper:
+class Replica:
     """The part of a head that only a keeper has."""
 
-    def __init__(self, charter: Charter, digest: str, fleet: str, raft: Raft, born: int) -> None:
+    def __init__(self, charter: FleetTerms, digest: str, fleet: str, raft: RaftNode, born: int) -> None:
         self._charter, self._digest, self._fleet, self._born = charter, digest, fleet, born
         self.raft = raft
         self.name = name_of(raft.seat)
-        self.ledger = Ledger(charter)
+        self.ledger = QuotaLedger(charter)
         self.ledger.load(raft.snapshot.state)
-        self.office: Office | None = None
+        self.office: LeaseManager | None = None
         self._later: dict[int, tuple[str, int]] = {}  # whose petition waits for which entry
         self._applicants: dict[str, str] = {}  # keepers with a store that has no seat
-        self.heard: list[tuple[str, Heard]] = []  # what became of petitions, and for whom
+        self.heard: list[tuple[str, OperatorCommandResult]] = []  # what became of petitions, and for whom
         self.notes: list[tuple[str, dict[str, Any]]] = []
 
     @property
@@ -43,14 +50,14 @@
 
     # ---- what others ask ----
 
-    def ask(self, now: int, sender: str, ask: Ask, leader: str) -> list[tuple[str, Message]]:
+    def ask(self, now: int, sender: str, ask: LeaseRequest, leader: str) -> list[tuple[str, Message]]:
         """A holder's ask: answered by the office later, or at once with who leads."""
         if self.office is not None:
             self.office.ask(now, sender, ask)
             return []
         return [(sender, elsewhere(ask, leader if leader != self.name else ""))]
 
-    def petition(self, sender: str, petition: Petition, leader: str) -> None:
+    def petition(self, sender: str, petition: OperatorCommand, leader: str) -> None:
         """What operators ask of the fleet; what becomes of it is in ``heard``."""
         head, number = petition.command.head, petition.number
         if self.office is None:
@@ -63,7 +70,7 @@
             self._later[index] = sender, number
 
     def _hear(self, to: str, number: int, done: bool, why: str) -> None:
-        self.heard.append((to, Heard(number, done, why)))
+        self.heard.append((to, OperatorCommandResult(number, done, why)))
 
     def apply_for(self, applicants: dict[str, str]) -> None:
         """Keepers by name that have come back with a store that has no seat."""
@@ -110,7 +117,9 @@
             self.office = None
         elif self.office is None or self.office.term != raft.term:
             fresh = now - self._born < self._charter.count_us or len(raft.seats) == 1
-            self.office = Office(self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh)
+            self.office = LeaseManager(
+                self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh
+            )
             self.notes.append(("leads", {"term": raft.term}))
 
     def _reseat(self, now: int) -> None:
@@ -172,6 +181,6 @@
         }  # fmt: skip
 
 
-def elsewhere(ask: Ask, leader: str) -> Answer:
+def elsewhere(ask: LeaseRequest, leader: str) -> LeaseResponse:
     """Not here: perhaps at whom this one thinks leads."""
-    return Answer(ask.process, ask.number, Status.ELSEWHERE, 0, 0, leader)
+    return LeaseResponse(ask.process, ask.number, LeaseStatus.ELSEWHERE, 0, 0, leader)
--- a/marllift/witness.py
+++ b/gaugesail/coordination/store_fencing.py
@@ -12,14 +12,14 @@
 
 from dataclasses import dataclass
 
-from .messages import Mark, Marked, Message
+from .messages import Message, StoreMark, StoreMarkVerdict
 
 MARK_US = 1_000_000  # between two tellings
 ASK_US = 300_000  # while it has not been vouched for
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class KnownStore:
     """The latest mark that is known of one store."""
 
     life: int
@@ -27,7 +27,7 @@
     process: int
 
 
-def judge(known: Known | None, mark: Mark) -> bool:
+def judge(known: KnownStore | None, mark: StoreMark) -> bool:
     """Whether a mark may come from the latest state of its store."""
     if known is None or known.process == mark.process:
         return True
@@ -35,10 +35,10 @@
     return mark.life > known.life and mark.loaded >= known.saves
 
 
-class Witness:
+class StoreFence:
     """One keeper's memory of the others' stores, and what they say of its own."""
 
-    def __init__(self, known: dict[str, Known], now: int) -> None:
+    def __init__(self, known: dict[str, KnownStore], now: int) -> None:
         self.known = known
         self._vouched: set[str] = set()
         self.stale = False
@@ -67,17 +67,17 @@
         self._mark_at = now + (MARK_US if good else ASK_US)
         return True
 
-    def marked(self, mark: Mark) -> Message:
+    def marked(self, mark: StoreMark) -> Message:
         """Another keeper tells its mark: what is known of its store is kept before it is answered."""
         known = self.known.get(mark.store)
         good = judge(known, mark)
-        fresh = Known(mark.life, mark.saves, mark.process)
+        fresh = KnownStore(mark.life, mark.saves, mark.process)
         if good and (known is None or fresh.process != known.process or fresh.saves > known.saves):
             self.known[mark.store] = fresh
             self.dirty = True
-        return Marked(mark.store, mark.process, good)
+        return StoreMarkVerdict(mark.store, mark.process, good)
 
-    def told(self, sender: str, answer: Marked) -> None:
+    def told(self, sender: str, answer: StoreMarkVerdict) -> None:
         """What another keeper makes of this one's mark."""
         if answer.good:
             self._vouched.add(sender)
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -12,9 +12,37 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marllift import interface as api
-from marllift.decide import Gateway
-from marllift.interface import NodeId, Result
+from gaugesail.policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    PollEndpoints,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from gaugesail.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointList,
+    EndpointState,
+    Event,
+    HealthCheckEnded,
+    MaintenanceChanged,
+    QuotaChanged,
+    RequestReceived,
+    SettingsChanged,
+    SiblingProcessChanged,
+    TimerFired,
+)
+from gaugesail.policy.gateway import Gateway
+from gaugesail.policy.settings import NodeId, Settings
 
 from .ports import Attempt, Call, Clock, Discovery, Logger, NodeTransport, Order, Reply, Sink, Source
 from .rules import Breach, Denial, RuleMonitor, deny_send, deny_start
@@ -35,7 +63,7 @@
     give_up_us: int
     attempts: int = 0
     out: Attempt | None = None
-    latest: Result | None = None  # of its attempts
+    latest: AttemptResult | None = None  # of its attempts
 
 
 class Engine:
@@ -43,7 +71,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         seed: int,
         clock: Clock,
         transport: NodeTransport,
@@ -58,10 +86,10 @@
         self._open: dict[int, _Open] = {}
         self._out: dict[tuple[int, int], Attempt] = {}
         self._names: dict[str, int] = {}  # of what is open or still out
-        self._events: list[api.Event] = []
+        self._events: list[Event] = []
         self._flush: Call | None = None
-        self._fresh: list[api.Request] = []  # taken since the last look at the sockets
-        self._looking: list[api.Request] = []  # taken before it: it comes now
+        self._fresh: list[RequestReceived] = []  # taken since the last look at the sockets
+        self._looking: list[RequestReceived] = []  # taken before it: it comes now
         self._look: Call | None = None
         self._heap: list[tuple[int, int, int, Any]] = []  # at, order made, what, whose
         self._made = 0
@@ -90,13 +118,13 @@
         """The module's refusals since its start, as ``refused_<why>_<node>``: the guard, and whether the
         shard's node was ``none``, ``cold`` or ``warm`` (docs/fleet.md).  Fails of unsafe classes count too.
         """
-        return self._gateway.recovery.refused
+        return self._gateway.recovery.rejections
 
     @property
     def attempts_out(self) -> int:
         return len(self._out)
 
-    def start(self, known: api.NodeList) -> None:
+    def start(self, known: EndpointList) -> None:
         """Set the module up with the list as it was last known."""
         self.ready = True
         self.listed(known)
@@ -117,7 +145,7 @@
         if len(self._open) >= self._max_open or self.ended:
             self.counts["refused_at_door"] += 1
             self._note(order.name, Step.TURNED_AWAY, "ending" if self.ended else "too many open")
-            self._clock.call_later(0, lambda: reply.refused(order.terms.hold_off_us))
+            self._clock.call_later(0, lambda: reply.refused(order.terms.longest_retry_after_us))
             return 0
         entry = _Open(ticket, order, reply, now + order.timeout_us)
         self._open[ticket] = entry
@@ -126,7 +154,7 @@
         self._note(order.name, Step.TAKEN, f"{order.timeout_us // 1000} ms")
         self._at(entry.give_up_us - GUARD_US, _DEADLINE, ticket)
         self._feed(
-            api.Request(
+            RequestReceived(
                 ticket, order.kind, entry.give_up_us, order.shard, order.plan, order.units, order.key,
                 order.volume, order.mounts, order.again, order.terms, now,
             )
@@ -153,21 +181,21 @@
             self._close(entry)
             self.counts["gone"] += 1
             self._note(entry.order.name, Step.CLIENT_LEFT)
-            self._feed(api.ClientGone(ticket))
+            self._feed(ClientDisconnected(ticket))
             if entry.out is not None:
                 self._withdraw(entry.out)
 
     # ---- from the transport and discovery ----
 
-    def listed(self, news: api.NodeList) -> None:
+    def listed(self, news: EndpointList) -> None:
         """News of the list goes to the module at once: the drain rule's time runs."""
         now = self._clock.now_us()
         self.rules.listed(news, now)
-        for line in news.nodes:
-            if line.mode is not api.NodeMode.READY or line.node not in self._seen:
-                self._note(line.node.decode(errors="replace"), Step.LISTED, line.mode.name.lower())
-            self._seen[line.node] = None
-            self._seen.move_to_end(line.node)
+        for line in news.endpoints:
+            if line.state is not EndpointState.READY or line.node_id not in self._seen:
+                self._note(line.node_id.decode(errors="replace"), Step.LISTED, line.state.name.lower())
+            self._seen[line.node_id] = None
+            self._seen.move_to_end(line.node_id)
         while len(self._seen) > MOST_IDS:  # on a long day bricks come and go by the thousand
             self._seen.popitem(last=False)
         self._events.append(news)
@@ -185,14 +213,14 @@
         """What lists have named to the process before this one."""
         self._seen.update((node, None) for node in nodes[-MOST_IDS:])
 
-    def retune(self, settings: api.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Other settings for what is taken from now on."""
         self.settings = settings
         self.rules.grace_us = settings.drain_grace_us
-        self._events.append(api.Retune(settings))
+        self._events.append(SettingsChanged(settings))
         self._run()
 
-    def share(self, event: api.Shares) -> None:
+    def share(self, event: QuotaChanged) -> None:
         """What the fleet lets this head spend from now on."""
         self._events.append(event)
         self._run()
@@ -200,11 +228,11 @@
     def wants(self) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
         under a limit that was asked for."""
-        return self._gateway.amounts.wants(self._clock.now_us())
+        return self._gateway.amounts.take_demand(self._clock.now_us())
 
     def overlap(self, on: bool) -> None:
         """Another process of this head works beside this one."""
-        self._events.append(api.Overlap(on))
+        self._events.append(SiblingProcessChanged(on))
         self._run()
 
     def end_all(self) -> None:
@@ -213,17 +241,17 @@
         for ticket in list(self._open):
             self.counts["overdue"] += 1
             self._fail(ticket, "out of time")
-            self._feed(api.ClientGone(ticket))
+            self._feed(ClientDisconnected(ticket))
 
     def maintain(self, node: NodeId, on: bool) -> None:
         """Operators take a node out, or put it back: as a drain that no list ends."""
         (self.away.add if on else self.away.discard)(node)
         self._transport.maintain(node, on)
-        self._events.append(api.Maintenance(node, on))
+        self._events.append(MaintenanceChanged(node, on))
         self._run()
 
-    def probe_ended(self, node: NodeId, result: Result, elapsed_us: int) -> None:
-        self._feed(api.ProbeResult(node, result, elapsed_us))
+    def probe_ended(self, node: NodeId, result: AttemptResult, elapsed_us: int) -> None:
+        self._feed(HealthCheckEnded(node, result, elapsed_us))
 
     def attempt_began(self, attempt: Attempt, source: Source) -> Sink | None:
         """An answer is passed on from its first bytes: it is the final one, whatever becomes of the rest.
@@ -241,7 +269,7 @@
             self._close(entry)
             self.counts["served"] += 1
             sink = self._tell(entry, "begins", source)
-        self._report(attempt, Result.SERVED, True)
+        self._report(attempt, AttemptResult.SERVED, True)
         return sink
 
     def adopt(self, attempt: Attempt) -> None:
@@ -249,12 +277,12 @@
         attempt.begun = True
         self._names.setdefault(attempt.name, 0)
 
-    def _report(self, attempt: Attempt, result: Result, final: bool) -> None:
+    def _report(self, attempt: Attempt, result: AttemptResult, final: bool) -> None:
         self.counts[f"attempt_{result.name.lower()}"] += 1
         elapsed = max(0, self._clock.now_us() - attempt.sent_us)
-        self._feed(api.Outcome(attempt.ticket, attempt.number, attempt.node, result, elapsed, final))
+        self._feed(AttemptEnded(attempt.ticket, attempt.number, attempt.node, result, elapsed, final))
 
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: Any = None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: Any = None) -> None:
         """The one end of an attempt.  A second report of it is dropped, and so are its late bytes."""
         if attempt.done:
             return
@@ -264,14 +292,14 @@
         self._out.pop((attempt.ticket, attempt.number), None)
         if attempt.begun:
             self._names.pop(attempt.name, None)
-            ends = {Result.SERVED: "streamed", Result.MOOT: "stream_moved"}
+            ends = {AttemptResult.SERVED: "streamed", AttemptResult.NOT_STARTED: "stream_moved"}
             self.counts[ends.get(result, "stream_broken")] += 1
             return
         entry = self._open.get(attempt.ticket)
         final = entry is None
         if entry is not None:
             entry.out, entry.latest = None, result
-            if result is Result.SERVED:
+            if result is AttemptResult.SERVED:
                 final = True
                 self._close(entry)
                 self.counts["served"] += 1
@@ -283,8 +311,8 @@
 
     # ---- ticks ----
 
-    def _feed(self, event: api.Event) -> None:
-        if isinstance(event, api.Request):
+    def _feed(self, event: Event) -> None:
+        if isinstance(event, RequestReceived):
             # It may have been found together with its client's end: it waits for a whole look at the sockets,
             # whatever else makes the module run before.  One look serves all that came since the last.
             self._fresh.append(event)
@@ -300,7 +328,7 @@
         seen, self._looking, self._fresh = self._looking, self._fresh, []
         self._look = self._clock.call_later(0, self._looked) if self._looking else None
         # Of what has ended meanwhile the module never hears.
-        self._events += [event for event in seen if event.request in self._open]
+        self._events += [event for event in seen if event.request_id in self._open]
         self._run()
 
     def _flushed(self) -> None:
@@ -320,7 +348,7 @@
                 except Exception as error:  # a fault of the module must not end the head or lose requests
                     self._log.error("module_raised", error=repr(error), events=len(events))
                     self.counts["module_raised"] += 1
-                    actions = [api.Fail(e.request) for e in events if isinstance(e, api.Request)]
+                    actions = [FailRequest(e.request_id) for e in events if isinstance(e, RequestReceived)]
                 for action in actions:
                     try:
                         self._carry_out(action)
@@ -332,56 +360,60 @@
         if self._events and self._flush is None:
             self._flush = self._clock.call_later(0, self._flushed)
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case api.Send():
+            case StartAttempt():
                 self._send(action)
-            case api.SetTimer():
+            case SetTimer():
                 self._at(action.at_us, _TIMER, action.token)
-            case api.Refuse():
-                if (entry := self._open.get(action.request)) is not None:
+            case RejectRequest():
+                if (entry := self._open.get(action.request_id)) is not None:
                     self._close(entry)
                     self.counts["refused"] += 1
-                    self._tell(entry, "refused", action.hold_off_us)
-            case api.Fail():
-                self._fail(action.request, "failed")
-            case api.Cancel():
-                attempt = self._out.get((action.request, action.attempt))
+                    self._tell(entry, "refused", action.retry_after_us)
+            case FailRequest():
+                self._fail(action.request_id, "failed")
+            case CancelAttempt():
+                attempt = self._out.get((action.request_id, action.attempt))
                 if attempt is not None and not attempt.begun:
-                    self._abort(attempt, Result.CANCELLED)
-            case api.WatchList():
+                    self._abort(attempt, AttemptResult.CANCELLED)
+            case WatchEndpoints():
                 self._discovery.watch(action.on)
-            case api.FetchList():
+            case PollEndpoints():
                 self._discovery.fetch()
-            case api.Probe():
-                self._transport.probe(action.node, self)
-            case api.CloseIdle():
-                self._transport.close_idle(action.node)
-            case api.Log():
+            case CheckHealth():
+                self._transport.probe(action.node_id, self)
+            case CloseIdleConnections():
+                self._transport.close_idle(action.node_id)
+            case WriteLog():
                 told = dict(action.fields)
                 self._log.info(action.event, **(told | {"text": action.text} if action.text else told))
-            case api.Tell():
+            case SendPeerMessage():
                 self._log.warning("no_peers")  # heads have no way to talk to each other
 
-    def _send(self, action: api.Send) -> None:
-        entry, now = self._open.get(action.request), self._clock.now_us()
+    def _send(self, action: StartAttempt) -> None:
+        entry, now = self._open.get(action.request_id), self._clock.now_us()
         number, most = (0, 0) if entry is None else (entry.attempts, entry.order.terms.max_attempts)
         deadline = 0 if entry is None else entry.give_up_us - GUARD_US
-        if entry is not None and action.patience_us:
-            deadline = min(deadline, now + action.patience_us)
+        if entry is not None and action.timeout_us:
+            deadline = min(deadline, now + action.timeout_us)
         out = entry is not None and entry.out is not None
-        denial = deny_send(entry is None, out, number, most, deadline, action.before_us, now)
+        denial = deny_send(entry is None, out, number, most, deadline, action.start_before_us, now)
         if entry is None or denial is not None:
             self.counts["moot_send"] += 1
             self._denied(entry.order.name if entry is not None else "", denial)
             if entry is not None and entry.out is None:
                 entry.attempts += 1
-            self._feed(api.Outcome(action.request, number, action.node, Result.MOOT, 0, entry is None))
+            self._feed(
+                AttemptEnded(
+                    action.request_id, number, action.node_id, AttemptResult.NOT_STARTED, 0, entry is None
+                )
+            )
             return
         order = entry.order
         attempt = Attempt(
-            action.request, number, action.node, order.shard, order.name, order.payload, now, deadline,
-            before_us=action.before_us, left=lambda: self._left(entry),
+            action.request_id, number, action.node_id, order.shard, order.name, order.payload, now, deadline,
+            before_us=action.start_before_us, left=lambda: self._left(entry),
         )  # fmt: skip
         if entry.latest is not None:
             self.counts[f"again_after_{entry.latest.name.lower()}"] += 1
@@ -389,25 +421,25 @@
         entry.out = attempt
         self._out[(attempt.ticket, number)] = attempt
         self.counts["sent"] += 1
-        self._note(order.name, Step.SENT, f"{number} to {action.node.decode(errors='replace')}")
+        self._note(order.name, Step.SENT, f"{number} to {action.node_id.decode(errors='replace')}")
         self._at(deadline, _ATTEMPT, attempt)
-        if action.node in self.away:  # whatever the module says: nothing new until the call back
-            self.attempt_ended(attempt, Result.NO_CONNECTION)
+        if action.node_id in self.away:  # whatever the module says: nothing new until the call back
+            self.attempt_ended(attempt, AttemptResult.NO_CONNECTION)
             return
         try:
             self._transport.send(attempt, self)
         except Exception as error:  # whatever the transport meets, the attempt must end
             self._log.error("send_raised", error=repr(error))
-            self._abort(attempt, Result.RESET)
+            self._abort(attempt, AttemptResult.RESET)
 
-    def _abort(self, attempt: Attempt, result: Result) -> None:
+    def _abort(self, attempt: Attempt, result: AttemptResult) -> None:
         """End an attempt from here: its connection is aborted before anything else may be sent.
 
         Where its last byte was never written, say as its connection was late, it has not run and won't.
         """
         try:
             if self._transport.abort(attempt) is False:
-                result = Result.NO_CONNECTION
+                result = AttemptResult.NO_CONNECTION
         except Exception as error:  # its outcome is owed all the same
             self._log.error("abort_raised", error=repr(error))
         self.attempt_ended(attempt, result)
@@ -419,7 +451,7 @@
             self._log.error("withdraw_raised", error=repr(error))
             return
         if withdrawn:
-            self.attempt_ended(attempt, Result.MOOT)
+            self.attempt_ended(attempt, AttemptResult.NOT_STARTED)
 
     def _left(self, entry: _Open) -> bool:
         """Its client has gone: what the front has not read of that yet counts all the same."""
@@ -502,10 +534,10 @@
         while self._heap and self._heap[0][0] <= now:
             _, _, what, whose = heapq.heappop(self._heap)
             if what == _TIMER:
-                self._events.append(api.TimerFired(whose))
+                self._events.append(TimerFired(whose))
             elif what == _ATTEMPT:
                 if not (whose.done or whose.begun):
-                    self._abort(whose, Result.TIMEOUT)
+                    self._abort(whose, AttemptResult.TIMEOUT)
             elif whose in self._open:
                 over.append(whose)
         self._run()
@@ -514,7 +546,7 @@
             if ticket in self._open:
                 self.counts["overdue"] += 1
                 self._fail(ticket, "out of time")
-                self._feed(api.ClientGone(ticket))
+                self._feed(ClientDisconnected(ticket))
         if self._wake is None:
             self._schedule()
 
--- a/gaugesail/core/ports.py
+++ b/gaugesail/core/ports.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from marllift.interface import NodeId, Result, Settings
+from gaugesail.policy.events import AttemptResult
+from gaugesail.policy.settings import NodeId, Settings
 
 
 class Call(Protocol):
@@ -112,8 +113,8 @@
         ...
 
     def attempt_began(self, attempt: Attempt, source: Source) -> Sink | None: ...
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: Any = None) -> None: ...
-    def probe_ended(self, node: NodeId, result: Result, elapsed_us: int) -> None: ...
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: Any = None) -> None: ...
+    def probe_ended(self, node: NodeId, result: AttemptResult, elapsed_us: int) -> None: ...
 
 
 class NodeTransport(Protocol):
--- a/gaugesail/core/retune.py
+++ b/gaugesail/core/retune.py
@@ -4,11 +4,15 @@
 
 from dataclasses import replace
 
-from marllift.interface import Effect, Group, RequestClass, Settings
+from gaugesail.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 BOTH_US = 1_500_000  # clients use the new settings 1.2 s after they are told
-_EFFECTS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)  # each stricter than the one before
-_GROUPS = (Group.ALL, Group.ZONE, Group.SHARD)
+_EFFECTS = (
+    Idempotency.IDEMPOTENT,
+    Idempotency.KEYED,
+    Idempotency.NOT_IDEMPOTENT,
+)  # each stricter than the one before
+_GROUPS = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.SHARD)
 
 
 def between(old: Settings, new: Settings) -> Settings:
@@ -29,8 +33,8 @@
     return replace(
         new,
         deadline_us=max(old.deadline_us, new.deadline_us),
-        effect=max(old.effect, new.effect, key=_EFFECTS.index),
-        group=max(old.group, new.group, key=_GROUPS.index),
-        repeat_window_us=min(old.repeat_window_us, new.repeat_window_us),
+        idempotency=max(old.idempotency, new.idempotency, key=_EFFECTS.index),
+        deduplication_scope=max(old.deduplication_scope, new.deduplication_scope, key=_GROUPS.index),
+        deduplication_window_us=min(old.deduplication_window_us, new.deduplication_window_us),
         ordered=old.ordered or new.ordered,
     )
--- a/gaugesail/core/rules.py
+++ b/gaugesail/core/rules.py
@@ -10,7 +10,8 @@
 from collections import Counter
 from enum import Enum
 
-from marllift.interface import ListKind, NodeId, NodeList, NodeMode
+from gaugesail.policy.events import EndpointList, EndpointListKind, EndpointState
+from gaugesail.policy.settings import NodeId
 
 from .ports import Attempt, Logger
 from .trace import Trace
@@ -75,16 +76,16 @@
         self._begun: dict[str, Attempt] = {}  # by request, until they end
         self._draining: dict[NodeId, int] = {}  # since when we were told
 
-    def listed(self, news: NodeList, now_us: int) -> None:
+    def listed(self, news: EndpointList, now_us: int) -> None:
         """What a list tells to drain, or to be gone."""
-        if news.kind is ListKind.FULL:
-            listed = {line.node for line in news.nodes}
+        if news.kind is EndpointListKind.FULL:
+            listed = {line.node_id for line in news.endpoints}
             self._draining = {node: at for node, at in self._draining.items() if node in listed}
-        for line in news.nodes:
-            if line.mode is NodeMode.READY:
-                self._draining.pop(line.node, None)
+        for line in news.endpoints:
+            if line.state is EndpointState.READY:
+                self._draining.pop(line.node_id, None)
             else:
-                self._draining.setdefault(line.node, now_us)
+                self._draining.setdefault(line.node_id, now_us)
         while len(self._draining) > MOST_DRAINING:  # on a long day nodes come and go by the thousand
             del self._draining[next(iter(self._draining))]
 
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -17,9 +17,9 @@
 
 from twisted.internet.error import CannotListenError
 
-from marllift import interface as api
-from marllift.fleet import FleetNode, Loaded, Output, amount_of, shares_of
-from marllift.messages import Forget, Message
+from gaugesail.coordination.messages import ForgetHead, Message
+from gaugesail.coordination.node import FleetNode, StepOutput, StoredState, amount_of, shares_of
+from gaugesail.policy.settings import Settings
 
 from ..core.engine import Engine
 from ..core.ports import Call, Clock, Logger
@@ -50,7 +50,7 @@
         self.address: tuple[str, int] | None = None
         self._store: FleetStore | None = None
         self._engine: Engine | None = None
-        self._terms: api.Settings | None = None
+        self._terms: Settings | None = None
         self._tick: Call | None = None
         self._tick_at = 0
         self._closed = self._waiting = self._running = False
@@ -105,7 +105,7 @@
             self._wants()
             self._sweep()
 
-    def _load(self) -> Loaded | None:
+    def _load(self) -> StoredState | None:
         """What the store holds; None where there is none, or none that can be used."""
         if self._settings.folder is None:
             return None
@@ -163,7 +163,7 @@
         self._new_process()
         self._begin()
 
-    def retune(self, settings: api.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """This head's own file says other limits."""
         self._terms = settings
         self._state()
@@ -174,7 +174,7 @@
                 plan.name: (round(plan.limit * 1000), round(plan.limit_burst * 1000))
                 for plan in self._terms.plans if plan.limit
             }  # fmt: skip
-            self.node.state(wholes, round(self._terms.most_units * 1000))
+            self.node.state(wholes, round(self._terms.max_request_units * 1000))
 
     def leave(self) -> None:
         """This head ends in order."""
@@ -196,7 +196,7 @@
     def _heard(self, sender: str, process: int, message: Message) -> None:
         self._step(lambda node, now: node.receive(now, sender, process, message))
 
-    def _step(self, call: Callable[[FleetNode, int], Output]) -> None:
+    def _step(self, call: Callable[[FleetNode, int], StepOutput]) -> None:
         """One step of the decisions, and what it comes to, in its order."""
         node = self.node
         if node is None:
@@ -210,7 +210,7 @@
                 node.store_failed(now, "a step was not carried out")
         self._plan()
 
-    def _carry_out(self, node: FleetNode, now: int, out: Output) -> None:
+    def _carry_out(self, node: FleetNode, now: int, out: StepOutput) -> None:
         self._tell(out)
         if out.save is not None and self._store is not None:
             try:
@@ -230,7 +230,7 @@
             else:
                 self.link.send(to, message)
 
-    def _tell(self, out: Output) -> None:
+    def _tell(self, out: StepOutput) -> None:
         for event, fields in out.notices:
             told = {key: value for key, value in fields.items() if value != ""}
             loud = event in ("store_failed", "log_broken", "stores_are_old", "store_is_old", "name_taken")
@@ -258,7 +258,7 @@
     def _wants(self) -> None:
         if self._closed or self._engine is None or self._terms is None:
             return
-        worth = {plan.name: max(1, round(plan.price * 1000)) for plan in self._terms.plans}
+        worth = {plan.name: max(1, round(plan.priority_weight * 1000)) for plan in self._terms.plans}
         asked = {
             amount_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
             for plan, volume, units, spent, saved in self._engine.wants()
@@ -319,11 +319,10 @@
     def _petition(self, name: str) -> int:
         numbers: list[int] = []
 
-        def ask(node: FleetNode, now: int) -> Output:
-            number, out = node.petition(now, Forget(name))
+        def ask(node: FleetNode, now: int) -> StepOutput:
+            number, out = node.petition(now, ForgetHead(name))
             numbers.append(number)
             return out
 
         self._step(ask)
         return numbers[0]
-
--- a/gaugesail/fleet/link.py
+++ b/gaugesail/fleet/link.py
@@ -14,7 +14,7 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from marllift.messages import Message
+from gaugesail.coordination.messages import Message
 
 from ..core.ports import Clock, Logger
 from ..net import Connection, dial
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from marllift.charter import MOST_KEEPERS, Charter
+from gaugesail.coordination.fleet_terms import MOST_KEEPERS, FleetTerms
 
 from ..http.discovery import BadList, split_address
 
@@ -60,7 +60,7 @@
 class FleetSettings:
     """The whole file.  Addresses are (host, port); ``peers`` are those that this head reaches others at."""
 
-    charter: Charter
+    charter: FleetTerms
     head: str
     listen: tuple[str, int]
     advertise: tuple[str, int] | None
@@ -155,7 +155,7 @@
     if faults:
         raise FleetError("\n".join(faults))
     peers.pop(fleet.head, None)
-    charter = Charter(
+    charter = FleetTerms(
         fleet.name, tuple(sorted(keepers)), budgets.lease_ms * 1000, round(budgets.drift * 1_000_000),
         budgets.most_heads, round(budgets.floor_share * 1_000_000),
         round(budgets.floor_burst_share * 1_000_000),
@@ -172,7 +172,7 @@
         raise FleetError("\n".join(f"{path}: {line}" for line in lines)) from None
 
 
-def digest(charter: Charter) -> str:
+def digest(charter: FleetTerms) -> str:
     """Short, and the same on each head whose file says the same of what binds."""
     told = msgspec.json.encode([getattr(charter, name) for name in charter.__slots__])
     return hashlib.blake2b(told, digest_size=8).hexdigest()
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -16,9 +16,9 @@
 import msgspec
 import xxhash
 
-from marllift.fleet import Kept, Loaded, Save
-from marllift.messages import Entry
-from marllift.raft import Snapshot
+from gaugesail.coordination.consensus import Snapshot
+from gaugesail.coordination.messages import LogEntry
+from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
 
 BUSY_S = 0.05
 _TABLES = """
@@ -43,9 +43,9 @@
 
 
 _pack = msgspec.msgpack.Encoder().encode
-_kept = msgspec.msgpack.Decoder(Kept)
+_kept = msgspec.msgpack.Decoder(PersistentState)
 _snapshot = msgspec.msgpack.Decoder(_Snapshot)
-_entry: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
+_entry: msgspec.msgpack.Decoder[LogEntry] = msgspec.msgpack.Decoder(LogEntry)
 
 
 def _sum(data: bytes) -> str:
@@ -62,7 +62,7 @@
 
     # ---- opening ----
 
-    def open(self) -> Loaded:
+    def open(self) -> StoredState:
         """Take the store and read it whole.  StoreBusy, StoreFailed."""
         for _ in range(2):
             try:
@@ -71,7 +71,7 @@
                 self._aside(str(why))
         raise StoreFailed(f"{self.path}: a fresh store cannot be read either")
 
-    def _open(self) -> Loaded:
+    def _open(self) -> StoredState:
         try:
             # Held from here on: the lock is the process's own and goes with it, however it ends.
             db = sqlite3.connect(self.path, timeout=BUSY_S, isolation_level=None)
@@ -101,28 +101,28 @@
         stat = self.path.stat()
         return f"{socket.gethostname()} {stat.st_dev} {stat.st_ino}".encode()
 
-    def _read(self, db: sqlite3.Connection) -> Loaded:
+    def _read(self, db: sqlite3.Connection) -> StoredState:
         home = self._one(db, "home")
         kept = self._one(db, "kept")
         if home is None or kept is None:
             if home is not None or kept is not None or db.execute("select 1 from log").fetchone():
                 raise _Aside("torn: a part is missing")
             self._put(db, "home", self._home())
-            fresh = Kept(secrets.token_hex(6))
+            fresh = PersistentState(secrets.token_hex(6))
             self._put(db, "kept", _pack(fresh))
-            return Loaded(fresh)
+            return StoredState(fresh)
         if home != self._home():
             raise _Aside(f"a copy: it was made at {home.decode(errors='replace')}")
         snapshot = Snapshot()
         if (data := self._one(db, "snapshot")) is not None:
             told = _snapshot.decode(data)
             snapshot = Snapshot(told.index, told.term, told.seats, told.state)
-        log: list[Entry] = []
+        log: list[LogEntry] = []
         for at, data, check in db.execute("select at, data, sum from log order by at"):
             if at != snapshot.index + 1 + len(log) or _sum(data) != check:
                 raise _Aside(f"torn: entry {at}")
             log.append(_entry.decode(data))
-        return Loaded(_kept.decode(kept), snapshot, log)
+        return StoredState(_kept.decode(kept), snapshot, log)
 
     def _one(self, db: sqlite3.Connection, name: str) -> bytes | None:
         row = db.execute("select data, sum from one where name = ?", (name,)).fetchone()
@@ -147,7 +147,7 @@
 
     # ---- writing ----
 
-    def write(self, save: Save) -> None:
+    def write(self, save: StoreWrite) -> None:
         """Keep it, whole and on the disk, before this returns.  StoreFailed: none of it is kept, or all."""
         db = self._db
         if db is None:
@@ -184,7 +184,7 @@
             raise StoreFailed(f"{self.path}: {error}") from None
 
     @staticmethod
-    def _rows(first: int, entries: tuple[Entry, ...]) -> list[tuple[int, bytes]]:
+    def _rows(first: int, entries: tuple[LogEntry, ...]) -> list[tuple[int, bytes]]:
         return [(at, _pack(entry)) for at, entry in enumerate(entries, first)]
 
     def _put(self, db: sqlite3.Connection, name: str, data: bytes) -> None:
--- a/gaugesail/fleet/wire.py
+++ b/gaugesail/fleet/wire.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from marllift.messages import Message
+from gaugesail.coordination.messages import Message
 
 MAGIC, VERSION = b"gs", 1
 TAG_BYTES = 16
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -295,5 +295,3 @@
     port.stopReading()
     os.close(fd)  # the port has its own
     return port
-
-
--- a/gaugesail/http/bricks.py
+++ b/gaugesail/http/bricks.py
@@ -11,7 +11,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from marllift.interface import NodeId, Result
+from gaugesail.policy.events import AttemptResult
+from gaugesail.policy.settings import NodeId
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.ports import Attempt, AttemptSink, Call, Clock, Logger, Order, Reactor, Sink, Source
@@ -142,7 +143,7 @@
             if not self._whole:
                 self._source.stop()
             elif self._attempt is not None:
-                self._pool.finish(self._attempt, Result.NO_CONNECTION)
+                self._pool.finish(self._attempt, AttemptResult.NO_CONNECTION)
 
     def send(self, job: _Job) -> bool:
         """Write its end, as the attempt: from here on it may run.  False where it can't be."""
@@ -160,7 +161,7 @@
             return
         if not _may_start(job):
             self.broke()
-            self._pool.finish(job, Result.MOOT)
+            self._pool.finish(job, AttemptResult.NOT_STARTED)
             return
         self.state = "sent"
         if job.sink is not None and job.attempt is not None:
@@ -263,7 +264,7 @@
     def unstage(self) -> None:
         """A large request that has no attempt yet is not to get one here."""
         if self._job is not None and self._job.staged is not None:
-            self._spoilt(Result.NO_CONNECTION)
+            self._spoilt(AttemptResult.NO_CONNECTION)
 
     def _take(self, job: _Job) -> None:
         self._job, self.written, self._interim = job, False, 0
@@ -302,7 +303,7 @@
         if not self.written:
             # They answer something else, however good they look.  Our last byte now never leaves, so that the
             # request has not run.
-            self._spoilt(Result.NO_CONNECTION)
+            self._spoilt(AttemptResult.NO_CONNECTION)
             return
         self._heard_us = self._pool.clock.now_us()
         self._first_us = self._first_us or self._heard_us
@@ -310,7 +311,7 @@
         try:
             self._read()
         except (BadMessage, PoolEmpty):
-            self._spoilt(Result.ERROR)
+            self._spoilt(AttemptResult.ERROR)
 
     def _read(self) -> None:
         whole = True
@@ -361,7 +362,7 @@
         if job is not None and job.attempt is not None and job.sink is not None:
             sink = job.sink.attempt_began(job.attempt, self)
         if sink is None:  # nobody waits for it any more
-            self._spoilt(Result.CANCELLED)
+            self._spoilt(AttemptResult.CANCELLED)
             return
         self._sink = sink
         sink.more(first)
@@ -389,7 +390,7 @@
         self._job = self._sink = None
         self.lost = True
         self._pool.ended(self)
-        self._pool.finish(job, Result.MOOT)
+        self._pool.finish(job, AttemptResult.NOT_STARTED)
         return told
 
     def enter(self, told: dict[str, Any], attempt: Attempt, sink: AttemptSink) -> None:
@@ -414,7 +415,7 @@
     def stop(self) -> None:
         """The client has gone."""
         self._sink = None
-        self._spoilt(Result.CANCELLED)
+        self._spoilt(AttemptResult.CANCELLED)
 
     def _whole(self) -> None:
         head, body, job, sink = self._head, self._body, self._job, self._sink
@@ -437,7 +438,7 @@
             sink.done()
         self._pool.finish(job, _result(head), answer)
 
-    def _spoilt(self, result: Result) -> None:
+    def _spoilt(self, result: AttemptResult) -> None:
         """What comes can't be the answer: the connection ends, and with it the attempt."""
         job, sink = self._job, self._sink
         self.abort()
@@ -452,7 +453,7 @@
         return self._job is not None and not self._paused and 0 < self._heard_us < now - patience
 
     def give_up(self) -> None:
-        self._spoilt(Result.ERROR)
+        self._spoilt(AttemptResult.ERROR)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.lost = True
@@ -470,7 +471,7 @@
             stale = self._pool.clock.now_us() - self._started_us < STALE_US
             self._pool.idle_book.ended(self._idled_us, stale)
         if job is not None:
-            self._pool.finish(job, Result.RESET if self.written else Result.NO_CONNECTION)
+            self._pool.finish(job, AttemptResult.RESET if self.written else AttemptResult.NO_CONNECTION)
 
     def _drop(self) -> None:
         if self._body is not None:
@@ -495,12 +496,12 @@
     return job.attempt is None or job.sink is None or job.sink.may_start(job.attempt)
 
 
-def _result(head: Head) -> Result:
+def _result(head: Head) -> AttemptResult:
     if head.status == 200:
-        return Result.SERVED
+        return AttemptResult.SERVED
     if head.status in (503, 504) and head.headers.get("not-started") == "1":
-        return Result.FULL
-    return Result.ERROR
+        return AttemptResult.REJECTED
+    return AttemptResult.ERROR
 
 
 class BrickPool:
@@ -587,7 +588,7 @@
         for connection in list(brick.busy):
             connection.unstage()  # it has not begun to run
         for job in waiting:
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
 
     # ---- attempts ----
 
@@ -596,14 +597,14 @@
         job = _Job(sink, attempt.node, now, attempt.deadline_us, attempt)
         line = self._usable(attempt.node)
         if line is None:
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
         elif attempt.shard >= 0 and line.shard != attempt.shard:
-            self.finish(job, Result.MOOT)  # the brick would turn it away unrun
+            self.finish(job, AttemptResult.NOT_STARTED)  # the brick would turn it away unrun
         elif (staged := attempt.payload.staged) is None:
             self._place(job)
         elif staged.job is None or staged.job.node != attempt.node or not staged.send(job):
             # Its body is with another brick, or gone with a connection: it can't be written there again.
-            self.finish(job, Result.MOOT)
+            self.finish(job, AttemptResult.NOT_STARTED)
 
     def stage(self, node: NodeId, order: Order, source: Source) -> Sink | None:
         """Write a large request as it comes, short of its end; its client waits for the connection."""
@@ -629,9 +630,7 @@
 
     def withdraw(self, attempt: Attempt) -> bool:
         connection = attempt.connection
-        return (
-            isinstance(connection, BrickConnection) and not connection.written and not self.abort(attempt)
-        )
+        return isinstance(connection, BrickConnection) and not connection.written and not self.abort(attempt)
 
     def adopt(self, descriptor: int, told: dict[str, Any], sink: AttemptSink) -> BrickConnection:
         """A connection with a large answer on it, which another process of this head began."""
@@ -651,9 +650,9 @@
         now = self.clock.now_us()
         job = _Job(sink, node, now, now + PROBE_US)
         if self._usable(node) is None:
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
             return
-        self.clock.call_later(PROBE_US, lambda: self.finish(job, Result.TIMEOUT))
+        self.clock.call_later(PROBE_US, lambda: self.finish(job, AttemptResult.TIMEOUT))
         self._place(job)
 
     def close_idle(self, node: NodeId) -> None:
@@ -675,7 +674,7 @@
             job = brick.waiting[0]
             if job.over or not _may_start(job):
                 brick.waiting.popleft()
-                self.finish(job, Result.MOOT)
+                self.finish(job, AttemptResult.NOT_STARTED)
                 continue
             connection = self._rested(brick, now)
             if connection is None:
@@ -708,7 +707,7 @@
         attempt, line = job.attempt, self._usable(job.node)
         if line is None:
             connection.abort()
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
             return
         brick.busy.add(connection)
         if job.staged is not None:
@@ -725,7 +724,7 @@
             request = exchange.head(f"{line.host}:{line.port}", left, len(body)) + body
         connection.start(job, request)
 
-    def finish(self, job: _Job, result: Result, answer: Any = None) -> None:
+    def finish(self, job: _Job, result: AttemptResult, answer: Any = None) -> None:
         if job.done:
             return
         job.done = True
@@ -750,7 +749,7 @@
             return
         if self.connections >= self._max and not self._make_room():
             if not brick.connections:  # none that it could wait for
-                self.finish(brick.waiting.popleft(), Result.NO_CONNECTION)
+                self.finish(brick.waiting.popleft(), AttemptResult.NO_CONNECTION)
             return
         epoch = brick.epoch
         made = dial(
@@ -766,7 +765,7 @@
     def _dialled(self, connection: BrickConnection, brick: _Brick, made: Deferred[Any]) -> None:
         brick.dials.discard(made)
         if connection.lost:
-            self._next(brick, Result.NO_CONNECTION)
+            self._next(brick, AttemptResult.NO_CONNECTION)
         elif connection.epoch != brick.epoch or self._closing:
             connection.abort()
         else:
@@ -774,9 +773,9 @@
 
     def _dial_failed(self, failure: Failure, brick: _Brick, made: Deferred[Any]) -> None:
         brick.dials.discard(made)
-        self._next(brick, Result.NO_CONNECTION)
+        self._next(brick, AttemptResult.NO_CONNECTION)
 
-    def _next(self, brick: _Brick, result: Result) -> None:
+    def _next(self, brick: _Brick, result: AttemptResult) -> None:
         """A dial came to nothing: the one that has waited longest has its outcome."""
         while brick.waiting and brick.waiting[0].over:
             brick.waiting.popleft()
--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from marllift.interface import ListKind, Node, NodeList, NodeMode
+from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
 from ..core.ports import Call, Clock, Logger, Reactor
 from ..net import Connection, dial, unread
@@ -26,7 +26,7 @@
 ANSWER_US = 2_000_000  # until an answer begins: discovery handles calls one after another
 CONNECT_S = 1.0
 MAX_LINE = 4 * 1024 * 1024
-MODES = {"Ready": NodeMode.READY, "Terminating": NodeMode.DRAINING, "Gone": NodeMode.GONE}
+MODES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.GONE}
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 _ADDRESS = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})\Z")
 
@@ -45,23 +45,23 @@
 
 def read_list(
     data: Any, zones: list[str], kinds: list[str]
-) -> tuple[int, bool, list[Node], dict[bytes, Line | None]]:
+) -> tuple[int, bool, list[Endpoint], dict[bytes, Line | None]]:
     """Revision, whether complete, lines for the module and for the connections, none for what is gone.
 
     Start times are Unix milliseconds; the clock of the head counts Unix microseconds, so 0 stays 0.
     """
     try:
         version, full = int(data["revision"]), bool(data["complete"])
-        nodes: list[Node] = []
+        nodes: list[Endpoint] = []
         lines: dict[bytes, Line | None] = {}
         for item in data["members"]:
             node, mode = str(item["id"]).encode(), MODES[item["phase"]]
             started = int(item.get("up_since_ms", 0)) * 1000
             # What is gone may have no address any more.
-            host, port = ("", 0) if mode is NodeMode.GONE else split_address(item["host_port"])
+            host, port = ("", 0) if mode is EndpointState.GONE else split_address(item["host_port"])
             zone, kind, shard = item.get("locality", ""), item.get("flavor", ""), int(item["cell"])
             nodes.append(
-                Node(
+                Endpoint(
                     node,
                     shard,
                     mode,
@@ -71,8 +71,8 @@
                     started,
                 )
             )
-            gone = mode is NodeMode.GONE
-            lines[node] = None if gone else Line(host, port, shard, mode is NodeMode.READY, started)
+            gone = mode is EndpointState.GONE
+            lines[node] = None if gone else Line(host, port, shard, mode is EndpointState.READY, started)
     except (KeyError, TypeError, ValueError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from None
     return version, full, nodes, lines
@@ -176,7 +176,7 @@
         kinds: list[str],
         log: Logger,
         listed: Callable[[dict[bytes, Line | None], bool], None],
-        tell: Callable[[NodeList], None],
+        tell: Callable[[EndpointList], None],
         pushed_grace_us: int | None = None,
     ) -> None:
         self._reactor, self._clock, self._log = reactor, clock, log
@@ -211,13 +211,13 @@
     def now(self) -> int:
         return self._clock.now_us()
 
-    def know(self, data: Any) -> NodeList:
+    def know(self, data: Any) -> EndpointList:
         """The list that the configuration brings, perhaps old."""
         version, _, nodes, lines = read_list(data, self._zones, self._kinds)
         self._version = 0 if self._pushed else version
         self._remember(data, True)
         self._listed(lines, True)
-        return NodeList(ListKind.CACHED, tuple(nodes))
+        return EndpointList(EndpointListKind.CACHED, tuple(nodes))
 
     def _remember(self, data: Any, full: bool) -> None:
         if full:
@@ -322,7 +322,7 @@
         self._version = 0 if anew else version
         self._remember(data, full)
         self._listed(lines, full)
-        self._tell(NodeList(ListKind.FULL if full else ListKind.CHANGES, tuple(nodes)))
+        self._tell(EndpointList(EndpointListKind.FULL if full else EndpointListKind.CHANGES, tuple(nodes)))
         if anew:
             raise BadList("its revisions begin anew: the full list is asked for")
         return version
@@ -337,8 +337,10 @@
                 self._retry = self._clock.call_later(self._again_us, lambda: self.watch(self._wanted))
             else:
                 if self.now() - call.begun_us >= LONG_US:
-                    self._tell(NodeList(ListKind.CHANGES, ()))  # counts failures from the first again
-                self._tell(NodeList(ListKind.FAILED))
+                    self._tell(
+                        EndpointList(EndpointListKind.CHANGES, ())
+                    )  # counts failures from the first again
+                self._tell(EndpointList(EndpointListKind.FAILED))
 
     def close(self) -> None:
         self._closed = True
--- a/gaugesail/http/front.py
+++ b/gaugesail/http/front.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from marllift import interface as api
+from gaugesail.policy.settings import Settings
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.engine import Engine
@@ -110,7 +110,7 @@
     settings allow.
     """
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self._set = settings
         self._kinds = {spec.name: n for n, spec in enumerate(settings.classes)}
         self._plans = {plan.name: n for n, plan in enumerate(settings.plans)}
@@ -142,9 +142,9 @@
         time_us = self._deadlines[kind] if timeout is None else int(timeout) * 1000
         if time_us > self._deadlines[kind] * LATEST:
             raise BadMessage("Request-Timeout-Ms is beyond the class's")
-        if not 0 < float(units) <= self._set.most_units or float(hosts) > self._set.gateways:
+        if not 0 < float(units) <= self._set.max_request_units or float(hosts) > self._set.gateway_count:
             raise BadMessage("units or hosts are beyond the settings'")
-        if int(shard) < -1 or (self._set.shards and int(shard) >= self._set.shards):
+        if int(shard) < -1 or (self._set.shard_count and int(shard) >= self._set.shard_count):
             raise BadMessage("there is no such shard")
         return Order(
             name,
@@ -554,9 +554,7 @@
 
     # -- closing --
 
-    def close(
-        self, why: CloseReason = CloseReason.IDLE, linger: bool = False, at_once: bool = False
-    ) -> None:
+    def close(self, why: CloseReason = CloseReason.IDLE, linger: bool = False, at_once: bool = False) -> None:
         """The client may be sending still: closing at once would reset the connection, and with it what our
         kernel still has of the answer.  So our side ends, and what comes is thrown away, within bounds."""
         if self.closing or self.lost:
@@ -659,7 +657,7 @@
     def __init__(
         self,
         engine: Engine,
-        settings: api.Settings,
+        settings: Settings,
         clock: Clock,
         pool: BufferPool,
         log: Logger,
@@ -679,9 +677,9 @@
     def most_ahead(self) -> int:
         return self.pool.limit * self.pool.size // AHEAD_SHARE
 
-    def retune(self, settings: api.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         self.reader = OrderReader(settings)
-        self.hold_off_us = settings.hold_off_us
+        self.hold_off_us = settings.longest_retry_after_us
 
     def limit(self, connections: int, overflow: int) -> None:
         """How many clients may be here; beside another process it is half."""
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from marllift.interface import ListKind, NodeList
+from gaugesail.policy.events import EndpointList, EndpointListKind
 
 from ..core.clock import ReactorClock
 from ..core.engine import Engine
@@ -35,7 +35,9 @@
         pass  # a reload is told in any case
 
     def fetch(self) -> None:
-        self._head.clock.call_later(0, lambda: self._head.engine.listed(self._head.listing(ListKind.FULL)))
+        self._head.clock.call_later(
+            0, lambda: self._head.engine.listed(self._head.listing(EndpointListKind.FULL))
+        )
 
     def close(self) -> None:
         pass
@@ -85,12 +87,12 @@
         super()._begin(inherited)
         self.front.address = self.address
 
-    def known(self, told: dict[str, Any]) -> NodeList:
-        return self.listing(ListKind.CACHED)
+    def known(self, told: dict[str, Any]) -> EndpointList:
+        return self.listing(EndpointListKind.CACHED)
 
-    def listing(self, kind: ListKind) -> NodeList:
+    def listing(self, kind: EndpointListKind) -> EndpointList:
         self.transport.listed(self._operator.nodes)
-        return NodeList(kind, tuple(line.node for line in self._operator.nodes.values()))
+        return EndpointList(kind, tuple(line.node for line in self._operator.nodes.values()))
 
     def reload(self, operator: Operator) -> None:
         """Take nodes, classes, plans, rules and what extents say of them; all else waits for a restart."""
@@ -100,4 +102,4 @@
         self._operator = self.front.operator = operator
         self.retune(operator.settings)
         self._log.info("reloaded", nodes=len(operator.nodes))
-        self.engine.listed(self.listing(ListKind.FULL))
+        self.engine.listed(self.listing(EndpointListKind.FULL))
--- a/gaugesail/iscsi/initiator.py
+++ b/gaugesail/iscsi/initiator.py
@@ -10,7 +10,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from marllift.interface import NodeId, NodeMode, Result
+from gaugesail.policy.events import AttemptResult, EndpointState
+from gaugesail.policy.settings import NodeId
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.ports import Attempt, AttemptSink, Call, Clock, Logger, Order, Reactor, Source
@@ -101,8 +102,8 @@
                 if self.lost:
                     return
         except (BadPdu, PoolEmpty) as error:
-            self._pool.log.warning("node_pdu_bad", node=self._line.node.node.decode(), why=str(error))
-            self.drop(Result.ERROR)
+            self._pool.log.warning("node_pdu_bad", node=self._line.node.node_id.decode(), why=str(error))
+            self.drop(AttemptResult.ERROR)
 
     def _take(self, pdu: Pdu) -> None:
         if pdu.opcode not in (Op.DATA_IN, Op.R2T) or pdu.flags & 0x01:
@@ -121,7 +122,7 @@
                 words = {20: pdu.word(20), 24: self._cmd_sn, 28: self._exp_stat_sn}
                 self._write(Op.NOP_OUT, FINAL, NO_TAG, words, lun=pdu.lun, immediate=True)
         elif pdu.opcode == Op.LOGOUT_RESPONSE:
-            self.drop(Result.RESET)
+            self.drop(AttemptResult.RESET)
         elif (job := self.jobs.get(pdu.itt)) is not None:
             self._about(job, pdu)
         self._pool.pump(self._book)
@@ -142,12 +143,12 @@
     def _about(self, job: _Job, pdu: Pdu) -> None:
         transfer = job.transfer
         if pdu.opcode == Op.NOP_IN:
-            self._end(job, Result.SERVED)
+            self._end(job, AttemptResult.SERVED)
         elif pdu.opcode == Op.R2T and transfer is not None and transfer.write:
             self._data_out(job, pdu)
         elif pdu.opcode == Op.DATA_IN and job.body is not None and transfer is not None:
             if pdu.word(40) != job.body.length or job.body.length + len(pdu.data) > transfer.length:
-                self._end(job, Result.ERROR, abort=True)
+                self._end(job, AttemptResult.ERROR, abort=True)
                 return
             job.body.append(pdu.data)
             if pdu.flags & 0x01:
@@ -155,26 +156,26 @@
         elif pdu.opcode == Op.RESPONSE:
             self._status(job, pdu.byte3 if not pdu.byte2 else Status.CHECK)
         else:
-            self._end(job, Result.ERROR, abort=True)
+            self._end(job, AttemptResult.ERROR, abort=True)
 
     def _status(self, job: _Job, status: int) -> None:
         if status in (Status.BUSY, Status.TASK_SET_FULL):
-            self._end(job, Result.FULL)
+            self._end(job, AttemptResult.REJECTED)
         elif status != Status.GOOD or (job.body is not None and job.body.length != job.transfer.length):  # type: ignore[union-attr]
-            self._end(job, Result.ERROR)
+            self._end(job, AttemptResult.ERROR)
         elif job.sent < len(job.data):
-            self._end(job, Result.ERROR)  # it can't have written what it never had
+            self._end(job, AttemptResult.ERROR)  # it can't have written what it never had
         else:
-            self._end(job, Result.SERVED)
+            self._end(job, AttemptResult.SERVED)
 
     def _rejected(self, pdu: Pdu) -> None:
         """A Reject holds the header of what was turned away; its task ends with it."""
         itt = int.from_bytes(pdu.data[16:20], "big") if len(pdu.data) >= 20 else NO_TAG
         self._aborting.pop(itt, None)
         if (job := self.jobs.get(itt)) is not None:
-            self._end(job, Result.ERROR)
+            self._end(job, AttemptResult.ERROR)
 
-    def _end(self, job: _Job, result: Result, abort: bool = False) -> None:
+    def _end(self, job: _Job, result: AttemptResult, abort: bool = False) -> None:
         if abort:
             self.abort(job)
         self.jobs.pop(job.itt, None)
@@ -220,7 +221,7 @@
         start, size = pdu.word(40), pdu.word(44)
         end, number = start + size, 0
         if not size or end > len(job.data):
-            self._end(job, Result.ERROR, abort=True)
+            self._end(job, AttemptResult.ERROR, abort=True)
             return
         job.sent = max(job.sent, end)
         while start < end:
@@ -260,16 +261,16 @@
                 self._write(Op.LOGOUT, FINAL, 0, {24: self._cmd_sn, 28: self._exp_stat_sn}, immediate=True)
             self.link.loseConnection()
 
-    def drop(self, result: Result) -> None:
+    def drop(self, result: AttemptResult) -> None:
         """End the session at once; what is out on it ends with ``result``."""
         if not self.lost:
             abort(self.link)
             self._gone(result)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._gone(Result.RESET)
+        self._gone(AttemptResult.RESET)
 
-    def _gone(self, result: Result) -> None:
+    def _gone(self, result: AttemptResult) -> None:
         if self.lost:
             return
         self.lost = True
@@ -323,7 +324,7 @@
                 (now.address, now.target, now.node.started_us)
                 == (before.address, before.target, before.node.started_us)
             )
-            if not same or now is None or now.node.mode is not NodeMode.READY:
+            if not same or now is None or now.node.state is not EndpointState.READY:
                 self._stop(node)
 
     def maintain(self, node: NodeId, on: bool) -> None:
@@ -334,7 +335,7 @@
     def _usable(self, node: NodeId) -> NodeLine | None:
         """Where a node is, if it may be sent anything new."""
         line = self._lines.get(node)
-        ready = line is not None and line.node.mode is NodeMode.READY and node not in self._away
+        ready = line is not None and line.node.state is EndpointState.READY and node not in self._away
         return line if ready else None
 
     def _stop(self, node: NodeId) -> None:
@@ -354,18 +355,18 @@
         job = _Job(sink, attempt.node, self.clock.now_us(), attempt, attempt.payload)
         line = self._usable(attempt.node)
         if line is None:
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
         elif attempt.shard >= 0 and line.node.shard != attempt.shard:
-            self.finish(job, Result.MOOT)
+            self.finish(job, AttemptResult.NOT_STARTED)
         else:
             self._queue(job)
 
     def probe(self, node: NodeId, sink: AttemptSink) -> None:
         job = _Job(sink, node, self.clock.now_us())
         if self._usable(node) is None:
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
             return
-        self.clock.call_later(PROBE_US, lambda: self.finish(job, Result.TIMEOUT))
+        self.clock.call_later(PROBE_US, lambda: self.finish(job, AttemptResult.TIMEOUT))
         self._queue(job)
 
     def abort(self, attempt: Attempt) -> bool:
@@ -414,17 +415,17 @@
             job = book.waiting.popleft()
             attempt = job.attempt
             if job.done or (attempt is not None and not job.sink.may_start(attempt)):
-                self.finish(job, Result.MOOT)
+                self.finish(job, AttemptResult.NOT_STARTED)
                 continue
             if attempt is not None:
                 job.sink.attempt_started(attempt)
             session.start(job)
 
-    def finish(self, job: _Job, result: Result) -> None:
+    def finish(self, job: _Job, result: AttemptResult) -> None:
         if job.done:
             return
         job.done = True
-        answer = job.body.read() if job.body is not None and result is Result.SERVED else b""
+        answer = job.body.read() if job.body is not None and result is AttemptResult.SERVED else b""
         self._release(job)
         if job.attempt is not None:
             job.attempt.connection = None
@@ -441,7 +442,7 @@
     def _fail_waiting(self, book: _Book) -> None:
         waiting, book.waiting = book.waiting, deque()
         for job in waiting:
-            self.finish(job, Result.NO_CONNECTION)
+            self.finish(job, AttemptResult.NO_CONNECTION)
 
     # ---- sessions ----
 
@@ -464,7 +465,7 @@
         self._sessions[session] = None
         line = self._usable(book.node)
         if book.session is not None or line is None or line != session._line:
-            session.drop(Result.NO_CONNECTION)  # the list has moved on
+            session.drop(AttemptResult.NO_CONNECTION)  # the list has moved on
             return
         book.session = session
         # A node may take the connection and never answer the login.
@@ -472,7 +473,7 @@
 
     def _login_late(self, session: NodeSession) -> None:
         if not session.ready:
-            session.drop(Result.NO_CONNECTION)
+            session.drop(AttemptResult.NO_CONNECTION)
 
     def logged_in(self, book: _Book, session: NodeSession) -> None:
         if book.login is not None and book.login.active():
@@ -502,8 +503,8 @@
         now = self.clock.now_us()
         for session in list(self._sessions):
             if session.overdue(now):
-                self.log.warning("session_silent", node=session._line.node.node.decode())
-                session.drop(Result.RESET)
+                self.log.warning("session_silent", node=session._line.node.node_id.decode())
+                session.drop(AttemptResult.RESET)
         if any(session.aborting for session in self._sessions):
             self.watch_aborts()
 
--- a/gaugesail/iscsi/operator.py
+++ b/gaugesail/iscsi/operator.py
@@ -6,16 +6,56 @@
 import os
 import tomllib
 from collections.abc import Mapping
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from marllift import interface as api
+from gaugesail.policy.events import Endpoint
+from gaugesail.policy.settings import InvalidSetting, Plan, RequestClass, Settings
 
 from ..http.discovery import MODES, BadList, split_address
 from ..net import descriptors
 
-TUNABLE = {item.name: item.type for item in fields(api.Settings) if item.name not in ("classes", "plans")}
+RULE_KEYS = {  # key of the [rules] table: field of Settings
+    "gateways": "gateway_count",
+    "me": "gateway_index",
+    "tick_us": "tick_us",
+    "answer_slack_us": "answer_slack_us",
+    "drain_grace_us": "drain_grace_us",
+    "fall_us": "overload_window_us",
+    "fall_multiple": "overload_factor",
+    "cold_share": "initial_capacity_share",
+    "warm_after_us": "warm_up_us",
+    "cold_units": "initial_capacity_units",
+    "quiet_us": "ordered_key_pause_us",
+    "budget_free": "retry_budget_free",
+    "budget_share": "retry_budget_share",
+    "budget_window_us": "retry_budget_window_us",
+    "mean_units": "mean_request_units",
+    "most_units": "max_request_units",
+    "share_worth": "fair_share_weight",
+    "spare_worth": "beyond_share_weight",
+    "tells_others": "reports_usage_elsewhere",
+    "ask_for_lists": "subscribes_to_endpoints",
+    "may_cancel": "cancel_allowed",
+    "may_probe": "health_checks_allowed",
+    "may_tell": "peer_messages_allowed",
+    "may_hold_off": "retry_after_allowed",
+    "max_attempts": "max_attempts",
+    "max_hold_off_us": "max_retry_after_us",
+    "shards": "shard_count",
+    "clients_mark": "clients_mark_retries",
+    "fleet": "fleet_quota",
+    "appointments": "recovery_queue",
+    "report_fields": "load_report_fields",
+}
+_ROW_NAMES = {  # field of RequestClass or Plan: key of a [[class]] or [[plan]]
+    "priority_weight": "worth",
+    "late_weight_share": "late_share",
+    "share_weight": "weight",
+}
+_PLAN_NAMES = _ROW_NAMES | {"priority_weight": "price"}
+_RULE_NAMES = {field: key for key, field in RULE_KEYS.items()}
 
 
 class OperatorError(ValueError):
@@ -58,7 +98,7 @@
 
     address: tuple[str, int]
     target: str
-    node: api.Node
+    node: Endpoint
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,7 +109,7 @@
     management: tuple[str, int] | None
     target: str
     initiator: str
-    settings: api.Settings
+    settings: Settings
     read_class: int
     write_class: int
     units: dict[int, Unit]
@@ -112,12 +152,12 @@
     return value
 
 
-def _settings(data: dict[str, Any]) -> api.Settings:
+def _settings(data: dict[str, Any]) -> Settings:
     classes, plans = [], []
     for where, row in _each(data, "class"):
         try:
             classes.append(
-                api.RequestClass(
+                RequestClass(
                     _table(row, "name", str),
                     _whole(row, "aim_ms", 1, 3_600_000) * 1000,
                     _whole(row, "deadline_ms", 1, 3_600_000) * 1000,
@@ -126,26 +166,33 @@
                     writes=_table(row, "writes", bool, False),
                 )
             )
+        except InvalidSetting as error:
+            raise OperatorError(f"{where}: {error.named(_ROW_NAMES.get(error.name, error.name))}") from None
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
     for where, row in _each(data, "plan"):
         try:
             plans.append(
-                api.Plan(
+                Plan(
                     _table(row, "name", str),
                     *(_table(row, key, float, default) for key, default in (
                         ("rate", 0.0), ("reserve", 0.0), ("weight", 1.0), ("price", 1.0),
                         ("limit", 0.0), ("limit_burst", 0.0), ("limit_slack", 0.0))),
                 )
             )  # fmt: skip
+        except InvalidSetting as error:
+            raise OperatorError(f"{where}: {error.named(_PLAN_NAMES.get(error.name, error.name))}") from None
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
     rules = _table(data, "rules", dict, {})
     for key in rules:
-        if key not in TUNABLE:
-            raise OperatorError(f"[rules] {key}: unknown; known are {', '.join(sorted(TUNABLE))}")
+        if key not in RULE_KEYS:
+            raise OperatorError(f"[rules] {key}: unknown; known are {', '.join(sorted(RULE_KEYS))}")
+    values = {RULE_KEYS[key]: value for key, value in rules.items()}
     try:
-        return api.Settings(classes=tuple(classes), plans=tuple(plans), **rules)
+        return Settings(classes=tuple(classes), plans=tuple(plans), **values)
+    except InvalidSetting as error:
+        raise OperatorError(f"[rules] {error.named(_RULE_NAMES.get(error.name, error.name))}") from None
     except (ValueError, TypeError) as error:
         raise OperatorError(f"[rules] {error}") from None
 
@@ -197,7 +244,7 @@
             address = split_address(row.get("address"))
             started = _whole(row, "up_since_ms", 0, 1 << 52, 0) * 1000
             shard, power = _whole(row, "shard", 0, 65535), _table(row, "power", float, 1.0)
-            node = api.Node(name, shard, MODES[phase], power=power, started_us=started)
+            node = Endpoint(name, shard, MODES[phase], capacity=power, started_us=started)
             nodes[name] = NodeLine(address, _table(row, "target", str, ""), node)
         except (BadList, OperatorError) as error:
             raise OperatorError(f"{where}: {error}") from None
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from marllift.interface import Settings
+from gaugesail.policy.settings import Settings
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.engine import Engine
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -18,13 +18,32 @@
 
 import msgspec
 
-from marllift import interface as api
-from marllift.charter import Charter
-from marllift.decide import Gateway
-from marllift.fleet import FleetNode, Kept, Loaded, Output, amount_of, shares_of
-from marllift.holder import Spendable
-from marllift.messages import Message
-from marllift.raft import Snapshot
+from gaugesail.coordination.consensus import Snapshot
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.lease_holder import QuotaUpdate
+from gaugesail.coordination.messages import Message
+from gaugesail.coordination.node import (
+    FleetNode,
+    PersistentState,
+    StepOutput,
+    StoredState,
+    amount_of,
+    shares_of,
+)
+from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
+from gaugesail.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    Event,
+    RequestReceived,
+    SettingsChanged,
+    TimerFired,
+)
+from gaugesail.policy.gateway import Gateway
+from gaugesail.policy.settings import Plan, RequestClass, Settings
 
 SECOND = 1_000_000
 NODE = b"node-0"
@@ -41,20 +60,20 @@
 class Disk:
     """What a head's store holds.  ``full``: it takes no more."""
 
-    kept: Kept | None = None
+    kept: PersistentState | None = None
     snapshot: Snapshot = field(default_factory=Snapshot)
     log: dict[int, Any] = field(default_factory=dict)
     full: bool = False
 
-    def load(self, rng: random.Random) -> Loaded:
+    def load(self, rng: random.Random) -> StoredState:
         if self.kept is None:
-            self.kept = Kept(f"{rng.getrandbits(48):012x}")
+            self.kept = PersistentState(f"{rng.getrandbits(48):012x}")
         first = self.snapshot.index + 1
         log = []
         while first in self.log:
             log.append(self.log[first])
             first += 1
-        return Loaded(copy.deepcopy(self.kept), self.snapshot, log)
+        return StoredState(copy.deepcopy(self.kept), self.snapshot, log)
 
     def write(self, save: Any) -> bool:
         if self.full:
@@ -183,7 +202,7 @@
         settings = world.settings(self.limit)
         self.gateway = Gateway(settings, seed, self.now())
         self._carry(self.gateway.handle(self.now(), [
-            api.NodeList(api.ListKind.CACHED, (api.Node(NODE, 0),))
+            EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 0),))
         ]))  # fmt: skip
         self.node = FleetNode(
             world.charter, "charter", self.name, f"{self.name}:1", process, self.wall_ms + world.now // 1000,
@@ -206,7 +225,7 @@
         def heard() -> None:
             if life == self.life and self.gateway is not None:
                 self.tell_limit()
-                self._carry(self.gateway.handle(self.now(), [api.Retune(self.world.settings(limit))]))
+                self._carry(self.gateway.handle(self.now(), [SettingsChanged(self.world.settings(limit))]))
             then()
 
         if self.asleep or self._late:
@@ -260,7 +279,7 @@
                 self.stop_after -= 1
             queue.popleft()()
 
-    def step(self, call: Callable[[FleetNode], Output]) -> None:
+    def step(self, call: Callable[[FleetNode], StepOutput]) -> None:
         """One step of the fleet's decisions, and what it comes to."""
         node = self.node
         if node is None:
@@ -322,13 +341,13 @@
             return
         asked = {
             amount_of(plan, volume): (units, spent, saved, 1000)
-            for plan, volume, units, spent, saved in self.gateway.amounts.wants(self.now())
+            for plan, volume, units, spent, saved in self.gateway.amounts.take_demand(self.now())
         }
         self.step(lambda node: node.want(self.now(), asked))
 
     # ---- its gateway ----
 
-    def _shares(self, told: Spendable) -> None:
+    def _shares(self, told: QuotaUpdate) -> None:
         assert self.gateway is not None
         event = shares_of(told)
         self._carry(self.gateway.handle(self.now(), [event]))
@@ -341,10 +360,10 @@
         self.world.next_request += 1
         self.open[number] = units
         now = self.now()
-        request = api.Request(number, 0, now + 2 * SECOND, 0, 0, units, 0, volume, self.world.mounts)
+        request = RequestReceived(number, 0, now + 2 * SECOND, 0, 0, units, 0, volume, self.world.mounts)
         self._carry(self.gateway.handle(now, [request]))
 
-    def _event(self, life: int, event: api.Event) -> None:
+    def _event(self, life: int, event: Event) -> None:
         """Something falls due at the gateway; while it sleeps, it waits."""
         if life != self.life or self.gateway is None:
             return
@@ -353,31 +372,31 @@
             return
         self._carry(self.gateway.handle(self.now(), [event]))
 
-    def _carry(self, actions: list[api.Action]) -> None:
+    def _carry(self, actions: list[Action]) -> None:
         life = self.life
         sends: list[Callable[[], None]] = []
         for action in actions:
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, SetTimer):
                 at = max(self.world.now + 1, self.true(action.at_us))
-                self.world.at(at, lambda t=action.token: self._event(life, api.TimerFired(t)))  # type: ignore[misc]
-            elif isinstance(action, api.Send):
+                self.world.at(at, lambda t=action.token: self._event(life, TimerFired(t)))  # type: ignore[misc]
+            elif isinstance(action, StartAttempt):
                 sends.append(lambda a=action: self._begin(a))  # type: ignore[misc]
-            elif isinstance(action, (api.Refuse, api.Fail)):
-                self.open.pop(action.request, None)
+            elif isinstance(action, (RejectRequest, FailRequest)):
+                self.open.pop(action.request_id, None)
                 self.world.counts["refused"] += 1
         if sends:
             self.do(*sends)
 
-    def _begin(self, send: api.Send) -> None:
+    def _begin(self, send: StartAttempt) -> None:
         """The first byte: the last look at whether it may still go."""
         life, world = self.life, self.world
-        if send.before_us and self.now() >= send.before_us and world.guard_first_byte:
+        if send.start_before_us and self.now() >= send.start_before_us and world.guard_first_byte:
             world.counts["moot"] += 1
-            outcome = api.Outcome(send.request, 0, NODE, api.Result.MOOT, 0, False)
+            outcome = AttemptEnded(send.request_id, 0, NODE, AttemptResult.NOT_STARTED, 0, False)
         else:
-            world.arrived(self, send.request, self.open.get(send.request, 0.0))
-            outcome = api.Outcome(send.request, 0, NODE, api.Result.SERVED, SERVE_US, True)
-            self.open.pop(send.request, None)
+            world.arrived(self, send.request_id, self.open.get(send.request_id, 0.0))
+            outcome = AttemptEnded(send.request_id, 0, NODE, AttemptResult.SERVED, SERVE_US, True)
+            self.open.pop(send.request_id, None)
         world.at(world.now + SERVE_US, lambda: self._event(life, outcome))
 
 
@@ -396,12 +415,12 @@
     """All heads, the network between them, and the nodes' judge."""
 
     def __init__(
-        self, seed: int, heads: int, keepers: int, limit: Limit, charter: Charter | None = None,
+        self, seed: int, heads: int, keepers: int, limit: Limit, charter: FleetTerms | None = None,
         mounts: float | None = None, drift: float = 0.0, most_units: float = 8.0,
     ) -> None:  # fmt: skip
         self.rng, self.now = random.Random(seed), 0
         names = [f"h{n}" for n in range(heads)]
-        self.charter = charter or Charter("lab", tuple(names[:keepers]), most_heads=heads)
+        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), most_heads=heads)
         self.limit, self.most_units = limit, most_units
         self.mounts = float(heads if mounts is None else mounts)
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -424,15 +443,17 @@
         self.heads = {name if item is head else old: item for old, item in self.heads.items()}
         head.name = name
 
-    def settings(self, limit: Limit) -> api.Settings:
-        return api.Settings(
-            classes=(api.RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
-            plans=(
-                api.Plan("plan", limit.rate, 0.8 * limit.rate, limit=limit.rate, limit_burst=limit.burst),
-            ),
-            gateways=len(self.heads), tick_us=1000, mean_units=2.0, most_units=self.most_units,
-            max_attempts=4, fleet=self.fleet,
-        )  # fmt: skip
+    def settings(self, limit: Limit) -> Settings:
+        return Settings(
+            classes=(RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
+            plans=(Plan("plan", limit.rate, 0.8 * limit.rate, limit=limit.rate, limit_burst=limit.burst),),
+            gateway_count=len(self.heads),
+            tick_us=1000,
+            mean_request_units=2.0,
+            max_request_units=self.most_units,
+            max_attempts=4,
+            fleet_quota=self.fleet,
+        )
 
     # ---- time ----
 
@@ -524,7 +545,7 @@
             rate = burst = 0.0
             for head in alive:
                 if head.gateway is not None:
-                    mine = head.gateway.amounts.rights(head.now(), "plan", volume)
+                    mine = head.gateway.amounts.allowance(head.now(), "plan", volume)
                     rate, burst = rate + mine[0], burst + mine[1]
             most = max([judge.rate, *(item[1] for item in judge.later)])
             judge.fill(self.now)
--- a/gaugesail/lab/ramp.py
+++ b/gaugesail/lab/ramp.py
@@ -17,8 +17,19 @@
 from functools import partial
 from typing import Any
 
-from marllift import interface as api
-from marllift.decide import Gateway
+from gaugesail.policy.actions import FailRequest, RejectRequest, SetTimer, StartAttempt
+from gaugesail.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    Event,
+    RequestReceived,
+    TimerFired,
+)
+from gaugesail.policy.gateway import Gateway
+from gaugesail.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 SECOND = 1_000_000
 NODE, SHARD = b"node-0", 0
@@ -52,25 +63,46 @@
         return " ".join(f"{key}={value}" for key, value in asdict(self).items() if value != usual[key])
 
 
-def settings_of(rng: random.Random, heads: int) -> list[api.Settings]:
+def settings_of(rng: random.Random, heads: int) -> list[Settings]:
     """Settings that a site could have, one for each head."""
     mean, share = 2.05, rng.choice([0.16, 0.2, 0.31])
     multiple, fall = rng.choice([2.0, 2.5, 3.0]), rng.choice([1_500_000, 2_000_000, 3_000_000])
     units, warm = rng.choice([9.0, 16.0, 24.0, 40.0]), rng.choice([10, 17]) * SECOND
     return [
-        api.Settings(
+        Settings(
             classes=(
-                api.RequestClass("read", AIM_US, DEADLINE_US, 1.0, 0.1),
-                api.RequestClass("write", AIM_US, DEADLINE_US, 1.0, 0.1, api.Effect.KEYED, writes=True,
-                                 repeat_window_us=SECOND),
+                RequestClass("read", AIM_US, DEADLINE_US, 1.0, 0.1),
+                RequestClass(
+                    "write",
+                    AIM_US,
+                    DEADLINE_US,
+                    1.0,
+                    0.1,
+                    Idempotency.KEYED,
+                    writes=True,
+                    deduplication_window_us=SECOND,
+                ),
             ),
-            plans=(api.Plan("plan", 50.0, 50.0),), gateways=heads, me=me, tick_us=40_000, fall_us=fall,
-            fall_multiple=multiple, cold_share=share, warm_after_us=warm, cold_units=units, mean_units=mean,
-            most_units=8.0, share_worth=0.35, spare_worth=0.08, may_hold_off=True,
-            max_hold_off_us=HOLD_OFF_US, max_attempts=4, drain_grace_us=250_000,
+            plans=(Plan("plan", 50.0, 50.0),),
+            gateway_count=heads,
+            gateway_index=me,
+            tick_us=40_000,
+            overload_window_us=fall,
+            overload_factor=multiple,
+            initial_capacity_share=share,
+            warm_up_us=warm,
+            initial_capacity_units=units,
+            mean_request_units=mean,
+            max_request_units=8.0,
+            fair_share_weight=0.35,
+            beyond_share_weight=0.08,
+            retry_after_allowed=True,
+            max_retry_after_us=HOLD_OFF_US,
+            max_attempts=4,
+            drain_grace_us=250_000,
         )
         for me in range(heads)
-    ]  # fmt: skip
+    ]
 
 
 @dataclass(slots=True)
@@ -92,7 +124,7 @@
 class Judge:
     """The count at the node, of one of its starts."""
 
-    given: api.Settings
+    given: Settings
     start: int
     all: Window = field(default_factory=Window)
     told: Window = field(default_factory=Window)
@@ -103,13 +135,18 @@
 
     def allowed(self, at: int) -> float:
         """N at that time, in requests of mean work: the weakest node on the slowest ramp."""
-        low, age = self.given.cold_share, max(0, at - self.start) / self.given.warm_after_us
-        return self.given.cold_units * min(1.0, low + (1 - low) * age) / low / self.given.mean_units
+        low, age = self.given.initial_capacity_share, max(0, at - self.start) / self.given.warm_up_us
+        return (
+            self.given.initial_capacity_units
+            * min(1.0, low + (1 - low) * age)
+            / low
+            / self.given.mean_request_units
+        )
 
     def arrived(self, at: int, units: float, told: bool) -> None:
-        if at - self.start >= self.given.warm_after_us:
+        if at - self.start >= self.given.warm_up_us:
             return
-        span, mean = self.given.fall_us, self.given.mean_units
+        span, mean = self.given.overload_window_us, self.given.mean_request_units
         n = self.allowed(at - span)
         chance = 2 * math.sqrt(n) + 2
         both = self.all.add(at, units, span) / mean
@@ -134,8 +171,8 @@
     """One play."""
 
     def __init__(
-        self, play: Play, make: Callable[[api.Settings, int, int], Gateway] = Gateway,
-        told: Callable[[api.Settings], api.Settings] = lambda given: given,
+        self, play: Play, make: Callable[[Settings, int, int], Gateway] = Gateway,
+        told: Callable[[Settings], Settings] = lambda given: given,
     ) -> None:  # fmt: skip
         self.play, self.make = play, make
         self.rng = random.Random(f"{play.heads} {play.seed}")
@@ -150,7 +187,7 @@
         self.judges: list[Judge] = []
         self._asked: dict[tuple[int, int], Asked] = {}  # by life's head and request
         self._next = 1
-        self._queue: deque[tuple[int, int, api.Send, float, int]] = deque()
+        self._queue: deque[tuple[int, int, StartAttempt, float, int]] = deque()
         self._work = 0.0  # what is left of the first of the queue
         self.counts: Counter[str] = Counter()  # arrived: from heads that were told of the start
         self.tries: Counter[tuple[int, int, int]] = Counter()
@@ -167,17 +204,17 @@
 
     # ---- heads ----
 
-    def _line(self, start: int) -> api.Node:
-        return api.Node(NODE, SHARD, started_us=start)
+    def _line(self, start: int) -> Endpoint:
+        return Endpoint(NODE, SHARD, started_us=start)
 
     def _birth(self, me: int) -> None:
         """A process begins, with the list that its agent has."""
         self.lives[me] += 1
         self.heads[me] = self.make(self.told[me], self.play.seed * 1000 + me, self.now)
         if self.heard[me] or self.play.known:
-            self._give(me, api.NodeList(api.ListKind.CACHED, (self._line(self.heard[me]),)))
+            self._give(me, EndpointList(EndpointListKind.CACHED, (self._line(self.heard[me]),)))
         else:
-            self._give(me, api.NodeList(api.ListKind.CACHED))
+            self._give(me, EndpointList(EndpointListKind.CACHED))
 
     def _kill(self, me: int, back_us: int) -> None:
         if self.heads[me] is None:
@@ -186,36 +223,36 @@
         self.counts["kills"] += 1
         self.at(self.now + back_us, lambda: self._birth(me))
 
-    def _give(self, me: int, event: api.Event) -> None:
+    def _give(self, me: int, event: Event) -> None:
         head = self.heads[me]
         if head is None:
             return
         life = self.lives[me]
         for action in head.handle(self.now, [event]):
-            if isinstance(action, api.SetTimer):
-                bell = api.TimerFired(action.token)
+            if isinstance(action, SetTimer):
+                bell = TimerFired(action.token)
                 self.at(action.at_us, lambda bell=bell: self._later(me, life, bell))  # type: ignore[misc]
-            elif isinstance(action, api.Send):
+            elif isinstance(action, StartAttempt):
                 self._send(me, life, action)
-            elif isinstance(action, (api.Refuse, api.Fail)):
+            elif isinstance(action, (RejectRequest, FailRequest)):
                 self.counts["refused"] += 1
-                wait = action.hold_off_us if isinstance(action, api.Refuse) else HOLD_OFF_US
-                self._comes_again(me, self._asked.pop((me, action.request)), wait)
+                wait = action.retry_after_us if isinstance(action, RejectRequest) else HOLD_OFF_US
+                self._comes_again(me, self._asked.pop((me, action.request_id)), wait)
 
-    def _later(self, me: int, life: int, event: api.Event) -> None:
+    def _later(self, me: int, life: int, event: Event) -> None:
         if self.lives[me] == life:
             self._give(me, event)
 
     def _hear(self, me: int, start: int) -> None:
         if start == self.start and self.heads[me] is not None:
             self.heard[me] = start
-            self._give(me, api.NodeList(api.ListKind.CHANGES, (self._line(start),)))
+            self._give(me, EndpointList(EndpointListKind.CHANGES, (self._line(start),)))
 
     def _flap(self) -> None:
         """A list without the node, and a while later one that has it again."""
         for me in range(self.play.heads):
             if self.heard[me] == self.start:
-                self._give(me, api.NodeList(api.ListKind.FULL))
+                self._give(me, EndpointList(EndpointListKind.FULL))
                 self.at(self.now + 300_000, partial(self._hear, me, self.start))
 
     # ---- clients ----
@@ -234,10 +271,18 @@
         number, self._next = self._next, self._next + 1
         self._asked[me, number] = asked
         self.counts["asked"] += 1
-        event = api.Request(
-            number, asked.kind, self.now + DEADLINE_US, asked.shard, units=asked.units, volume=me,
-            key=number if asked.kind else 0, again=asked.tries > 0, mounts=1.0, terms=self.told[me],
-        )  # fmt: skip
+        event = RequestReceived(
+            number,
+            asked.kind,
+            self.now + DEADLINE_US,
+            asked.shard,
+            units=asked.units,
+            volume_id=me,
+            key=number if asked.kind else 0,
+            is_retry=asked.tries > 0,
+            gateways_in_use=1.0,
+            settings=self.told[me],
+        )
         self._give(me, event)
 
     def _comes_again(self, me: int, asked: Asked, wait: int) -> None:
@@ -260,29 +305,29 @@
         self.start, self._work = self.now, 0.0
         self.judges.append(Judge(self.given[0], self.now))
         for me, life, send in old:
-            self._end(me, life, send, api.Result.RESET, self.now)
+            self._end(me, life, send, AttemptResult.RESET, self.now)
         for me in range(self.play.heads):
             late = int(self.rng.uniform(0, self.play.hear) * SECOND)
             self.at(self.now + late, lambda me=me, start=self.start: self._hear(me, start))  # type: ignore[misc]
 
-    def _send(self, me: int, life: int, send: api.Send) -> None:
-        units, sent = self._asked[me, send.request].units, self.now
+    def _send(self, me: int, life: int, send: StartAttempt) -> None:
+        units, sent = self._asked[me, send.request_id].units, self.now
         heard = self.heard[me]
         self.at(self.now + self._wire(), lambda: self._arrive(me, life, send, units, sent, heard))
 
-    def _arrive(self, me: int, life: int, send: api.Send, units: float, sent: int, heard: int) -> None:
+    def _arrive(self, me: int, life: int, send: StartAttempt, units: float, sent: int, heard: int) -> None:
         draw = self.rng.random()
         if draw < self.play.faults / 3:  # it never came
-            self._end(me, life, send, api.Result.NO_CONNECTION, sent)
+            self._end(me, life, send, AttemptResult.NO_CONNECTION, sent)
             return
         told = heard == self.start  # not what went to the process before
         self.counts["arrived"] += told
         self.judges[-1].arrived(self.now, units, told)
         if draw < self.play.faults:
-            result = api.Result.ERROR if draw < self.play.faults * 2 / 3 else api.Result.RESET
+            result = AttemptResult.ERROR if draw < self.play.faults * 2 / 3 else AttemptResult.RESET
             self._end(me, life, send, result, sent)
         elif len(self._queue) >= self.play.slots:
-            self._end(me, life, send, api.Result.FULL, sent)
+            self._end(me, life, send, AttemptResult.REJECTED, sent)
         else:
             self._queue.append((sent, me, send, units, life))
             if len(self._queue) == 1:
@@ -292,7 +337,13 @@
     def _power(self) -> float:
         """Units a second of the weakest legal node now."""
         judge, given = self.judges[-1], self.given[0]
-        return judge.allowed(self.now) * given.mean_units / given.fall_multiple * SECOND / given.fall_us
+        return (
+            judge.allowed(self.now)
+            * given.mean_request_units
+            / given.overload_factor
+            * SECOND
+            / given.overload_window_us
+        )
 
     def _serve(self) -> None:
         """Work on the first of the queue until it is done."""
@@ -303,25 +354,25 @@
                 return
             sent, me, send, units, life = self._queue.popleft()
             self.served.append((self.now, units))
-            self._end(me, life, send, api.Result.SERVED, sent)
+            self._end(me, life, send, AttemptResult.SERVED, sent)
             if self._queue:
                 self._work = self._queue[0][3]
                 self._serve()
 
         self.at(done, over)
 
-    def _end(self, me: int, life: int, send: api.Send, result: api.Result, sent: int) -> None:
+    def _end(self, me: int, life: int, send: StartAttempt, result: AttemptResult, sent: int) -> None:
         """The answer on its way back."""
 
         def came() -> None:
             if self.lives[me] != life or self.heads[me] is None:
                 return
-            final = result is api.Result.SERVED
+            final = result is AttemptResult.SERVED
             if final:
-                self._asked.pop((me, send.request), None)
-            attempt = self.tries[me, life, send.request]
-            self.tries[me, life, send.request] += 1
-            self._give(me, api.Outcome(send.request, attempt, NODE, result, self.now - sent, final))
+                self._asked.pop((me, send.request_id), None)
+            attempt = self.tries[me, life, send.request_id]
+            self.tries[me, life, send.request_id] += 1
+            self._give(me, AttemptEnded(send.request_id, attempt, NODE, result, self.now - sent, final))
 
         self.at(self.now + self._wire(), came)
 
@@ -364,10 +415,10 @@
 
     def _told(self) -> dict[str, Any]:
         given, judge = self.given[0], self.judges[-1]
-        until = min(self.now, self.start + given.warm_after_us)
+        until = min(self.now, self.start + given.warm_up_us)
         marks = range(self.start, until, 50_000)
-        windows = sum(judge.allowed(mark) for mark in marks) * 50_000 / given.fall_us
-        mean = given.mean_units
+        windows = sum(judge.allowed(mark) for mark in marks) * 50_000 / given.overload_window_us
+        mean = given.mean_request_units
         served = sum(units for at, units in self.served if self.start <= at <= until) / mean
         early = sum(units for at, units in self.served if self.start <= at <= self.start + 5 * SECOND) / mean
         own = [one for one in self.judges if one.start]
@@ -375,8 +426,8 @@
             "heads": self.play.heads, "seed": self.play.seed, "play": self.play.name,
             "worst": max(one.worst for one in own), "worst_all": max(one.worst_all for one in own),
             "broken": any(one.broken for one in own),
-            "allowed": windows, "power": windows / given.fall_multiple, "served": served, "early": early,
-            "used": served / (windows / given.fall_multiple),
+            "allowed": windows, "power": windows / given.overload_factor, "served": served, "early": early,
+            "used": served / (windows / given.overload_factor),
             **{key: self.counts[key] for key in ("asked", "arrived", "refused", "kills")},
         }  # fmt: skip
 
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -19,13 +19,13 @@
 
 import msgspec
 
-from marllift import messages as m
-from marllift.charter import Charter
-from marllift.founding import name_of, seat_of
-from marllift.holder import Floor, Holder, _Want
-from marllift.keeper import Keeper
-from marllift.ledger import Pair
-from marllift.raft import Raft, Role, Snapshot
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.bootstrap import name_of, seat_of
+from gaugesail.coordination.consensus import RaftNode, Role, Snapshot
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder, _Want
+from gaugesail.coordination.quota_ledger import Pair
+from gaugesail.coordination.replica import Replica
 
 NAMES = ("h0", "h1", "h2")
 AMOUNT = "p/1"
@@ -60,12 +60,12 @@
 class Cell:
     """One head: its keeper, its holder, and what its store holds."""
 
-    keeper: Keeper
-    holder: Holder
+    keeper: Replica
+    holder: LeaseHolder
     process: int
     term: int = 0
     vote: str = ""
-    log: list[m.Entry] = field(default_factory=list)
+    log: list[m.LogEntry] = field(default_factory=list)
 
 
 Said = tuple[str, str, bytes]  # from, to, what
@@ -95,13 +95,13 @@
     return hash(out.getvalue())
 
 
-def _charter() -> Charter:
-    return Charter(FLEET, NAMES, LEASE_US, drift=0, most_heads=3)
+def _charter() -> FleetTerms:
+    return FleetTerms(FLEET, NAMES, LEASE_US, drift=0, most_heads=3)
 
 
-def _raft(name: str, now: int, keepers: int, term: int, vote: str, log: list[m.Entry]) -> Raft:
+def _raft(name: str, now: int, keepers: int, term: int, vote: str, log: list[m.LogEntry]) -> RaftNode:
     seats = tuple(seat_of(name, "s") for name in NAMES[:keepers])
-    raft = Raft(seat_of(name, "s"), Still(), now, term, vote, Snapshot(0, 0, seats), list(log))
+    raft = RaftNode(seat_of(name, "s"), Still(), now, term, vote, Snapshot(0, 0, seats), list(log))
     raft.may_vote = True
     return raft
 
@@ -110,8 +110,8 @@
     name: str, now: int, process: int, keepers: int, term: int = 0, vote: str = "", log: Any = ()
 ) -> Cell:
     charter = _charter()
-    keeper = Keeper(charter, "d", FLEET, _raft(name, now, keepers, term, vote, list(log)), -10 * LEASE_US)
-    holder = Holder(charter, "d", name, process, f"s-{name}", Floor(), now, Still())
+    keeper = Replica(charter, "d", FLEET, _raft(name, now, keepers, term, vote, list(log)), -10 * LEASE_US)
+    holder = LeaseHolder(charter, "d", name, process, f"s-{name}", HeadFloor(), now, Still())
     holder.state({"p": WHOLE}, QUANTUM)
     return Cell(keeper, holder, process, term, vote, list(log))
 
@@ -174,9 +174,9 @@
     def hear(self, room: Room, name: str, item: Said) -> None:
         cell, sender, what = room.cells[name], item[0], _read.decode(item[2])
         match what:
-            case m.Answer() | m.Orders():
+            case m.LeaseResponse() | m.QuotaOrders():
                 cell.holder.receive(room.now, sender, what)
-            case m.Ask():
+            case m.LeaseRequest():
                 room.air = tuple(other for other in room.air if other != item)
                 leader = cell.keeper.raft.leader
                 for to, said in cell.keeper.ask(room.now, sender, what, name_of(leader) if leader else ""):
--- a/gaugesail/lab/storm.py
+++ b/gaugesail/lab/storm.py
@@ -98,8 +98,8 @@
         weights = np.array([0.49 * 0.51 ** (units - 1) for units in UNITS])
         self._size_share = np.cumsum(weights / weights.sum())
         self.mean_units = float((weights * np.array(UNITS)).sum() / weights.sum())
-        self.mean_work_s = self.mean_units * UNIT_S * (
-            CLASS_WORK[True] * WRITES + CLASS_WORK[False] * (1 - WRITES)
+        self.mean_work_s = (
+            self.mean_units * UNIT_S * (CLASS_WORK[True] * WRITES + CLASS_WORK[False] * (1 - WRITES))
         )
         machines = [self._machine(n) for n in range(storm.nodes)]
         self.bricks = [
@@ -142,7 +142,8 @@
                 / UNIT_S * rules["fall_us"] / 1e6)
         )  # fmt: skip
         settings["domain"] |= {
-            "cold_bears": self.cold_units, "usual_units": round(self.mean_units, 2),
+            "cold_bears": self.cold_units,
+            "usual_units": round(self.mean_units, 2),
             "slots_total": storm.nodes,
         }
         settings["clients"] = {"marks_retry": all(kind.marks for kind in mixture(storm.clients))}
@@ -161,7 +162,7 @@
         )
         read = configuration.read(config, {})
         if self.storm.baseline:
-            read = replace(read, settings=replace(read.settings, appointments=False))
+            read = replace(read, settings=replace(read.settings, recovery_queue=False))
         head = Head(self.reactor, read, make_logger(self.log), clock)
         gateway: Any = head.engine._gateway
         handle = gateway.handle
--- a/gaugesail/lab/terminals.py
+++ b/gaugesail/lab/terminals.py
@@ -182,9 +182,7 @@
         if self.stopped or self._now is None:
             return
         if self._line is None:
-            made = dial(
-                self._world.reactor, self._world.head_address(self.head), 5.0, lambda: _Line(self)
-            )
+            made = dial(self._world.reactor, self._world.head_address(self.head), 5.0, lambda: _Line(self))
             made.addErrback(lambda _: self._failed(None))
         else:
             self._ask(self._line)
