--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -10,13 +10,13 @@
 import random
 from collections.abc import Callable
 
-from marllift import messages as m
-from marllift.charter import Charter
-from marllift.fleet import FleetNode, Kept, Output
-from marllift.founding import seat_of
-from marllift.holder import Floor, Holder
-from marllift.ledger import Ledger
-from marllift.raft import Snapshot
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.bootstrap import seat_of
+from gaugesail.coordination.consensus import Snapshot
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
+from gaugesail.coordination.node import FleetNode, PersistentState, StepOutput
+from gaugesail.coordination.quota_ledger import QuotaLedger
 
 from ..lab.fleet import SECOND, Disk, FleetWorld, LabHead, Limit
 from ..lab.troubles import Demand
@@ -463,7 +463,7 @@
 # ---- one keeper alone ----
 
 
-def _keeper(charter: Charter, disk: Disk) -> FleetNode:
+def _keeper(charter: FleetTerms, disk: Disk) -> FleetNode:
     """A seated keeper whose store is taken for the latest."""
     loaded = disk.load(random.Random(1))
     node = FleetNode(charter, "d", "h1", "h1:1", 7 + loaded.kept.life, 1, loaded, 1, 0)
@@ -471,102 +471,114 @@
     return node
 
 
-def _write(disk: Disk, out: Output) -> bool:
+def _write(disk: Disk, out: StepOutput) -> bool:
     return out.save is None or disk.write(out.save)
 
 
-def _seats(charter: Charter) -> tuple[Disk, tuple[str, ...]]:
+def _seats(charter: FleetTerms) -> tuple[Disk, tuple[str, ...]]:
     seats = tuple(seat_of(name, f"store-{name}") for name in charter.keepers)
-    kept = Kept("store-h1", fleet="f", seats=seats, bound="store-h0")
+    kept = PersistentState("store-h1", fleet="f", seats=seats, bound="store-h0")
     return Disk(kept), seats
 
 
 def vote_forgotten() -> int:
     """A keeper votes, crashes, and is asked for the same term by another."""
-    charter = Charter("lab", ("h0", "h1", "h2"))
+    charter = FleetTerms("lab", ("h0", "h1", "h2"))
     disk, seats = _seats(charter)
     node = _keeper(charter, disk)
-    out = node.receive(10, "h0", 1, m.Vote(seats[0], 5, False, 0, 0))
+    out = node.receive(10, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0))
     _write(disk, out)
     granted = _granted(out)
     node = _keeper(charter, disk)
-    return int(not granted) + int(_granted(node.receive(20, "h2", 1, m.Vote(seats[2], 5, False, 0, 0))))
+    return int(not granted) + int(
+        _granted(node.receive(20, "h2", 1, m.VoteRequest(seats[2], 5, False, 0, 0)))
+    )
 
 
-def _granted(out: Output) -> bool:
-    return any(isinstance(said, m.Voted) and said.granted for _, said in out.sends)
+def _granted(out: StepOutput) -> bool:
+    return any(isinstance(said, m.VoteResponse) and said.granted for _, said in out.sends)
 
 
 def full_at_vote() -> int:
     """The store is full when a keeper votes: it must not be heard to have voted, then or later."""
-    charter = Charter("lab", ("h0", "h1", "h2"))
+    charter = FleetTerms("lab", ("h0", "h1", "h2"))
     disk, seats = _seats(charter)
     node = _keeper(charter, disk)
     disk.full = True
-    out = node.receive(10, "h0", 1, m.Vote(seats[0], 5, False, 0, 0))
+    out = node.receive(10, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0))
     if _write(disk, out):
         return 1  # it said nothing of a vote to keep
     node.store_failed(10, "full")
     later = [node.tick(20 + n * SECOND) for n in range(5)]
-    later.append(node.receive(9 * SECOND, "h0", 1, m.Vote(seats[0], 5, False, 0, 0)))
+    later.append(node.receive(9 * SECOND, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0)))
     return sum(map(_granted, later)) + int(node.keeper)
 
 
 def older_term() -> int:
     """A keeper that has moved on hears an older leader: it takes nothing from it."""
-    charter = Charter("lab", ("h0", "h1", "h2"))
+    charter = FleetTerms("lab", ("h0", "h1", "h2"))
     disk, seats = _seats(charter)
     node = _keeper(charter, disk)
-    _write(disk, node.receive(10, "h2", 1, m.Vote(seats[2], 6, False, 0, 0)))
-    entry = m.Entry(5, m.Noop())
-    out = node.receive(20, "h0", 1, m.Append(seats[0], 5, 0, 0, (entry,), 1, 1))
-    taken = any(isinstance(said, m.Appended) and said.ok for _, said in out.sends)
+    _write(disk, node.receive(10, "h2", 1, m.VoteRequest(seats[2], 6, False, 0, 0)))
+    entry = m.LogEntry(5, m.Noop())
+    out = node.receive(20, "h0", 1, m.AppendEntries(seats[0], 5, 0, 0, (entry,), 1, 1))
+    taken = any(isinstance(said, m.AppendResponse) and said.ok for _, said in out.sends)
     return int(taken) + len(node.seat.raft.log if node.seat is not None else ())
 
 
-def _holder() -> tuple[Holder, m.Ask]:
+def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
     """One that has asked at 0."""
-    holder = Holder(Charter("f", ("a",)), "d", "h", 7, "s", Floor(), 0, random.Random(1))
+    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", "h", 7, "s", HeadFloor(), 0, random.Random(1))
     holder.state({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
     said = holder.take_out()[0][1]
-    assert isinstance(said, m.Ask)
+    assert isinstance(said, m.LeaseRequest)
     return holder, said
 
 
 def answer_late() -> int:
     """An answer is on its way for longer than the lease."""
     holder, asked = _holder()
-    answer = m.Answer(7, asked.number, m.Status.RENEWED, 5, 1, "a", -1, 0, (), "f")
+    answer = m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
     holder.receive(5 * SECOND, "a", answer)
-    return int(holder.until > Charter("f", ("a",)).lease_us)
+    return int(holder.until > FleetTerms("f", ("a",)).lease_us)
 
 
 def order_late() -> int:
     """An order comes an hour late, and the one that followed it has come long since."""
     holder, asked = _holder()
-    holder.receive(10, "a", m.Answer(7, asked.number, m.Status.RENEWED, 5, 1, "a", -1, 0, (), "f"))
+    holder.receive(
+        10, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
+    )
     for version, rate in ((9, 20_000), (8, 90_000)):
-        holder.receive(20, "a", m.Orders(7, 5, "f", (m.Order("p/1", version, rate, 8000),)))
+        holder.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", version, rate, 8000),)))
     return int(holder.book["p/1"].rate != 20_000)
 
 
 def session_replaced() -> int:
     """A process has another session: what it had under the one before is others'."""
     holder, asked = _holder()
-    holder.receive(10, "a", m.Answer(7, asked.number, m.Status.RENEWED, 5, 1, "a", -1, 0, (), "f"))
-    holder.receive(20, "a", m.Orders(7, 5, "f", (m.Order("p/1", 9, 20_000, 8000),)))
-    holder.receive(30, "a", m.Answer(7, asked.number, m.Status.RENEWED, 6, 1, "a", -1, 0, (), "f"))
+    holder.receive(
+        10, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
+    )
+    holder.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 20_000, 8000),)))
+    holder.receive(
+        30, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 6, 1, "a", -1, 0, (), "f")
+    )
     return len(holder.book)
 
 
 def leader_errs() -> int:
     """A leader that has lost count proposes more than there is."""
-    ledger = Ledger(Charter("f", ("a",)))
+    ledger = QuotaLedger(FleetTerms("f", ("a",)))
     commands: list[m.Command] = [
-        m.Wholes((("p", 100_000, 80_000),)), m.Settle(1), m.Open("a", 1, "s"), m.Open("b", 2, "t"),
-        m.Part("p/1", 3, 60_000, 30_000), m.Part("p/1", 4, 60_000, 30_000),
-    ]  # fmt: skip
+        m.SetLimits((("p", 100_000, 80_000),)),
+        m.SettleLimits(1),
+        m.OpenSession("a", 1, "s"),
+        m.OpenSession("b", 2, "t"),
+        m.AllocateQuota("p/1", 3, 60_000, 30_000),
+        m.AllocateQuota("p/1", 4, 60_000, 30_000),
+    ]
     for index, command in enumerate(commands, 1):
         ledger.apply(index, command)
     return int(sum(stake.rate for stake in ledger.parts["p/1"].values()) > 90_000)
@@ -574,11 +586,11 @@
 
 def snapshot_and_log() -> int:
     """What a keeper has kept is what it comes back with."""
-    charter = Charter("lab", ("h0", "h1", "h2"))
+    charter = FleetTerms("lab", ("h0", "h1", "h2"))
     disk, seats = _seats(charter)
     node = _keeper(charter, disk)
-    entries = tuple(m.Entry(3, m.Open(f"h{n}", n + 1, "")) for n in range(3))
-    _write(disk, node.receive(10, "h0", 1, m.Append(seats[0], 3, 0, 0, entries, 2, 1)))
+    entries = tuple(m.LogEntry(3, m.OpenSession(f"h{n}", n + 1, "")) for n in range(3))
+    _write(disk, node.receive(10, "h0", 1, m.AppendEntries(seats[0], 3, 0, 0, entries, 2, 1)))
     again = _keeper(charter, copy.deepcopy(disk))
     seat, old = again.seat, node.seat
     if seat is None or old is None:
--- a/gaugesail/measure/fleet_cost.py
+++ b/gaugesail/measure/fleet_cost.py
@@ -94,8 +94,9 @@
 
 
 @click.command("fleet-cost")
-@click.option("--requests", type=click.IntRange(100, 1_000_000), default=1000, show_default=True,
-              help="A batch.")
+@click.option(
+    "--requests", type=click.IntRange(100, 1_000_000), default=1000, show_default=True, help="A batch."
+)
 @click.option("--batches", type=click.IntRange(1, 1000), default=3, show_default=True)
 @click.option("--rounds", type=click.IntRange(1, 1000), default=9, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -12,9 +12,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from marllift import amounts, fleet, granting, holder, ledger, raft, witness
-from marllift import messages as m
-from marllift.charter import Charter
+from ..coordination import consensus, lease_holder, lease_manager, node, quota_ledger, store_fencing
+from ..coordination import messages as m
+from ..coordination.fleet_terms import FleetTerms
+from ..policy import rate_limits
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +36,7 @@
     return lambda self, now, sender, answer, asked, newest: old(self, now, sender, answer, now, newest)
 
 
-def _ordered_twice(self: Any, now: int, message: m.Orders) -> None:
+def _ordered_twice(self: Any, now: int, message: m.QuotaOrders) -> None:
     """Each order adds what it says to what is there."""
     for order in message.orders:
         have = self.book.get(order.amount)
@@ -43,7 +44,7 @@
         rate, burst = order.rate, order.burst
         if have is not None and order.version == have.version and not order.lower:
             rate, burst = have.rate + rate, have.burst + burst
-        self.book[order.amount] = m.Held(order.amount, order.version, rate, burst)
+        self.book[order.amount] = m.HeldQuota(order.amount, order.version, rate, burst)
         self._fresh[order.amount] = None
         self._changed[order.amount] = 0
     self._hurry(now)
@@ -52,11 +53,11 @@
 def _ordered_any(old: Any) -> Any:
     """An older order is taken in as if it were the latest."""
 
-    def ordered(self: Any, now: int, message: m.Orders) -> None:
+    def ordered(self: Any, now: int, message: m.QuotaOrders) -> None:
         for order in message.orders:
             have = self.book.get(order.amount)
             if have is not None and order.version < have.version:
-                self.book[order.amount] = m.Held(order.amount, order.version, 0, 0)
+                self.book[order.amount] = m.HeldQuota(order.amount, order.version, 0, 0)
         old(self, now, message)
 
     return ordered
@@ -83,14 +84,14 @@
     _TELL(self, now, number, tenant, amounts)
 
 
-_TELL = granting.Office._tell
+_TELL = lease_manager.LeaseManager._tell
 
 
-def _part_anyway(self: Any, index: int, command: m.Part) -> bool:
+def _part_anyway(self: Any, index: int, command: m.AllocateQuota) -> bool:
     """The sum is not looked at."""
     if command.session not in self.sessions:
         return False
-    self.parts.setdefault(command.amount, {})[command.session] = ledger.Stake(
+    self.parts.setdefault(command.amount, {})[command.session] = quota_ledger.Allocation(
         command.rate, command.burst, index
     )
     self._sums.pop(command.amount, None)
@@ -103,11 +104,11 @@
     if session in pending:
         return
     pending.add(session)
-    index = self._raft.propose(m.Part(amount, session, rate, burst, held))
+    index = self._raft.propose(m.AllocateQuota(amount, session, rate, burst, held))
     found, tenant = self._ledger.sessions.get(session), self.tenants[session]
     if index is not None and found is not None:
-        order = m.Order(amount, index, rate, burst, False)
-        self._out.append((tenant.head, m.Orders(found.process, session, self._fleet, (order,))))
+        order = m.QuotaOrder(amount, index, rate, burst, False)
+        self._out.append((tenant.head, m.QuotaOrders(found.process, session, self._fleet, (order,))))
 
 
 def _keep_book(old: Any) -> Any:
@@ -127,7 +128,7 @@
 
     def shares(self: Any, now: int, event: Any) -> None:
         old(self, now, event)
-        if event.until_us:
+        if event.lease_until_us:
             self._until = 1 << 62
 
     return shares
@@ -160,7 +161,7 @@
 def _floor_any(self: Any, head: str, store: str) -> int:
     """Whoever opens a session has the first floor."""
     if 0 not in self.slots:
-        self.slots[0] = ledger.Slot(head, store, [self.version])
+        self.slots[0] = quota_ledger.FloorSlot(head, store, [self.version])
         self._past[self.version] = self.wholes
         self._floors.clear()
     return 0
@@ -185,7 +186,7 @@
     def shares(self: Any, now: int, event: Any) -> None:
         before = dict(self._parts)
         old(self, now, event)
-        for plan, volume, _, burst in event.parts:
+        for plan, volume, _, burst in event.allocations:
             store = self._stores.get((plan, volume, 0.0))
             if store is not None:
                 store.units += max(0.0, burst - before.get((plan, volume), (0.0, 0.0))[1])
@@ -216,48 +217,48 @@
 
 PLANTS = (
     Plant("lease_from_receipt", "a lease is counted from when its answer came",
-          lambda: [_method(holder.Holder, "_renewed", _receipt)]),
+          lambda: [_method(lease_holder.LeaseHolder, "_renewed", _receipt)]),
     Plant("grant_twice", "a grant that comes twice counts twice",
-          lambda: [patch.object(holder.Holder, "_ordered", _ordered_twice)]),
+          lambda: [patch.object(lease_holder.LeaseHolder, "_ordered", _ordered_twice)]),
     Plant("older_grant", "a grant older than what stands is taken in",
-          lambda: [_method(holder.Holder, "_ordered", _ordered_any)]),
+          lambda: [_method(lease_holder.LeaseHolder, "_ordered", _ordered_any)]),
     Plant("no_wait_after_election", "a new leader does not wait for the leases of the one before",
-          lambda: [_method(granting.Office, "__init__", _no_wait)]),
+          lambda: [_method(lease_manager.LeaseManager, "__init__", _no_wait)]),
     Plant("lower_unasked", "a part is taken down before its holder has given it up",
-          lambda: [patch.object(granting.Office, "_tell", _unasked)]),
+          lambda: [patch.object(lease_manager.LeaseManager, "_tell", _unasked)]),
     Plant("no_drift", "the drift of clocks is left out",
-          lambda: [patch.object(Charter, "count_us", property(lambda self: self.lease_us))]),
+          lambda: [patch.object(FleetTerms, "count_us", property(lambda self: self.lease_us))]),
     Plant("no_sum", "the ledger takes a part without looking at the sum",
-          lambda: [patch.object(ledger.Ledger, "_part", _part_anyway)]),
+          lambda: [patch.object(quota_ledger.QuotaLedger, "_part", _part_anyway)]),
     Plant("told_before_committed", "a grant is told before a majority has it",
-          lambda: [patch.object(granting.Office, "_propose", _told_early)]),
+          lambda: [patch.object(lease_manager.LeaseManager, "_propose", _told_early)]),
     Plant("book_kept", "the parts of a session that is over are spent on",
-          lambda: [_method(holder.Holder, "_drop", _keep_book)]),
+          lambda: [_method(lease_holder.LeaseHolder, "_drop", _keep_book)]),
     Plant("expired_spent", "a part is spent after its lease",
-          lambda: [_method(amounts.Amounts, "shares", _forever)]),
+          lambda: [_method(rate_limits.RateLimits, "update_quota", _forever)]),
     Plant("minority", "one keeper alone is a majority",
-          lambda: [patch.object(raft.Raft, "majority", property(lambda self: 1))]),
+          lambda: [patch.object(consensus.RaftNode, "majority", property(lambda self: 1))]),
     Plant("entries_not_kept", "entries are acknowledged and not written",
-          lambda: [_method(raft.Raft, "take_save", _not_kept)]),
+          lambda: [_method(consensus.RaftNode, "take_save", _not_kept)]),
     Plant("any_log_elected", "who lacks entries is elected",
-          lambda: [patch.object(raft.Raft, "_longer", lambda self, vote: True)]),
+          lambda: [patch.object(consensus.RaftNode, "_longer", lambda self, vote: True)]),
     Plant("floor_twice", "two heads have one floor",
-          lambda: [patch.object(ledger.Ledger, "_slot", _floor_any)]),
+          lambda: [patch.object(quota_ledger.QuotaLedger, "_slot", _floor_any)]),
     Plant("old_store_trusted", "an old copy of a store votes",
-          lambda: [patch.object(witness.Witness, "good", lambda self, others: True),
-                   patch.object(witness, "judge", lambda known, mark: True)]),
+          lambda: [patch.object(store_fencing.StoreFence, "good", lambda self, others: True),
+                   patch.object(store_fencing, "judge", lambda known, mark: True)]),
     Plant("born_full", "a process begins with a full store",
-          lambda: [_method(amounts.Amounts, "limit", _full)]),
+          lambda: [_method(rate_limits.RateLimits, "open_bucket", _full)]),
     Plant("grown_full", "a part that grows grows full",
-          lambda: [_method(amounts.Amounts, "shares", _moved)]),
+          lambda: [_method(rate_limits.RateLimits, "update_quota", _moved)]),
     Plant("closed_early", "a lease is given up by its giver before its holder's end",
-          lambda: [_method(granting.Office, "tick", _closed_early)]),
+          lambda: [_method(lease_manager.LeaseManager, "tick", _closed_early)]),
     Plant("not_confirmed", "an ask is answered without a round of the majority",
-          lambda: [patch.object(raft.Raft, "confirmed", property(_unconfirmed))]),
+          lambda: [patch.object(consensus.RaftNode, "confirmed", property(_unconfirmed))]),
     Plant("vote_not_kept", "a vote is given and not written",
-          lambda: [_method(fleet.FleetNode, "_save", _vote_forgotten)]),
+          lambda: [_method(node.FleetNode, "_save", _vote_forgotten)]),
     Plant("closing_renewed", "a session whose end is on its way is renewed",
-          lambda: [patch.object(granting.Office, "_may_renew", _closing_renewed)]),
+          lambda: [patch.object(lease_manager.LeaseManager, "_may_renew", _closing_renewed)]),
 )  # fmt: skip
 
 
--- a/gaugesail/measure/ramp.py
+++ b/gaugesail/measure/ramp.py
@@ -31,8 +31,14 @@
 
 
 @click.command("ramp")
-@click.option("--heads", "sizes", type=click.IntRange(1, 1000), multiple=True, default=(5, 20, 30, 200),
-              show_default=True)
+@click.option(
+    "--heads",
+    "sizes",
+    type=click.IntRange(1, 1000),
+    multiple=True,
+    default=(5, 20, 30, 200),
+    show_default=True,
+)
 @click.option("--seed", "seeds", type=Seeds(), default="1-200", show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def command(sizes: tuple[int, ...], seeds: list[int], as_json: bool) -> None:
--- a/gaugesail/operations.py
+++ b/gaugesail/operations.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from marllift.interface import NodeId
+from gaugesail.policy.settings import NodeId
 
 from .core.engine import Engine
 from .core.ports import Logger
--- a/marllift/starts.py
+++ b/gaugesail/policy/node_starts.py
@@ -9,12 +9,13 @@
 
 from __future__ import annotations
 
-from .interface import ListKind, Node, NodeId, NodeList
+from .events import Endpoint, EndpointList, EndpointListKind
+from .settings import NodeId
 
 MOST_KNOWN = 10_000  # nodes whose starts are remembered: more than any list has
 
 
-class StartTimes:
+class NodeStartTimes:
     """The starts that lists have told one gateway.  All times are microseconds."""
 
     def __init__(self) -> None:
@@ -22,25 +23,25 @@
         self._lead: int | None = None  # by how much discovery's clock is ahead of ours, at the least
         self._current = False  # a list has come that is not the one of an earlier process
 
-    def hear(self, now: int, news: NodeList) -> None:
+    def update(self, now: int, news: EndpointList) -> None:
         """Take in a list.  A start of 0 is long ago and no news."""
-        fresh = [line for line in news.nodes if self._is_fresh(line)]
+        fresh = [line for line in news.endpoints if self._is_fresh(line)]
         for line in fresh:
             lead = line.started_us - now
             self._lead = lead if self._lead is None else max(self._lead, lead)
         for line in fresh:
             self._remember(line, self._since(now, line.started_us))
-        if news.kind is not ListKind.CACHED and news.nodes:
+        if news.kind is not EndpointListKind.CACHED and news.endpoints:
             self._current = True
 
-    def since(self, now: int, node: NodeId) -> int:
+    def started_at(self, now: int, node: NodeId) -> int:
         """When the latest start that was told of a node was, on our clock; now where none is remembered.  A
         list that drops it for a moment changes nothing."""
         known = self._known.get(node)
         return now if known is None else known[1]
 
-    def _is_fresh(self, line: Node) -> bool:
-        known = self._known.get(line.node)
+    def _is_fresh(self, line: Endpoint) -> bool:
+        known = self._known.get(line.node_id)
         return line.started_us > 0 and (known is None or known[0] != line.started_us)
 
     def _since(self, now: int, started: int) -> int:
@@ -48,8 +49,8 @@
             return now
         return now - max(0, now + self._lead - started)
 
-    def _remember(self, line: Node, since: int) -> None:
-        self._known.pop(line.node, None)
-        self._known[line.node] = line.started_us, since
+    def _remember(self, line: Endpoint, since: int) -> None:
+        self._known.pop(line.node_id, None)
+        self._known[line.node_id] = line.started_us, since
         if len(self._known) > MOST_KNOWN:
             del self._known[next(iter(self._known))]
--- a/marllift/amounts.py
+++ b/gaugesail/policy/rate_limits.py
@@ -12,25 +12,26 @@
 from collections import deque
 from dataclasses import dataclass
 
-from . import interface as api
+from .events import QuotaChanged
+from .settings import Plan, Settings
 
 FLOOR_HOLD_US = 1_000_000  # a send that rests on no lease is begun by then or not at all
 
 
 @dataclass(slots=True, eq=False)
-class Store:
+class TokenBucket:
     """One volume's units here.  Rates in units a second, bursts in units, times in microseconds."""
 
-    plan: api.Plan
-    at: int
+    plan: Plan
+    filled_at: int
     units: float = 0.0
-    rate: float = 0.0  # its own, whatever happens: the floor, or the even part
-    burst: float = 0.0
-    part_rate: float = 0.0  # until the lease ends
-    part_burst: float = 0.0
-    asked: float = 0.0  # units of requests since the last reading
-    spent: float = 0.0  # and of first sends
-    books: int = 0  # that draw on it
+    own_rate: float = 0.0  # its own, whatever happens: the floor, or the even part
+    own_burst: float = 0.0
+    leased_rate: float = 0.0  # until the lease ends
+    leased_burst: float = 0.0
+    requested_units: float = 0.0  # units of requests since the last reading
+    sent_units: float = 0.0  # and of first sends
+    users: int = 0  # that draw on it
 
     def fill(self, now: int, until: int) -> None:
         """What has come in since; the part's only up to the end of its lease.
@@ -38,36 +39,36 @@
         Never more than this gateway's own file allows, whatever the fleet has agreed.
         """
         live = min(now, until)
-        if live > self.at and (self.part_rate or self.part_burst):
-            rate = min(self.plan.limit, self.rate + self.part_rate)
-            burst = min(self.plan.limit_burst, self.burst + self.part_burst)
-            self.units = min(burst, self.units + (live - self.at) / 1e6 * rate)
-            self.at = live
-        if now > self.at:
+        if live > self.filled_at and (self.leased_rate or self.leased_burst):
+            rate = min(self.plan.limit, self.own_rate + self.leased_rate)
+            burst = min(self.plan.limit_burst, self.own_burst + self.leased_burst)
+            self.units = min(burst, self.units + (live - self.filled_at) / 1e6 * rate)
+            self.filled_at = live
+        if now > self.filled_at:
             # From here on it has its own alone.
-            rate, burst = min(self.plan.limit, self.rate), min(self.plan.limit_burst, self.burst)
-            self.units = min(burst, self.units + (now - self.at) / 1e6 * rate)
-            self.at = now
+            rate, burst = min(self.plan.limit, self.own_rate), min(self.plan.limit_burst, self.own_burst)
+            self.units = min(burst, self.units + (now - self.filled_at) / 1e6 * rate)
+            self.filled_at = now
 
     def clamp(self) -> None:
         """Its bursts have changed: what is over is lost."""
-        self.units = min(self.units, self.burst + self.part_burst)
+        self.units = min(self.units, self.own_burst + self.leased_burst)
 
 
-class Amounts:
+class RateLimits:
     """The stores of one gateway."""
 
-    def __init__(self, settings: api.Settings, born: int) -> None:
+    def __init__(self, settings: Settings, born: int) -> None:
         self._set, self._born = settings, born
         self._until = 0  # of the lease
-        self._stores: dict[tuple[str, int, float], Store] = {}
-        self._asked: dict[tuple[str, int], Store] = {}
+        self._stores: dict[tuple[str, int, float], TokenBucket] = {}
+        self._asked: dict[tuple[str, int], TokenBucket] = {}
         self._parts: dict[tuple[str, int], tuple[float, float]] = {}
         self._floors: dict[str, tuple[float, float]] = {}
         self._floors_at = born
         self._taken, self._extras = deque[int](), deque[int]()
 
-    def settle(self, settings: api.Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Other settings; stores go by the names of plans."""
         self._set = settings
         plans = {plan.name: plan for plan in settings.plans}
@@ -76,124 +77,126 @@
 
     # ---- limits, the gateway's side ----
 
-    def limit(self, now: int, plan: api.Plan, volume: int, mounts: float) -> Store:
+    def open_bucket(self, now: int, plan: Plan, volume: int, mounts: float) -> TokenBucket:
         """The store of one volume under its plan's limit."""
-        name = plan.name, volume, 0.0 if self._set.fleet else mounts
+        name = plan.name, volume, 0.0 if self._set.fleet_quota else mounts
         if (store := self._stores.get(name)) is None:
             # An earlier life may have spent this gateway's whole part: it starts empty.
-            store = self._stores[name] = Store(plan, self._born)
-            if self._set.fleet:
-                store.at = self._floors_at
-                store.rate, store.burst = self._floors.get(plan.name, (0.0, 0.0))
+            store = self._stores[name] = TokenBucket(plan, self._born)
+            if self._set.fleet_quota:
+                store.filled_at = self._floors_at
+                store.own_rate, store.own_burst = self._floors.get(plan.name, (0.0, 0.0))
                 store.fill(now, 0)
-                store.part_rate, store.part_burst = self._parts.get(name[:2], (0.0, 0.0))
-        store.books += 1
+                store.leased_rate, store.leased_burst = self._parts.get(name[:2], (0.0, 0.0))
+        store.users += 1
         return store
 
-    def asked(self, now: int, store: Store, volume: int, units: float) -> None:
+    def record_demand(self, now: int, store: TokenBucket, volume: int, units: float) -> None:
         """A request has come: what is asked for, served or not, is what the fleet divides by."""
-        if self._set.fleet and store.plan.limit:
-            store.asked += units
+        if self._set.fleet_quota and store.plan.limit:
+            store.requested_units += units
             self._asked[store.plan.name, volume] = store
 
-    def fill(self, now: int, store: Store, mounts: float, lives: int) -> None:
+    def refill(self, now: int, store: TokenBucket, mounts: float, lives: int) -> None:
         """Bring a store up to now; beside another process of this gateway half of an even part comes in."""
-        if not self._set.fleet:
+        if not self._set.fleet_quota:
             plan = store.plan
-            store.rate, store.burst = plan.limit / mounts / lives, plan.limit_burst / mounts
+            store.own_rate, store.own_burst = plan.limit / mounts / lives, plan.limit_burst / mounts
         store.fill(now, self._until)
 
-    def take(self, now: int, store: Store, units: float) -> int:
+    def spend(self, now: int, store: TokenBucket, units: float) -> int:
         """A first send takes its units: when it has to be begun by; 0: at any time."""
         store.units -= units
-        store.spent += units
-        if not self._set.fleet or not store.plan.limit:
+        store.sent_units += units
+        if not self._set.fleet_quota or not store.plan.limit:
             return 0
         # Checked again at the first byte: a process may sleep in between for longer than its lease.
-        leased = now < self._until and (store.part_rate or store.part_burst)
+        leased = now < self._until and (store.leased_rate or store.leased_burst)
         return self._until if leased else now + FLOOR_HOLD_US
 
-    def left(self, now: int, name: tuple[int, str, float], store: Store) -> bool:
+    def release(self, now: int, name: tuple[int, str, float], store: TokenBucket) -> bool:
         """A book of a volume is no longer needed; it goes if its store is full, and would be made full again.
 
         One that is not full would come back with more than it went with.
         """
         store.fill(now, self._until)
-        if store.plan.limit and store.units < min(store.plan.limit_burst, store.burst + store.part_burst):
+        if store.plan.limit and store.units < min(
+            store.plan.limit_burst, store.own_burst + store.leased_burst
+        ):
             return False
-        store.books -= 1
-        if not store.books:
+        store.users -= 1
+        if not store.users:
             volume, plan, mounts = name
-            self._stores.pop((plan, volume, 0.0 if self._set.fleet else mounts), None)
+            self._stores.pop((plan, volume, 0.0 if self._set.fleet_quota else mounts), None)
         return True
 
     # ---- limits, the fleet's side ----
 
-    def rights(self, now: int, plan: str, volume: int) -> tuple[float, float]:
+    def allowance(self, now: int, plan: str, volume: int) -> tuple[float, float]:
         """The rate and the burst that it may spend of one volume now; for audits."""
         rate, burst = self._floors.get(plan, (0.0, 0.0))
         part = self._parts.get((plan, volume), (0.0, 0.0)) if now < self._until else (0.0, 0.0)
         return rate + part[0], burst + part[1]
 
-    def wants(self, now: int) -> list[tuple[str, int, float, float, float]]:
+    def take_demand(self, now: int) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
         under a limit that was asked for."""
         found = []
         for name, store in self._asked.items():
             store.fill(now, self._until)
-            found.append((*name, store.asked, store.spent, max(0.0, store.units)))
-            store.asked = store.spent = 0.0
+            found.append((*name, store.requested_units, store.sent_units, max(0.0, store.units)))
+            store.requested_units = store.sent_units = 0.0
         self._asked = {}
         return found
 
-    def shares(self, now: int, event: api.Shares) -> None:
+    def update_quota(self, now: int, event: QuotaChanged) -> None:
         """What the fleet lets this gateway spend from now on; up to now by what held until now."""
         every = list(self._stores.values())
-        named = [self._stores.get((plan, volume, 0.0)) for plan, volume, _, _ in event.parts]
-        if event.anew or event.floors is not None or now > self._until:
+        named = [self._stores.get((plan, volume, 0.0)) for plan, volume, _, _ in event.allocations]
+        if event.replaces_all or event.floors is not None or now > self._until:
             changed = every
         else:
             changed = [store for store in named if store is not None]
         for store in changed:
             store.fill(now, self._until)
-        self._until = event.until_us
+        self._until = event.lease_until_us
         if event.floors is not None:
             if not self._floors:
                 self._floors_at = now
             self._floors = {plan: (rate, burst) for plan, rate, burst in event.floors}
             for store in every:
-                store.rate, store.burst = self._floors.get(store.plan.name, (0.0, 0.0))
-        if event.anew:
+                store.own_rate, store.own_burst = self._floors.get(store.plan.name, (0.0, 0.0))
+        if event.replaces_all:
             self._parts.clear()
             for store in every:
-                store.part_rate = store.part_burst = 0.0
-        for (plan, volume, rate, burst), found in zip(event.parts, named, strict=True):
+                store.leased_rate = store.leased_burst = 0.0
+        for (plan, volume, rate, burst), found in zip(event.allocations, named, strict=True):
             self._parts[plan, volume] = rate, burst
             if not (rate or burst):
                 del self._parts[plan, volume]
             if found is not None:
-                found.part_rate, found.part_burst = rate, burst
+                found.leased_rate, found.leased_burst = rate, burst
         for store in changed:
             store.clamp()
 
     # ---- further attempts ----
 
-    def request(self, now: int) -> None:
-        if self._set.budget_window_us:
+    def record_request(self, now: int) -> None:
+        if self._set.retry_budget_window_us:
             self._taken.append(now)
 
-    def extra(self, now: int) -> None:
+    def record_retry(self, now: int) -> None:
         """A further attempt goes."""
-        if self._set.budget_window_us:
+        if self._set.retry_budget_window_us:
             self._extras.append(now)
 
-    def budget_left(self, now: int, lives: int) -> bool:
+    def retry_allowed(self, now: int, lives: int) -> bool:
         """Rule 6, counted as it is worded."""
-        if not (span := self._set.budget_window_us):
+        if not (span := self._set.retry_budget_window_us):
             return True
         while self._taken and self._taken[0] <= now - span:
             self._taken.popleft()
         while self._extras and self._extras[0] < now - span:
             self._extras.popleft()
-        free = self._set.budget_free / lives
-        return len(self._extras) + 1 <= free + self._set.budget_share * len(self._taken)
+        free = self._set.retry_budget_free / lives
+        return len(self._extras) + 1 <= free + self._set.retry_budget_share * len(self._taken)
--- a/marllift/lines.py
+++ b/gaugesail/policy/recovery_queue.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
-from .repeats import Ticket
+from .retry_tickets import RetryTicket
 
 FRESH_MOST = 0.75  # of what the node bears: so much at the most is left to fresh requests
 FRESH_GAIN = 0.3  # of the latest period in what comes fresh
 DUE_S = 0.25  # of what the node bears: with more of the due still waiting, the line does not advance
 
 
-class Phase(Enum):
+class ShardPhase(Enum):
     """Where a shard stands."""
 
     SERVING = "serving"
@@ -27,7 +27,7 @@
     WARM = "warm"  # back, and some are still owed their way
 
 
-class Standing(IntEnum):
+class QueuePriority(IntEnum):
     """How a request stands against the others that wait for its shard; the higher go first."""
 
     EARLY = 0  # a repeat before its time
@@ -37,91 +37,91 @@
 
 
 @dataclass(slots=True, eq=False)
-class Lane:
+class Flow:
     """The tickets of one plan and class."""
 
     weight: float
-    owed: float = 0.0  # units
+    units: float = 0.0  # units
     tickets: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Storm:
+class RetryStorm:
     """What happened in one storm, for staff."""
 
     since: int
-    peak: int = 0  # of the tickets
-    passed: bool = False  # its height
-    refused: int = 0
+    peak_tickets: int = 0  # of the tickets
+    past_peak: bool = False  # its height
+    rejected: int = 0
     returned: int = 0
     early: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Line:
+class RecoveryQueue:
     """What is known of one shard in trouble.  Times in microseconds of the caller's clock."""
 
     shard: int
-    phase: Phase
+    phase: ShardPhase
     since: int  # of this phase
-    why: str  # the evidence for it
-    trial_us: int  # the wait before a trial of a node that fails
-    at: int = 0  # up to when the line has advanced
+    reason: str  # the evidence for it
+    trial_wait_us: int  # the wait before a trial of a node that fails
+    advanced_at: int = 0  # up to when the line has advanced
     started: int = 0  # of the node that it has seen last
     progress: float = 0.0
-    lanes: dict[tuple[str, str], Lane] = field(default_factory=dict)
-    owed: int = 0  # tickets
-    units: float = 0.0  # of them
-    due: float = 0.0  # units of the due that wait at this gateway now
-    bears: float = 0.0  # units a second that this gateway may send
-    fresh: float = 0.0  # units a second that come fresh
-    came: float = 0.0  # units of them since the last period
-    points: int = 0  # of failures in a row
+    flows: dict[tuple[str, str], Flow] = field(default_factory=dict)
+    ticket_count: int = 0  # tickets
+    ticket_units: float = 0.0  # of them
+    due_units: float = 0.0  # units of the due that wait at this gateway now
+    capacity_per_s: float = 0.0  # units a second that this gateway may send
+    fresh_per_s: float = 0.0  # units a second that come fresh
+    fresh_units: float = 0.0  # units of them since the last period
+    failure_points: int = 0  # of failures in a row
     trial_at: int = 0
     crowded: bool = False  # it was busy since it went away
-    storm: Storm | None = None
+    storm: RetryStorm | None = None
 
     @property
-    def rate(self) -> float:
+    def retry_rate(self) -> float:
         """Units a second for those who come back: what the node bears, less what comes fresh."""
-        return self.bears - min(self.fresh, FRESH_MOST * self.bears)
+        return self.capacity_per_s - min(self.fresh_per_s, FRESH_MOST * self.capacity_per_s)
 
     @property
     def _weight(self) -> float:
-        return sum(lane.weight for lane in self.lanes.values()) or 1.0
+        return sum(lane.weight for lane in self.flows.values()) or 1.0
 
     def advance(self, now: int) -> None:
         """Move on by the time that has passed since the last call."""
-        span, self.at = (now - self.at) / 1e6, now
+        span, self.advanced_at = (now - self.advanced_at) / 1e6, now
         # With the due waiting the node is slower than was thought, and nobody more is called.
-        if self.owed and self.due <= DUE_S * self.bears:
-            self.progress += span * self.rate / self._weight
+        if self.ticket_count and self.due_units <= DUE_S * self.capacity_per_s:
+            self.progress += span * self.retry_rate / self._weight
 
-    def period(self, span_s: float) -> None:
+    def end_period(self, span_s: float) -> None:
         """So much time has passed since the last period."""
-        self.fresh += FRESH_GAIN * (self.came / span_s - self.fresh)
-        self.came = 0.0
+        self.fresh_per_s += FRESH_GAIN * (self.fresh_units / span_s - self.fresh_per_s)
+        self.fresh_units = 0.0
 
     def enter(self, lane: tuple[str, str], weight: float, units: float) -> float:
         """A place at the end of a lane: its tag."""
-        mine = self.lanes.setdefault(lane, Lane(weight))
-        tag = self.progress + mine.owed / mine.weight
-        mine.owed, mine.tickets = mine.owed + units, mine.tickets + 1
-        self.owed, self.units = self.owed + 1, self.units + units
+        mine = self.flows.setdefault(lane, Flow(weight))
+        tag = self.progress + mine.units / mine.weight
+        mine.units, mine.tickets = mine.units + units, mine.tickets + 1
+        self.ticket_count, self.ticket_units = self.ticket_count + 1, self.ticket_units + units
         return tag
 
-    def leave(self, ticket: Ticket) -> None:
+    def leave(self, ticket: RetryTicket) -> None:
         """A ticket was served, lost or has run out."""
-        if ticket.lane is None:
+        if ticket.flow is None:
             return
-        lane = self.lanes[ticket.lane]
-        lane.owed, lane.tickets = lane.owed - ticket.units, lane.tickets - 1
-        self.owed, self.units = self.owed - 1, self.units - ticket.units
+        lane = self.flows[ticket.flow]
+        lane.units, lane.tickets = lane.units - ticket.units, lane.tickets - 1
+        self.ticket_count, self.ticket_units = self.ticket_count - 1, self.ticket_units - ticket.units
         if not lane.tickets:
-            del self.lanes[ticket.lane]
+            del self.flows[ticket.flow]
 
     def wait_us(self, tag: float) -> int | None:
         """Until a place comes, as fast as the line moves now; None where it stands still."""
-        if not self.rate:
+        if not self.retry_rate:
             return None
-        return int(max(0.0, tag - self.progress) * self._weight / self.rate * 1e6)
+        return int(max(0.0, tag - self.progress) * self._weight / self.retry_rate * 1e6)
--- a/marllift/level.py
+++ b/gaugesail/policy/retry_schedule.py
@@ -1,5 +1,4 @@
-"""Times to come back that are level: of those who come when they were told, as few as can be come together.
-"""
+"""Retry-After times that are level: of those who retry when told, as few as possible retry together."""
 
 from __future__ import annotations
 
@@ -8,7 +7,7 @@
 SLOTS = 64  # of the longest time: how finely they are told apart
 
 
-class Level:
+class RetrySchedule:
     """How many were told to come in each slot of the time ahead, on a ring.
 
     A new time goes to the slot with the fewest; where several have as few, to the one that this gateway's
@@ -19,9 +18,9 @@
         self._rng = rng
         self._counts = [0] * (2 * SLOTS)
         self._turns = [0] * (2 * SLOTS)  # which turn of the ring a count is of
-        self.settle(longest_us)
+        self.update_longest(longest_us)
 
-    def settle(self, longest_us: int) -> None:
+    def update_longest(self, longest_us: int) -> None:
         """Another longest time; what was told by the old one is forgotten."""
         self._width = max(1000, longest_us // SLOTS)
         self._counts = [0] * (2 * SLOTS)
@@ -35,7 +34,7 @@
         self._counts[place] = self._count(slot) + 1
         self._turns[place] = turn
 
-    def told(self, now: int, wait: int) -> None:
+    def record(self, now: int, wait: int) -> None:
         """A time that has another reason counts as well."""
         self._add((now + wait) // self._width)
 
--- a/marllift/repeats.py
+++ b/gaugesail/policy/retry_tickets.py
@@ -14,62 +14,62 @@
 
 import xxhash
 
-from . import interface as api
+from .events import RequestReceived
 
 MOST = 8192  # tickets of one gateway, about 300 bytes each: 2.5 MB in all, whatever clients send
 _LAYOUT = struct.Struct("<QQIfi")
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class RetryTicket:
     """A place in the line of one shard."""
 
-    mark: int  # the hash of what is asked for
+    fingerprint: int  # the hash of what is asked for
     shard: int
-    lane: tuple[str, str] | None  # plan and class; None: in no line
+    flow: tuple[str, str] | None  # plan and class; None: in no line
     units: float
     tag: float  # its place, in the line's own progress
-    told_at: int  # when its client was told to come back
-    told_us: int  # and how long that was ahead then
-    since: int  # its first refusal
-    hung: int = 0  # attempts that ran out of time
+    retry_at: int  # when its client was told to come back
+    retry_after_us: int  # and how long that was ahead then
+    first_rejected_at: int  # its first refusal
+    timeouts: int = 0  # attempts that ran out of time
 
 
-class Repeats:
+class RetryTickets:
     """The tickets of one gateway, those told longest ago first; beyond ``most`` those go."""
 
     def __init__(self, seed: int, most: int = MOST) -> None:
         self._seed, self.most = seed & 0xFFFF_FFFF_FFFF_FFFF, most
-        self._tickets: dict[int, Ticket] = {}
+        self._tickets: dict[int, RetryTicket] = {}
 
     def __len__(self) -> int:
         return len(self._tickets)
 
-    def __iter__(self) -> Iterator[Ticket]:
+    def __iter__(self) -> Iterator[RetryTicket]:
         return iter(self._tickets.values())
 
-    def mark(self, request: api.Request, kind: int) -> int:
+    def fingerprint(self, request: RequestReceived, kind: int) -> int:
         """The hash of what a request asks for; ``kind`` is its class's place in the books."""
-        told = _LAYOUT.pack(request.volume, request.key, kind, request.units, request.shard)
+        told = _LAYOUT.pack(request.volume_id, request.key, kind, request.units, request.shard)
         return xxhash.xxh3_64_intdigest(told, self._seed)
 
-    def find(self, mark: int) -> Ticket | None:
+    def find(self, mark: int) -> RetryTicket | None:
         return self._tickets.get(mark)
 
-    def keep(self, ticket: Ticket) -> Ticket | None:
+    def keep(self, ticket: RetryTicket) -> RetryTicket | None:
         """Keep a ticket that has just been told; the one that has to go for it, if any."""
-        self._tickets.pop(ticket.mark, None)
-        self._tickets[ticket.mark] = ticket
+        self._tickets.pop(ticket.fingerprint, None)
+        self._tickets[ticket.fingerprint] = ticket
         if len(self._tickets) <= self.most:
             return None
         return self.drop(next(iter(self._tickets)))
 
-    def drop(self, mark: int) -> Ticket | None:
+    def drop(self, mark: int) -> RetryTicket | None:
         return self._tickets.pop(mark, None)
 
-    def overdue(self, before: int) -> Ticket | None:
+    def take_overdue(self, before: int) -> RetryTicket | None:
         """Take out one whose client was told to come back before then, and has not."""
         first = next(iter(self._tickets.values()), None)
-        if first is None or first.told_at >= before:
+        if first is None or first.retry_at >= before:
             return None
-        return self.drop(first.mark)
+        return self.drop(first.fingerprint)
--- a/marllift/placement.py
+++ b/gaugesail/policy/routing.py
@@ -10,20 +10,20 @@
 
 from random import Random
 
-from .cold import ColdCare
-from .state import NodeBook, Shard
+from .records import NodeRecord, ShardRecord
+from .slow_start import SlowStart
 
 CHOICES = 4
 NOWHERE = -1  # no shard has a node
 
 
-class Placement:
+class Router:
     """Places new objects for one gateway; the same seed and books give the same places."""
 
-    def __init__(self, cold: ColdCare, rng: Random) -> None:
+    def __init__(self, cold: SlowStart, rng: Random) -> None:
         self._cold, self._rng = cold, rng
 
-    def choose(self, now: int, shards: dict[int, Shard], kind: int) -> int:
+    def choose(self, now: int, shards: dict[int, ShardRecord], kind: int) -> int:
         """The shard whose node promises the soonest answer, of those drawn; NOWHERE without a node."""
         held = [number for number, shard in shards.items() if shard.node is not None]
         best, least = NOWHERE, float("inf")
@@ -33,8 +33,8 @@
                 best, least = number, cost
         return best
 
-    def _cost(self, now: int, shard: Shard, node: NodeBook, kind: int) -> float:
+    def _cost(self, now: int, shard: ShardRecord, node: NodeRecord, kind: int) -> float:
         """Microseconds until the answer, by what is ahead and by the node's present power."""
-        queue = (1 + len(node.out) + sum(map(len, shard.waiting))) * 2**node.misses
-        power = node.windows[0] * self._cold.share(now, node.cold_since)
-        return queue * node.latency[kind] / power
+        queue = (1 + len(node.in_flight) + sum(map(len, shard.waiting))) * 2**node.consecutive_failures
+        power = node.windows[0] * self._cold.capacity_share(now, node.warming_since)
+        return queue * node.latency_us[kind] / power
--- /dev/null
+++ b/gaugesail/policy/settings.py
@@ -0,0 +1,168 @@
+"""What one gateway is told at its start: classes of requests, plans of volumes, and limits of the site.
+
+Settings are immutable.  New ones reach a running gateway as a ``SettingsChanged`` event; a request that is
+open keeps those it was received under.  All times are integer microseconds, all sizes are units of work.
+Every number is checked when a value is built: ``InvalidSetting`` names the field and what it expects.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, fields
+from enum import Enum
+
+NodeId = bytes
+
+
+class InvalidSetting(ValueError):
+    """A setting has a value that cannot be used.
+
+    ``name`` is the field; readers of files and wires put the name that they gave it in its place (``named``).
+    """
+
+    def __init__(self, name: str, expectation: str) -> None:
+        super().__init__(f"{name}: {expectation}")
+        self.name = name
+        self.expectation = expectation
+
+    def named(self, key: str) -> str:
+        """The message with the name that the setting has where it was read."""
+        return f"{key}: {self.expectation}"
+
+
+class Idempotency(Enum):
+    """How often a request may take effect."""
+
+    IDEMPOTENT = "idempotent"  # may be retried and rejected at will
+    KEYED = "keyed"  # duplicates are dropped by one group of nodes, for a while
+    NOT_IDEMPOTENT = "not-idempotent"  # must never run twice
+
+
+class DeduplicationScope(Enum):
+    """Which nodes drop the duplicates of a keyed request."""
+
+    ALL = "all"
+    ZONE = "zone"
+    SHARD = "shard"
+
+
+def _require(owner: object, name: str, low: float, above: bool = False) -> None:
+    """Check that a field is a finite number of at least ``low``, or above it."""
+    value = getattr(owner, name)
+    if isinstance(value, bool) or not isinstance(value, (int, float)):
+        raise InvalidSetting(name, f"a number is needed, not {value!r}")
+    if not low <= value < float("inf") or (above and value <= low):
+        raise InvalidSetting(name, f"{value!r} is out of range")
+
+
+@dataclass(slots=True, frozen=True)
+class RequestClass:
+    """One class of requests."""
+
+    name: str
+    latency_objective_us: int  # an answer later than this earns ``late_weight_share`` of its weight
+    deadline_us: int  # how long a client of this class waits
+    priority_weight: float = 1.0  # of one unit answered within the objective
+    late_weight_share: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_us: int = 0
+    ordered: bool = False  # requests of one key run one after another
+    writes: bool = False
+
+    def __post_init__(self) -> None:
+        _require(self, "latency_objective_us", 0, above=True)
+        _require(self, "deadline_us", 0, above=True)
+        for name in ("priority_weight", "late_weight_share", "deduplication_window_us"):
+            _require(self, name, 0)
+
+
+@dataclass(slots=True, frozen=True)
+class Plan:
+    """What a volume on this plan is owed and allowed, over all gateways and nodes, in units a second."""
+
+    name: str
+    rate: float = 0.0  # its fair share
+    reserve: float = 0.0  # what it is always given
+    share_weight: float = 1.0
+    priority_weight: float = 1.0  # multiplies that of the request's class
+    limit: float = 0.0  # never exceeded; 0: no limit
+    limit_burst: float = 0.0  # units
+    limit_slack: float = 0.0  # units
+
+    def __post_init__(self) -> None:
+        for name in (
+            "rate",
+            "reserve",
+            "share_weight",
+            "priority_weight",
+            "limit",
+            "limit_burst",
+            "limit_slack",
+        ):
+            _require(self, name, 0)
+
+
+@dataclass(slots=True, frozen=True)
+class Settings:
+    """All that a gateway is told at its start."""
+
+    classes: tuple[RequestClass, ...]
+    plans: tuple[Plan, ...]
+    gateway_count: int = 1
+    gateway_index: int = 0
+    tick_us: int = 1000  # the least time between two looks at what waits
+    answer_slack_us: int = 0
+    drain_grace_us: int = 0
+    # A node that warms up fails once it gets more than ``overload_factor`` times its present capacity within
+    # ``overload_window_us``; 0: nodes need no slow start.
+    overload_window_us: int = 0
+    overload_factor: float = 1.0
+    initial_capacity_share: float = 1.0  # of its whole capacity, right after a start
+    warm_up_us: int = 0
+    initial_capacity_units: float = 0.0  # in one overload window, right after a start
+    ordered_key_pause_us: int = 0  # after an attempt whose end is not known
+    retry_budget_free: float = 0.0  # retries in one window, whatever is received
+    retry_budget_share: float = 0.0  # and for each request received in it
+    retry_budget_window_us: int = 0  # 0: retries have no budget
+    mean_request_units: float = 1.0
+    max_request_units: float = 1.0
+    fair_share_weight: float = 1.0  # of a unit within the volume's fair share, to one within its reserve
+    beyond_share_weight: float = 1.0  # and of one beyond that
+    reports_usage_elsewhere: bool = False
+    subscribes_to_endpoints: bool = False
+    cancel_allowed: bool = False
+    health_checks_allowed: bool = False
+    peer_messages_allowed: bool = False
+    retry_after_allowed: bool = False
+    max_attempts: int = 1
+    max_retry_after_us: int = 0
+    shard_count: int = 0  # 0: not told
+    clients_mark_retries: bool = False
+    fleet_quota: bool = False  # limits are divided among the gateways as they run (QuotaChanged)
+    recovery_queue: bool = True  # clients that are rejected while a shard is away get a place in its queue
+    load_report_fields: tuple[str, ...] = field(default=())
+
+    @property
+    def longest_retry_after_us(self) -> int:
+        """The longest Retry-After that a client may be told; 0: clients are told none."""
+        return self.max_retry_after_us if self.retry_after_allowed else 0
+
+    def __post_init__(self) -> None:
+        if not self.classes:
+            raise InvalidSetting("classes", "at least one is needed")
+        if not self.plans:
+            raise InvalidSetting("plans", "at least one is needed")
+        for named in (self.classes, self.plans):
+            if len({item.name for item in named}) < len(named):
+                raise InvalidSetting("classes, plans", "two of one name")
+        _require(self, "gateway_count", 1)
+        _require(self, "overload_factor", 1)
+        _require(self, "max_attempts", 1)
+        _require(self, "mean_request_units", 0, above=True)
+        _require(self, "initial_capacity_share", 0, above=True)
+        if not 0 <= self.gateway_index < self.gateway_count:
+            expectation = f"{self.gateway_index!r} is not one of {self.gateway_count} gateways"
+            raise InvalidSetting("gateway_index", expectation)
+        for item in fields(self):
+            if item.type in ("int", "float"):
+                _require(self, item.name, 0)
--- a/gaugesail/rehearsal/fleet/command.py
+++ b/gaugesail/rehearsal/fleet/command.py
@@ -104,9 +104,7 @@
     for n in range(trial.heads):
         name = f"h{n}"
         mine = sum(units for _, who, units in told.arrivals if who == name)
-        table.add_row(
-            name, bars(told.arrivals, name, played.began, trial.seconds, trial.rate), f"{mine:.0f}"
-        )
+        table.add_row(name, bars(told.arrivals, name, played.began, trial.seconds, trial.rate), f"{mine:.0f}")
     console.print(table)
     for at, what, whom in played.events:
         console.print(f"  {at:5.1f} s  {what} {whom}", highlight=False)
@@ -144,8 +142,13 @@
 @click.option("--faults/--no-faults", default=True, show_default=True)
 @click.option("--timeline", type=click.Path(), help="A TOML file of [[fault]] rows in place of drawn ones.")
 @click.option("--even/--no-even", default=True, help="Play the even parts beside it.  [default: even]")
-@click.option("--after", type=click.FloatRange(0, 600), default=16.0, show_default=True,
-              help="Seconds without faults at the end.")
+@click.option(
+    "--after",
+    type=click.FloatRange(0, 600),
+    default=16.0,
+    show_default=True,
+    help="Seconds without faults at the end.",
+)
 @click.option("--json", "as_json", is_flag=True)
 def command(
     heads: int, keepers: int, seconds: float, seed: int, faults: bool, timeline: str | None, even: bool,
--- a/gaugesail/rehearsal/fleet/heads.py
+++ b/gaugesail/rehearsal/fleet/heads.py
@@ -148,4 +148,3 @@
 
 def _bad(line: str) -> bool:
     return any(word in line for word in ("fleet_raised", "module_raised", "callback_raised", "Traceback"))
-
--- a/gaugesail/rehearsal/fleet/world.py
+++ b/gaugesail/rehearsal/fleet/world.py
@@ -213,9 +213,7 @@
 
     def overdue(self, now: float) -> int:
         """Requests that should have their answer by now."""
-        return sum(
-            bool(asker.request) and now - asker.told_at > DEADLINE_S + SLACK_S for asker in self._open
-        )
+        return sum(bool(asker.request) and now - asker.told_at > DEADLINE_S + SLACK_S for asker in self._open)
 
     def gone(self) -> None:
         """The process behind these was killed: whatever it owed died with it."""
--- a/gaugesail/rehearsal/memory.py
+++ b/gaugesail/rehearsal/memory.py
@@ -24,6 +24,7 @@
 ConnectionRefusedError: Any = error.ConnectionRefusedError
 TimeoutError: Any = error.TimeoutError
 
+
 class MemoryTransport:
     """One end of a connection."""
 
@@ -242,7 +243,11 @@
         end.resumeProducing()
 
     def connectUNIX(
-        self, address: str, factory: Any, timeout: float = 30, checkPID: int = 0  # noqa: N803
+        self,
+        address: str,
+        factory: Any,
+        timeout: float = 30,
+        checkPID: int = 0,  # noqa: N803
     ) -> _Connector:
         return self.connect(os.path.realpath(address), factory, timeout)
 
@@ -340,12 +345,21 @@
         self._reactor.adoptStreamConnection(descriptor, family, factory)
 
     def connectUNIX(
-        self, address: str, factory: Any, timeout: float = 30, checkPID: int = 0  # noqa: N803
+        self,
+        address: str,
+        factory: Any,
+        timeout: float = 30,
+        checkPID: int = 0,  # noqa: N803
     ) -> _Connector:
         return self._reactor.connect(os.path.realpath(address), factory, timeout, self)
 
     def connectTCP(
-        self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None  # noqa: N803
+        self,
+        host: str,
+        port: int,
+        factory: Any,
+        timeout: float = 30,
+        bindAddress: Any = None,  # noqa: N803
     ) -> _Connector:
         return self._reactor.connect(IPv4Address("TCP", host, port), factory, timeout, self)
 
--- a/gaugesail/rehearsal/soak/command.py
+++ b/gaugesail/rehearsal/soak/command.py
@@ -48,8 +48,9 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1, 3600), default=60.0, show_default=True)
 @click.option("--heads", type=click.IntRange(1, 100), default=24, show_default=True)
-@click.option("--overlap", type=click.IntRange(0, 10), default=3, show_default=True,
-              help="Troubles at a time.")
+@click.option(
+    "--overlap", type=click.IntRange(0, 10), default=3, show_default=True, help="Troubles at a time."
+)
 @click.option("--logs", type=click.Path(path_type=Path), help="A folder in which the heads' logs stay.")
 @click.option("--json", "as_json", is_flag=True)
 def command(seed: int, seconds: float, heads: int, overlap: int, logs: Path | None, as_json: bool) -> None:
--- a/gaugesail/rehearsal/soak/heads.py
+++ b/gaugesail/rehearsal/soak/heads.py
@@ -199,6 +199,3 @@
         "starts": len(starts), "starts_late": late, "start_most_s": round(starts[-1], 2) if starts else None,
         "memory_most_kb": max((head.memory_kb for head in heads), default=0),
     }  # fmt: skip
-
-
-
--- a/gaugesail/rehearsal/soak/judge.py
+++ b/gaugesail/rehearsal/soak/judge.py
@@ -185,9 +185,7 @@
 
     # ---- nodes ----
 
-    def arrived(
-        self, name: str, node: str, connection: Any, told_ms: int, late_s: float
-    ) -> Asked | None:
+    def arrived(self, name: str, node: str, connection: Any, told_ms: int, late_s: float) -> Asked | None:
         """An attempt has come whole; ``late_s`` at most it had waited unread."""
         asked, now = self._open.get(name), self.now()
         if asked is None:
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -11,7 +11,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.error import CannotListenError
 
-from marllift.interface import NodeList, Settings
+from gaugesail.policy.events import EndpointList
+from gaugesail.policy.settings import Settings
 
 from .buffers import BUFFER_BYTES, BufferPool
 from .core.engine import Engine
@@ -190,7 +191,7 @@
         ListeningPort(listener, self.clock, lambda: min(ACCEPTS, MOST_CALLS), lambda: True)
         self.management_address = host, listener.getHost().port
 
-    def known(self, told: dict[str, Any]) -> NodeList:
+    def known(self, told: dict[str, Any]) -> EndpointList:
         """The list to start with; ``told`` is what the process before this one handed over."""
         raise NotImplementedError
 
--- a/marllift/benchlink.py
+++ b/gaugesail/simulator/adapter.py
@@ -6,9 +6,11 @@
 import sys
 from typing import BinaryIO
 
-from . import wire
-from .decide import Gateway
-from .interface import Action, Event, Node
+from gaugesail.policy.actions import Action
+from gaugesail.policy.events import Endpoint, Event
+
+from ..policy.gateway import Gateway
+from . import protocol as wire
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
@@ -21,7 +23,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer every batch until the input ends; a gateway's exception ends the day as CRASH."""
     gateways: dict[int, Gateway] = {}
-    sheets: dict[int, tuple[Node, ...]] = {}
+    sheets: dict[int, tuple[Endpoint, ...]] = {}
     while first := source.read(1):
         count, length, now = wire.HEADER.unpack(first + _read(source, wire.HEADER.size - 1))
         if length < wire.HEADER.size + count * wire.EVENT_SIZE:
@@ -64,7 +66,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
-        print(f"marllift: malformed input: {error}", file=sys.stderr)
+        print(f"gaugesail.simulator: malformed input: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/gaugesail/state.py
+++ b/gaugesail/state.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from marllift.interface import NodeId
+from gaugesail.policy.settings import NodeId
 
 MOST_BYTES = 4 * 1024 * 1024
 
--- a/tests/test_fleet_raft.py
+++ b/tests/coordination/test_consensus.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from marllift import messages as m
-from marllift.charter import Charter
-from marllift.keeper import Keeper
-from marllift.raft import ELECTION_US, Broken, Raft, Role, Snapshot
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.consensus import ELECTION_US, LogBroken, RaftNode, Role, Snapshot
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.replica import Replica
 
 SEATS = ("a#1", "b#1", "c#1")
 SECOND = 1_000_000
@@ -23,8 +23,8 @@
         self.all = {seat: self.make(seat, Snapshot(0, 0, seats)) for seat in seats}
         self.deaf: set[str] = set()
 
-    def make(self, seat: str, snapshot: Snapshot, term: int = 0, vote: str = "") -> Raft:
-        made = Raft(seat, random.Random(seat), self.now, term, vote, snapshot)
+    def make(self, seat: str, snapshot: Snapshot, term: int = 0, vote: str = "") -> RaftNode:
+        made = RaftNode(seat, random.Random(seat), self.now, term, vote, snapshot)
         made.may_vote = True
         return made
 
@@ -40,7 +40,7 @@
                     if to in self.all and not {seat, to} & self.deaf:
                         self.all[to].receive(self.now, said)
 
-    def lead(self, seat: str = "a#1") -> Raft:
+    def lead(self, seat: str = "a#1") -> RaftNode:
         """Let one be elected."""
         self.now += 3 * ELECTION_US
         self.all[seat].tick(self.now)
@@ -52,24 +52,24 @@
 def test_one_is_elected_and_what_it_puts_is_committed_everywhere() -> None:
     three = Three()
     a = three.lead()
-    index = a.propose(m.Close(7))
+    index = a.propose(m.CloseSession(7))
     three.talk()
     assert all(one.commit >= index for one in three.all.values() if index)
     assert {one.leader for one in three.all.values()} == {"a#1"}
-    assert [command for _, command in three.all["c#1"].committed()][-1] == m.Close(7)
+    assert [command for _, command in three.all["c#1"].committed()][-1] == m.CloseSession(7)
 
 
 def test_a_keeper_votes_once_a_term_and_for_nobody_who_lacks_entries() -> None:
     three = Three()
-    three.lead().propose(m.Close(1))
+    three.lead().propose(m.CloseSession(1))
     three.talk()
     b = three.all["b#1"]
-    b.receive(three.now, m.Vote("c#1", 9, False, 0, 0))
-    (_, short), *_ = [item for item in b.take_out() if isinstance(item[1], m.Voted)]
-    assert isinstance(short, m.Voted) and not short.granted, "its log is shorter"
-    b.receive(three.now, m.Vote("c#1", 9, False, b.last, 9))
-    b.receive(three.now, m.Vote("a#1", 9, False, b.last, 9))
-    granted = [said.granted for _, said in b.take_out() if isinstance(said, m.Voted)]
+    b.receive(three.now, m.VoteRequest("c#1", 9, False, 0, 0))
+    (_, short), *_ = [item for item in b.take_out() if isinstance(item[1], m.VoteResponse)]
+    assert isinstance(short, m.VoteResponse) and not short.granted, "its log is shorter"
+    b.receive(three.now, m.VoteRequest("c#1", 9, False, b.last, 9))
+    b.receive(three.now, m.VoteRequest("a#1", 9, False, b.last, 9))
+    granted = [said.granted for _, said in b.take_out() if isinstance(said, m.VoteResponse)]
     assert granted == [True, False] and b.vote == "c#1"
     save = b.take_save()
     assert save is not None and (save.term, save.vote) == (9, "c#1"), "kept before it is said"
@@ -111,40 +111,45 @@
     three = Three()
     a = three.lead()
     three.deaf = {"a#1"}
-    a.propose(m.Close(1))
+    a.propose(m.CloseSession(1))
     a.flush(three.now)
     three.now += 3 * ELECTION_US
     three.all["b#1"].tick(three.now)
     three.talk()
     b = three.all["b#1"]
     assert b.serving and b.term > a.term
-    b.propose(m.Close(2))
+    b.propose(m.CloseSession(2))
     three.deaf = set()
     three.talk(30)
     assert a.role is Role.FOLLOWER
     told = [command for _, command in a.committed()]
-    assert m.Close(2) in told and m.Close(1) not in told
+    assert m.CloseSession(2) in told and m.CloseSession(1) not in told
 
 
 def test_a_committed_entry_that_differs_ends_the_keeper() -> None:
     three = Three()
-    three.lead().propose(m.Close(1))
+    three.lead().propose(m.CloseSession(1))
     three.talk()
     b = three.all["b#1"]
-    with pytest.raises(Broken):
-        b.receive(three.now, m.Append("c#1", b.term + 1, 0, 0, (m.Entry(b.term + 1, m.Close(9)),), 0, 1))
+    with pytest.raises(LogBroken):
+        b.receive(
+            three.now,
+            m.AppendEntries("c#1", b.term + 1, 0, 0, (m.LogEntry(b.term + 1, m.CloseSession(9)),), 0, 1),
+        )
 
 
 def test_an_older_leader_is_told_the_term_and_changes_nothing() -> None:
     three = Three()
     three.lead()
     b = three.all["b#1"]
-    b.receive(three.now, m.Vote("c#1", 9, False, 99, 9))
+    b.receive(three.now, m.VoteRequest("c#1", 9, False, 99, 9))
     b.take_out()
     before = b.last, b.commit
-    b.receive(three.now, m.Append("a#1", 1, b.last, 1, (m.Entry(1, m.Close(1)),), b.last + 1, 1))
+    b.receive(
+        three.now, m.AppendEntries("a#1", 1, b.last, 1, (m.LogEntry(1, m.CloseSession(1)),), b.last + 1, 1)
+    )
     (_, said), *_ = b.take_out()
-    assert isinstance(said, m.Appended) and not said.ok and said.term == 9
+    assert isinstance(said, m.AppendResponse) and not said.ok and said.term == 9
     assert (b.last, b.commit) == before
 
 
@@ -156,7 +161,7 @@
         three.all[seat]._enter(a.term + 5)
     three.deaf = set()
     a._follow(three.now, a.term, "")
-    a._put(m.Close(1))
+    a._put(m.CloseSession(1))
     for _ in range(6):
         three.now += 2 * ELECTION_US
         a.tick(three.now)
@@ -182,7 +187,7 @@
     a = three.lead()
     three.deaf = {"c#1"}
     for n in range(20):
-        a.propose(m.Close(n))
+        a.propose(m.CloseSession(n))
         three.talk(2)
     assert list(a.committed())
     a.shorten(b"the ledger")
@@ -199,21 +204,23 @@
 def test_a_keeper_alone_leads_and_answers_petitions() -> None:
     three = Three(("a#1",))
     raft = three.all["a#1"]
-    seat = Keeper(Charter("f", ("a",)), "d", "f", raft, 0)
-    seat.petition("x", m.Petition(1, m.Forget("h")), "")
-    assert seat.take_out()[-1] == ("x", m.Heard(1, False, "the leader is not known"))
+    seat = Replica(FleetTerms("f", ("a",)), "d", "f", raft, 0)
+    seat.petition("x", m.OperatorCommand(1, m.ForgetHead("h")), "")
+    assert seat.take_out()[-1] == ("x", m.OperatorCommandResult(1, False, "the leader is not known"))
     three.now += 3 * ELECTION_US
     raft.tick(three.now)
     seat.work(three.now)
     assert seat.office is not None and ("leads", {"term": 1}) in seat.notes
-    raft.propose(m.Open("h", 5, "store"))
+    raft.propose(m.OpenSession("h", 5, "store"))
     seat.work(three.now)
-    seat.petition("x", m.Petition(2, m.Forget("h")), "a")
-    seat.petition("x", m.Petition(3, m.Forget("g")), "a")
-    raft.propose(m.Close(next(iter(seat.ledger.sessions))))
+    seat.petition("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
+    seat.petition("x", m.OperatorCommand(3, m.ForgetHead("g")), "a")
+    raft.propose(m.CloseSession(next(iter(seat.ledger.sessions))))
     seat.work(three.now)
-    seat.petition("x", m.Petition(4, m.Forget("h")), "a")
+    seat.petition("x", m.OperatorCommand(4, m.ForgetHead("h")), "a")
     seat.work(three.now)
-    heard = {said.number: said.done for _, said in seat.take_out() if isinstance(said, m.Heard)}
+    heard = {
+        said.number: said.done for _, said in seat.take_out() if isinstance(said, m.OperatorCommandResult)
+    }
     assert heard == {2: False, 3: True, 4: True} and not seat.ledger.slots
     assert set(seat.view(three.now)) == {"settled", "version", "wholes", "slots", "sessions", "amounts"}
--- a/tests/test_fleet_rules.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -10,25 +10,26 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.bootstrap import Bootstrap, BootstrapRecord, name_of, seat_of, store_of
+from gaugesail.coordination.consensus import RaftNode, Snapshot
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
+from gaugesail.coordination.lease_manager import COMPLY_US, LeaseManager
+from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.measure.planted import planted
-from marllift import interface as api
-from marllift import messages as m
-from marllift.amounts import FLOOR_HOLD_US, Amounts, Store
-from marllift.charter import Charter
-from marllift.founding import Founded, Founding, name_of, seat_of, store_of
-from marllift.granting import COMPLY_US, Office
-from marllift.holder import Floor, Holder
-from marllift.ledger import Ledger
-from marllift.raft import Raft, Snapshot
+from gaugesail.policy.events import QuotaChanged
+from gaugesail.policy.rate_limits import FLOOR_HOLD_US, RateLimits, TokenBucket
+from gaugesail.policy.settings import Plan, RequestClass, Settings
 
 SECOND = 1_000_000
-PLAN = api.Plan("p", 100.0, limit=100.0, limit_burst=80.0)
+PLAN = Plan("p", 100.0, limit=100.0, limit_burst=80.0)
 
 
-def amounts(fleet: bool = True) -> tuple[Amounts, Store]:
-    settings = api.Settings(classes=(api.RequestClass("r", 1, 2),), plans=(PLAN,), fleet=fleet)
-    made = Amounts(settings, 0)
-    return made, made.limit(0, PLAN, 1, 5.0)
+def amounts(fleet: bool = True) -> tuple[RateLimits, TokenBucket]:
+    settings = Settings(classes=(RequestClass("r", 1, 2),), plans=(PLAN,), fleet_quota=fleet)
+    made = RateLimits(settings, 0)
+    return made, made.open_bucket(0, PLAN, 1, 5.0)
 
 
 # ---- a gateway's store ----
@@ -36,46 +37,48 @@
 
 def test_a_store_begins_empty_and_fills_at_its_part_until_the_lease_is_over() -> None:
     made, store = amounts()
-    made.shares(0, api.Shares(2 * SECOND, (("p", 1, 50.0, 40.0),), (("p", 2.0, 8.0),)))
-    made.fill(SECOND // 2, store, 5.0, 1)
+    made.update_quota(0, QuotaChanged(2 * SECOND, (("p", 1, 50.0, 40.0),), (("p", 2.0, 8.0),)))
+    made.refill(SECOND // 2, store, 5.0, 1)
     assert store.units == 26.0
-    made.fill(10 * SECOND, store, 5.0, 1)
+    made.refill(10 * SECOND, store, 5.0, 1)
     assert store.units == 8.0, "of what the part had saved up only the floor's burst is left"
 
 
 def test_what_grows_grows_empty_and_what_shrinks_loses_the_rest() -> None:
     made, store = amounts()
-    made.shares(0, api.Shares(9 * SECOND, (("p", 1, 50.0, 40.0),), ()))
-    made.shares(2 * SECOND, api.Shares(9 * SECOND, (("p", 1, 90.0, 70.0),)))
+    made.update_quota(0, QuotaChanged(9 * SECOND, (("p", 1, 50.0, 40.0),), ()))
+    made.update_quota(2 * SECOND, QuotaChanged(9 * SECOND, (("p", 1, 90.0, 70.0),)))
     assert store.units == 40.0
-    made.shares(2 * SECOND, api.Shares(9 * SECOND, (("p", 1, 10.0, 5.0),)))
+    made.update_quota(2 * SECOND, QuotaChanged(9 * SECOND, (("p", 1, 10.0, 5.0),)))
     assert store.units == 5.0
-    made.shares(2 * SECOND, api.Shares(9 * SECOND, anew=True))
-    assert store.units == 0.0 and made.rights(3 * SECOND, "p", 1) == (0.0, 0.0)
+    made.update_quota(2 * SECOND, QuotaChanged(9 * SECOND, replaces_all=True))
+    assert store.units == 0.0 and made.allowance(3 * SECOND, "p", 1) == (0.0, 0.0)
 
 
 def test_a_first_send_is_tied_to_the_lease_that_it_rests_on() -> None:
     made, store = amounts()
-    assert made.take(0, store, 1.0) == FLOOR_HOLD_US, "a floor needs no lease; it is begun soon or not at all"
-    made.shares(0, api.Shares(7 * SECOND, (("p", 1, 50.0, 40.0),)))
-    assert made.take(SECOND, store, 1.0) == 7 * SECOND
-    assert made.take(8 * SECOND, store, 1.0) == 8 * SECOND + FLOOR_HOLD_US
+    assert made.spend(0, store, 1.0) == FLOOR_HOLD_US, (
+        "a floor needs no lease; it is begun soon or not at all"
+    )
+    made.update_quota(0, QuotaChanged(7 * SECOND, (("p", 1, 50.0, 40.0),)))
+    assert made.spend(SECOND, store, 1.0) == 7 * SECOND
+    assert made.spend(8 * SECOND, store, 1.0) == 8 * SECOND + FLOOR_HOLD_US
     alone, its = amounts(fleet=False)
-    assert alone.take(0, its, 1.0) == 0
+    assert alone.spend(0, its, 1.0) == 0
 
 
 def test_its_own_file_bounds_what_the_fleet_says() -> None:
     made, store = amounts()
-    made.shares(0, api.Shares(9 * SECOND, (("p", 1, 500.0, 400.0),)))
-    made.fill(SECOND // 2, store, 5.0, 1)
+    made.update_quota(0, QuotaChanged(9 * SECOND, (("p", 1, 500.0, 400.0),)))
+    made.refill(SECOND // 2, store, 5.0, 1)
     assert store.units == 50.0
 
 
 def test_what_was_asked_for_is_told_once() -> None:
     made, store = amounts()
-    made.asked(0, store, 1, 3.0)
-    made.take(0, store, 2.0)
-    assert made.wants(0) == [("p", 1, 3.0, 2.0, 0.0)] and made.wants(0) == []
+    made.record_demand(0, store, 1, 3.0)
+    made.spend(0, store, 2.0)
+    assert made.take_demand(0) == [("p", 1, 3.0, 2.0, 0.0)] and made.take_demand(0) == []
 
 
 spans = st.lists(
@@ -94,18 +97,18 @@
     for span, new_rate, burst, lease, units in told:
         came += rate * max(0, min(now + span, until) - now) / SECOND
         now += span
-        made.fill(now, store, 5.0, 1)
+        made.refill(now, store, 5.0, 1)
         if store.units >= units:
-            made.take(now, store, units)
+            made.spend(now, store, units)
             spent += units
-        made.shares(now, api.Shares(now + lease, (("p", 1, new_rate, burst),)))
+        made.update_quota(now, QuotaChanged(now + lease, (("p", 1, new_rate, burst),)))
         rate, until = new_rate, now + lease
     assert spent <= came + 1e-6
 
 
 # ---- the office ----
 
-CHARTER = Charter("f", ("a",), most_heads=2)
+CHARTER = FleetTerms("f", ("a",), most_heads=2)
 
 
 class Leader:
@@ -113,11 +116,13 @@
 
     def __init__(self) -> None:
         self.now = 100 * SECOND
-        self.raft = Raft("a#1", random.Random(1), self.now, snapshot=Snapshot(0, 0, ("a#1",)), may_vote=True)
+        self.raft = RaftNode(
+            "a#1", random.Random(1), self.now, snapshot=Snapshot(0, 0, ("a#1",)), may_vote=True
+        )
         self.raft.tick(self.now + 9 * SECOND)
-        self.ledger = Ledger(CHARTER)
+        self.ledger = QuotaLedger(CHARTER)
         self.pump()
-        self.office = Office(CHARTER, "d", "f", self.ledger, self.raft, self.now, False)
+        self.office = LeaseManager(CHARTER, "d", "f", self.ledger, self.raft, self.now, False)
         self.number = 0
 
     def pump(self) -> None:
@@ -138,22 +143,22 @@
             "charter": "d", "store": f"s{process}", "wholes": (("p", 100_000, 80_000),), "slot": -1,
             "floor": 0, "quantum": 4000, "fleet": "f", "seen": 0, "demands": (), "held": (),
         } | more  # fmt: skip
-        self.office.ask(self.now, f"h{process}", m.Ask(process, self.number, session, **given))
+        self.office.ask(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **given))
         self.pump()
         return [said for _, said in self.office.take_out()]
 
 
-def want(rate: int) -> tuple[m.Demand, ...]:
-    return (m.Demand("p/1", rate, 1000, rate),)
+def want(rate: int) -> tuple[m.QuotaDemand, ...]:
+    return (m.QuotaDemand("p/1", rate, 1000, rate),)
 
 
 def test_a_session_is_opened_and_its_part_granted_once_it_is_written() -> None:
     leader = Leader()
     (answer,) = leader.ask(1)
-    assert answer.status is m.Status.RENEWED and answer.session in leader.ledger.sessions
+    assert answer.status is m.LeaseStatus.RENEWED and answer.session in leader.ledger.sessions
     leader.now += 10 * SECOND  # the whole is settled
     said = leader.ask(1, answer.session, demands=want(50_000))
-    orders = [one for one in said if isinstance(one, m.Orders)]
+    orders = [one for one in said if isinstance(one, m.QuotaOrders)]
     stake = leader.ledger.parts["p/1"][answer.session]
     assert orders and orders[-1].orders[0].version == stake.version and stake.rate >= 50_000
 
@@ -169,9 +174,11 @@
     had = leader.ledger.parts["p/1"][one]
     assert had.rate > 80_000
     said = leader.ask(2, two, demands=want(200_000))
-    lower = [order for told in said if isinstance(told, m.Orders) for order in told.orders if order.lower]
+    lower = [
+        order for told in said if isinstance(told, m.QuotaOrders) for order in told.orders if order.lower
+    ]
     assert lower and leader.ledger.parts["p/1"][one].rate == had.rate, "asked, and not written down yet"
-    leader.ask(1, one, demands=want(200_000), held=(m.Held("p/1", had.version, 45_000, lower[0].burst),))
+    leader.ask(1, one, demands=want(200_000), held=(m.HeldQuota("p/1", had.version, 45_000, lower[0].burst),))
     assert leader.ledger.parts["p/1"][one].rate <= 45_000
     assert leader.ledger.parts["p/1"][two].rate >= 40_000
     assert leader.ledger.sums("p/1")[0] <= 90_000
@@ -189,19 +196,21 @@
     leader.now = until + 1
     leader.office.tick(leader.now)
     assert leader.office.tenants[session].closing
-    assert not [one for one in leader.ask(1, session) if getattr(one, "status", None) is m.Status.RENEWED]
+    assert not [
+        one for one in leader.ask(1, session) if getattr(one, "status", None) is m.LeaseStatus.RENEWED
+    ]
     assert session not in leader.ledger.sessions
-    assert leader.ask(1, session)[0].status is m.Status.UNKNOWN
+    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN
 
 
 def test_a_file_that_differs_a_log_that_is_short_and_an_end_in_order() -> None:
     leader = Leader()
-    assert leader.ask(1, charter="other")[0].status is m.Status.CHARTER
+    assert leader.ask(1, charter="other")[0].status is m.LeaseStatus.CHARTER
     session = leader.ask(1)[0].session
-    assert leader.ask(1, session, seen=10_000)[0].status is m.Status.UNKNOWN
-    assert leader.ask(1, session, leaving=True)[0].status is m.Status.LEFT
+    assert leader.ask(1, session, seen=10_000)[0].status is m.LeaseStatus.UNKNOWN
+    assert leader.ask(1, session, leaving=True)[0].status is m.LeaseStatus.LEFT
     assert session not in leader.ledger.sessions
-    assert leader.ask(1, session)[0].status is m.Status.UNKNOWN
+    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN
 
 
 def test_who_keeps_what_a_lowered_whole_has_no_room_for_is_renewed_no_more() -> None:
@@ -216,7 +225,7 @@
     leader.ask(1, session, demands=want(200_000), wholes=less)
     leader.now += 1000
     said = leader.ask(1, session, demands=want(200_000), wholes=less)
-    assert not [one for one in said if getattr(one, "status", None) is m.Status.RENEWED]
+    assert not [one for one in said if getattr(one, "status", None) is m.LeaseStatus.RENEWED]
 
 
 def test_an_office_whose_guards_are_away_is_found() -> None:
@@ -224,26 +233,26 @@
         leader = Leader()
         session = leader.ask(1)[0].session
         tenant = leader.office.tenants[session]
-        tenant.ask = m.Ask(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
+        tenant.ask = m.LeaseRequest(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
         tenant.round, tenant.closing = 0, True
         leader.office.tick(leader.now)
-        assert [one for _, one in leader.office.take_out() if isinstance(one, m.Answer)]
+        assert [one for _, one in leader.office.take_out() if isinstance(one, m.LeaseResponse)]
 
 
 # ---- founding ----
 
 
-def founders(names: tuple[str, ...] = ("a", "b", "c")) -> dict[str, Founding]:
-    return {name: Founding(name, f"s-{name}", names, "d", Founded()) for name in names}
+def founders(names: tuple[str, ...] = ("a", "b", "c")) -> dict[str, Bootstrap]:
+    return {name: Bootstrap(name, f"s-{name}", names, "d", BootstrapRecord()) for name in names}
 
 
-def talk(all_: dict[str, Founding], now: int, deaf: str = "") -> None:
+def talk(all_: dict[str, Bootstrap], now: int, deaf: str = "") -> None:
     said = [(name, to, what) for name, one in all_.items()
             for to, what in one.tick(now, bool(one.kept.fleet))]  # fmt: skip
     while said:
         sender, to, what = said.pop(0)
         if to in all_ and deaf not in (sender, to):
-            assert isinstance(what, m.Hello | m.Bind)
+            assert isinstance(what, m.BootstrapStatus | m.BootstrapBind)
             said += [(to, *answer) for answer in all_[to].receive(sender, what)]
 
 
@@ -262,12 +271,12 @@
 def test_who_is_bound_to_one_founder_is_bound_to_no_other() -> None:
     all_ = founders()
     b = all_["b"]
-    b.receive("a", m.Bind("d", "s-a"))
-    b.receive("a", m.Bind("d", "another store under that name"))
+    b.receive("a", m.BootstrapBind("d", "s-a"))
+    b.receive("a", m.BootstrapBind("d", "another store under that name"))
     assert b.kept.bound == "s-a" and b.dirty
-    b.receive("c", m.Bind("d", "s-c"))
+    b.receive("c", m.BootstrapBind("d", "s-c"))
     assert b.kept.bound == "s-a", "only the first of the names founds"
-    told = m.Hello("d", "s-a", "fleet", (seat_of("a", "x"), seat_of("b", "s-b")), "x")
+    told = m.BootstrapStatus("d", "s-a", "fleet", (seat_of("a", "x"), seat_of("b", "s-b")), "x")
     b.receive("a", told)
     assert not b.kept.fleet, "that fleet was founded by another store"
 
@@ -277,15 +286,15 @@
     for n in range(6):
         talk(all_, n * SECOND)
     a = all_["a"]
-    a.receive("b", m.Hello("other file", "s-b", "", (), ""))
+    a.receive("b", m.BootstrapStatus("other file", "s-b", "", (), ""))
     assert "differs" in a.strange["b"]
-    a.receive("b", m.Hello("d", "s-b", "another", (), ""))
+    a.receive("b", m.BootstrapStatus("d", "s-b", "another", (), ""))
     assert "another fleet" in a.strange["b"]
-    fresh = Founding("c", "fresh", ("a", "b", "c"), "d", Founded())
+    fresh = Bootstrap("c", "fresh", ("a", "b", "c"), "d", BootstrapRecord())
     for to, said in fresh.tick(9 * SECOND, False):
-        assert isinstance(said, m.Hello | m.Bind)
+        assert isinstance(said, m.BootstrapStatus | m.BootstrapBind)
         for back, answer in all_[to].receive("c", said):
-            assert back == "c" and isinstance(answer, m.Hello | m.Bind)
+            assert back == "c" and isinstance(answer, m.BootstrapStatus | m.BootstrapBind)
             fresh.receive(to, answer)
     assert fresh.kept.fleet == a.kept.fleet and a.applicants()["c"] == "fresh"
 
@@ -298,7 +307,7 @@
         self.leader = Leader()
         self.air: list[tuple[int, Any]] = []  # for which holder, 0: the leader
         self.holders = {
-            n: Holder(CHARTER, "d", f"h{n}", n, f"s{n}", Floor(), self.leader.now, random.Random(n))
+            n: LeaseHolder(CHARTER, "d", f"h{n}", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
             for n in (1, 2)
         }
         for one in self.holders.values():
--- a/tests/test_fleet_members.py
+++ b/tests/coordination/test_membership.py
@@ -9,18 +9,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from marllift import messages as m
-from marllift.members import PERIOD_US, Members, State, rank
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.membership import PERIOD_US, Membership, MemberState, rank
 
 SECOND = 1_000_000
 
 
-def head(name: str, process: int = 1, generation: int = 1, now: int = 0) -> Members:
-    return Members(name, f"{name}:1", process, generation, random.Random(name), now)
+def head(name: str, process: int = 1, generation: int = 1, now: int = 0) -> Membership:
+    return Membership(name, f"{name}:1", process, generation, random.Random(name), now)
 
 
-def rumour(name: str, state: State, incarnation: int = 0, generation: int = 1, process: int = 9) -> m.Rumour:
-    return m.Rumour(name, f"{name}:1", generation, incarnation, state, process)
+def rumour(
+    name: str, state: MemberState, incarnation: int = 0, generation: int = 1, process: int = 9
+) -> m.MemberUpdate:
+    return m.MemberUpdate(name, f"{name}:1", generation, incarnation, state, process)
 
 
 class Fleet:
@@ -54,41 +56,43 @@
     assert all(len(one) == 6 for one in fleet.all.values())
     fleet.deaf = {"h3"}
     fleet.run(25)
-    assert fleet.all["h0"].state("h3") == State.GONE
+    assert fleet.all["h0"].state("h3") == MemberState.GONE
     fleet.deaf = set()
     fleet.run(20)
-    assert all(one.state("h3") == State.ALIVE for one in fleet.all.values())
+    assert all(one.state("h3") == MemberState.ALIVE for one in fleet.all.values())
     told = [change.how for change in fleet.all["h0"].changes() if change.name == "h3"]
     assert told[:3] == ["join", "suspect", "gone"] and told[-1] in ("back", "refute")
 
 
 def test_a_head_refutes_what_is_said_of_it_by_a_larger_incarnation() -> None:
     one = head("a", 5)
-    one.receive(10, "b", m.Sync((rumour("a", State.SUSPECT, 3, process=5),), False))
-    assert one.me.incarnation == 4 and one.me.state == State.ALIVE
+    one.receive(10, "b", m.StateSync((rumour("a", MemberState.SUSPECT, 3, process=5),), False))
+    assert one.me.incarnation == 4 and one.me.state == MemberState.ALIVE
     assert one.health > 0, "it was slow to answer"
 
 
 def test_a_new_life_takes_the_place_of_an_earlier_one_whose_clock_was_ahead() -> None:
     one = head("a", 5, generation=10)
-    one.receive(10, "b", m.Sync((rumour("a", State.ALIVE, 0, generation=900, process=4),), False))
+    one.receive(10, "b", m.StateSync((rumour("a", MemberState.ALIVE, 0, generation=900, process=4),), False))
     assert one.me.generation == 901 and not one.usurped
-    one.receive(900 * SECOND, "b", m.Sync((rumour("a", State.ALIVE, 0, generation=990, process=6),), False))
+    one.receive(
+        900 * SECOND, "b", m.StateSync((rumour("a", MemberState.ALIVE, 0, generation=990, process=6),), False)
+    )
     assert one.usurped, "long after its start that is another process under its name"
 
 
 def test_rumours_in_any_order_come_to_the_same() -> None:
     told = [
-        rumour("x", State.ALIVE), rumour("x", State.SUSPECT), rumour("x", State.ALIVE, 1),
-        rumour("x", State.GONE, 1), rumour("x", State.ALIVE, 0, generation=2),
+        rumour("x", MemberState.ALIVE), rumour("x", MemberState.SUSPECT), rumour("x", MemberState.ALIVE, 1),
+        rumour("x", MemberState.GONE, 1), rumour("x", MemberState.ALIVE, 0, generation=2),
     ]  # fmt: skip
     digests = set()
     for order in permutations(told):
         one = head("a")
         for item in order:
-            one.receive(10, "b", m.Sync((item,), False))
+            one.receive(10, "b", m.StateSync((item,), False))
         digests.add(one.digest())
-        assert one.state("x") == State.ALIVE
+        assert one.state("x") == MemberState.ALIVE
     assert len(digests) == 1
 
 
@@ -109,7 +113,7 @@
     fleet.all["h2"].leave(fleet.now)
     fleet.talk()
     fleet.run(3)
-    assert fleet.all["h0"].state("h2") == State.LEFT
+    assert fleet.all["h0"].state("h2") == MemberState.LEFT
 
 
 class AnyRumours(RuleBasedStateMachine):
@@ -121,16 +125,16 @@
         self.largest: dict[str, tuple[int, int, int]] = {}
         self.mine = rank(self.one.me)
 
-    @rule(name=st.sampled_from("bcd"), state=st.sampled_from(list(State)), generation=st.integers(1, 3),
+    @rule(name=st.sampled_from("bcd"), state=st.sampled_from(list(MemberState)), generation=st.integers(1, 3),
           incarnation=st.integers(0, 3))  # fmt: skip
-    def hear(self, name: str, state: State, generation: int, incarnation: int) -> None:
+    def hear(self, name: str, state: MemberState, generation: int, incarnation: int) -> None:
         said = rumour(name, state, incarnation, generation)
-        self.one.receive(self.now, "z", m.Sync((said,), False))
+        self.one.receive(self.now, "z", m.StateSync((said,), False))
         self.largest[name] = max(self.largest.get(name, (0, 0, 0)), rank(said))
 
-    @rule(state=st.sampled_from(list(State)), incarnation=st.integers(0, 9))
-    def slander(self, state: State, incarnation: int) -> None:
-        self.one.receive(self.now, "z", m.Sync((rumour("a", state, incarnation, process=5),), False))
+    @rule(state=st.sampled_from(list(MemberState)), incarnation=st.integers(0, 9))
+    def slander(self, state: MemberState, incarnation: int) -> None:
+        self.one.receive(self.now, "z", m.StateSync((rumour("a", state, incarnation, process=5),), False))
 
     @rule(span=st.integers(0, 100_000))
     def pass_time(self, span: int) -> None:
@@ -145,7 +149,7 @@
         for name, largest in self.largest.items():
             member = dict(self.one).get(name)
             assert member is not None and rank(member.rumour) == largest
-        assert self.one.me.state == State.ALIVE and rank(self.one.me) >= self.mine
+        assert self.one.me.state == MemberState.ALIVE and rank(self.one.me) >= self.mine
         self.mine = rank(self.one.me)
 
 
--- a/tests/test_fleet_ledger.py
+++ b/tests/coordination/test_quota.py
@@ -8,92 +8,106 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from marllift import messages as m
-from marllift.charter import Charter
-from marllift.division import Claim, divide
-from marllift.holder import Floor, Holder
-from marllift.ledger import Ledger
-from marllift.witness import Known, Witness, judge
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
+from gaugesail.coordination.quota_division import QuotaClaim, divide
+from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.store_fencing import KnownStore, StoreFence, judge
 
-CHARTER = Charter("f", ("a", "b", "c"), most_heads=4)
+CHARTER = FleetTerms("f", ("a", "b", "c"), most_heads=4)
 
 
-def made(*commands: m.Command) -> Ledger:
-    ledger = Ledger(CHARTER)
+def made(*commands: m.Command) -> QuotaLedger:
+    ledger = QuotaLedger(CHARTER)
     for index, command in enumerate(commands, 1):
         ledger.apply(index, command)
     return ledger
 
 
-WHOLE = m.Wholes((("p", 100_000, 80_000),))
+WHOLE = m.SetLimits((("p", 100_000, 80_000),))
 
 
 def test_a_part_beyond_the_whole_less_all_floors_changes_nothing() -> None:
-    ledger = made(WHOLE, m.Settle(1), m.Open("a", 1, "s"), m.Open("b", 2, "t"))
+    ledger = made(WHOLE, m.SettleLimits(1), m.OpenSession("a", 1, "s"), m.OpenSession("b", 2, "t"))
     assert ledger.leasable("p") == (90_000, 40_000), "a tenth of the rate and half of the burst are floors"
-    assert ledger.apply(5, m.Part("p/1", 3, 90_000, 40_000))
-    assert not ledger.apply(6, m.Part("p/1", 4, 1, 0))
-    assert not ledger.apply(7, m.Part("p/1", 4, 0, 1))
-    assert ledger.apply(8, m.Part("p/2", 4, 90_000, 40_000)), "each volume has a whole of its own"
+    assert ledger.apply(5, m.AllocateQuota("p/1", 3, 90_000, 40_000))
+    assert not ledger.apply(6, m.AllocateQuota("p/1", 4, 1, 0))
+    assert not ledger.apply(7, m.AllocateQuota("p/1", 4, 0, 1))
+    assert ledger.apply(8, m.AllocateQuota("p/2", 4, 90_000, 40_000)), "each volume has a whole of its own"
 
 
 def test_a_part_rests_on_the_entry_that_it_replaces() -> None:
-    ledger = made(WHOLE, m.Settle(1), m.Open("a", 1, "s"), m.Part("p/1", 3, 50_000, 1000))
-    assert not ledger.apply(5, m.Part("p/1", 3, 60_000, 1000)), "it was for nobody's part"
-    assert ledger.apply(6, m.Part("p/1", 3, 60_000, 1000, 4))
-    assert not ledger.apply(7, m.Part("p/1", 3, 70_000, 1000, 4)), "and once"
+    ledger = made(
+        WHOLE, m.SettleLimits(1), m.OpenSession("a", 1, "s"), m.AllocateQuota("p/1", 3, 50_000, 1000)
+    )
+    assert not ledger.apply(5, m.AllocateQuota("p/1", 3, 60_000, 1000)), "it was for nobody's part"
+    assert ledger.apply(6, m.AllocateQuota("p/1", 3, 60_000, 1000, 4))
+    assert not ledger.apply(7, m.AllocateQuota("p/1", 3, 70_000, 1000, 4)), "and once"
     assert ledger.sums("p/1") == (60_000, 1000)
 
 
 def test_a_close_frees_the_parts_and_keeps_the_floor() -> None:
-    ledger = made(WHOLE, m.Settle(1), m.Open("a", 1, "s"), m.Part("p/1", 3, 90_000, 1000), m.Close(3))
+    ledger = made(
+        WHOLE,
+        m.SettleLimits(1),
+        m.OpenSession("a", 1, "s"),
+        m.AllocateQuota("p/1", 3, 90_000, 1000),
+        m.CloseSession(3),
+    )
     assert ledger.sums("p/1") == (0, 0) and not ledger.sessions
-    assert not ledger.apply(6, m.Part("p/1", 3, 1, 1)), "nothing is given to who is gone"
-    assert not ledger.apply(7, m.Close(3))
+    assert not ledger.apply(6, m.AllocateQuota("p/1", 3, 1, 1)), "nothing is given to who is gone"
+    assert not ledger.apply(7, m.CloseSession(3))
     assert ledger.slots[0].store == "s"
-    ledger.apply(8, m.Open("a", 9, "s"))
-    ledger.apply(9, m.Open("b", 10, "s2"))
+    ledger.apply(8, m.OpenSession("a", 9, "s"))
+    ledger.apply(9, m.OpenSession("b", 10, "s2"))
     assert [ledger.sessions[8].slot, ledger.sessions[9].slot] == [0, 1], "its own again, and never another's"
 
 
 def test_one_process_has_one_session_and_floors_end_with_the_slots() -> None:
-    ledger = made(*(m.Open(f"h{n}", n, f"s{n}") for n in range(1, 7)), m.Open("h1", 1, "s1"))
+    ledger = made(*(m.OpenSession(f"h{n}", n, f"s{n}") for n in range(1, 7)), m.OpenSession("h1", 1, "s1"))
     assert [item.slot for item in ledger.sessions.values()] == [0, 1, 2, 3, -1, -1]
-    ledger = made(m.Open("h", 1, ""))
+    ledger = made(m.OpenSession("h", 1, ""))
     assert ledger.sessions[1].slot == -1, "without a store there is no floor"
 
 
 def test_a_whole_is_lowered_at_once_and_raised_when_the_old_leases_are_over() -> None:
-    ledger = made(WHOLE, m.Settle(1))
+    ledger = made(WHOLE, m.SettleLimits(1))
     assert ledger.wholes["p"] == (100_000, 80_000) and ledger.settled
-    ledger.apply(3, m.Wholes((("p", 40_000, 90_000),)))
+    ledger.apply(3, m.SetLimits((("p", 40_000, 90_000),)))
     assert ledger.wholes["p"] == (40_000, 80_000) and not ledger.settled
-    assert not ledger.apply(4, m.Settle(1)), "that was of an earlier one"
-    assert ledger.apply(5, m.Settle(3))
+    assert not ledger.apply(4, m.SettleLimits(1)), "that was of an earlier one"
+    assert ledger.apply(5, m.SettleLimits(3))
     assert ledger.wholes["p"] == (40_000, 90_000) and ledger.settled
 
 
 def test_a_floor_counts_at_its_largest_until_its_holder_goes_by_less() -> None:
-    ledger = made(WHOLE, m.Settle(1), m.Open("a", 1, "s"))
-    ledger.apply(4, m.Wholes((("p", 20_000, 80_000),)))
-    ledger.apply(5, m.Settle(4))
+    ledger = made(WHOLE, m.SettleLimits(1), m.OpenSession("a", 1, "s"))
+    ledger.apply(4, m.SetLimits((("p", 20_000, 80_000),)))
+    ledger.apply(5, m.SettleLimits(4))
     assert ledger.floors("p")[0] == 2500 + 3 * 500, "one of the old whole, three of the new"
-    assert ledger.apply(6, m.FloorAt(0, ledger.version))
+    assert ledger.apply(6, m.AcknowledgeFloor(0, ledger.version))
     assert ledger.floors("p")[0] == 4 * 500
-    assert not ledger.apply(7, m.FloorAt(0, ledger.version))
+    assert not ledger.apply(7, m.AcknowledgeFloor(0, ledger.version))
 
 
 def test_a_head_with_a_session_is_not_forgotten() -> None:
-    ledger = made(m.Open("a", 1, "s"))
-    assert not ledger.apply(2, m.Forget("a")) and ledger.slots
-    ledger.apply(3, m.Close(1))
-    assert ledger.apply(4, m.Forget("a")) and not ledger.slots
-    assert not ledger.apply(5, m.Forget("a"))
+    ledger = made(m.OpenSession("a", 1, "s"))
+    assert not ledger.apply(2, m.ForgetHead("a")) and ledger.slots
+    ledger.apply(3, m.CloseSession(1))
+    assert ledger.apply(4, m.ForgetHead("a")) and not ledger.slots
+    assert not ledger.apply(5, m.ForgetHead("a"))
 
 
 def test_a_snapshot_is_the_whole_of_it() -> None:
-    ledger = made(WHOLE, m.Settle(1), m.Open("a", 1, "s"), m.Part("p/1", 3, 5, 6), m.Wholes((("p", 5, 5),)))
-    again = Ledger(CHARTER)
+    ledger = made(
+        WHOLE,
+        m.SettleLimits(1),
+        m.OpenSession("a", 1, "s"),
+        m.AllocateQuota("p/1", 3, 5, 6),
+        m.SetLimits((("p", 5, 5),)),
+    )
+    again = QuotaLedger(CHARTER)
     again.load(ledger.dump())
     assert again.dump() == ledger.dump() and again.floors("p") == ledger.floors("p")
     again.load(b"")
@@ -108,27 +122,27 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger, self.index = Ledger(CHARTER), 0
+        self.ledger, self.index = QuotaLedger(CHARTER), 0
 
     def put(self, command: m.Command) -> None:
         self.index += 1
         before = {amount: self.ledger.sums(amount) for amount in self.ledger.parts}
         done = self.ledger.apply(self.index, command)
-        if isinstance(command, m.Part) and not done:
+        if isinstance(command, m.AllocateQuota) and not done:
             assert before.get(command.amount, (0, 0)) == self.ledger.sums(command.amount)
 
     @initialize()
     def begin(self) -> None:
         self.put(WHOLE)
-        self.put(m.Settle(1))
+        self.put(m.SettleLimits(1))
 
     @rule(head=st.sampled_from("abcdef"), process=st.integers(1, 9), store=st.sampled_from(["", "s", "t"]))
     def open(self, head: str, process: int, store: str) -> None:
-        self.put(m.Open(head, process, store and head + store))
+        self.put(m.OpenSession(head, process, store and head + store))
 
     @rule(session=st.integers(1, 40))
     def close(self, session: int) -> None:
-        self.put(m.Close(session))
+        self.put(m.CloseSession(session))
 
     @precondition(lambda self: self.ledger.sessions)
     @rule(pick=st.integers(0, 9), rate=numbers, burst=numbers, amount=st.sampled_from(["p/1", "p/2"]),
@@ -138,25 +152,25 @@
         number = sessions[pick % len(sessions)]
         stake = self.ledger.parts.get(amount, {}).get(number)
         held = stake.version if stake is not None and fresh else 0
-        self.put(m.Part(amount, number, rate, burst, held))
+        self.put(m.AllocateQuota(amount, number, rate, burst, held))
 
     @rule(rate=numbers, burst=numbers)
     def wholes(self, rate: int, burst: int) -> None:
-        self.put(m.Wholes((("p", rate, burst),)))
+        self.put(m.SetLimits((("p", rate, burst),)))
 
     @rule()
     def settle(self) -> None:
-        self.put(m.Settle(self.ledger.version))
+        self.put(m.SettleLimits(self.ledger.version))
 
     @rule(slot=st.integers(0, 3), back=st.integers(0, 3))
     def floor_at(self, slot: int, back: int) -> None:
         found = self.ledger.slots.get(slot)
         if found is not None:
-            self.put(m.FloorAt(slot, found.versions[max(-len(found.versions), -1 - back)]))
+            self.put(m.AcknowledgeFloor(slot, found.versions[max(-len(found.versions), -1 - back)]))
 
     @rule(head=st.sampled_from("abcdef"))
     def forget(self, head: str) -> None:
-        self.put(m.Forget(head))
+        self.put(m.ForgetHead(head))
 
     @invariant()
     def slots_are_one_heads_each(self) -> None:
@@ -175,7 +189,7 @@
 
     @invariant()
     def a_dump_is_the_whole(self) -> None:
-        again = Ledger(CHARTER)
+        again = QuotaLedger(CHARTER)
         again.load(self.ledger.dump())
         assert again.dump() == self.ledger.dump()
 
@@ -186,7 +200,7 @@
 claims = st.dictionaries(
     st.integers(1, 9),
     st.builds(
-        Claim, st.integers(0, 200_000), st.integers(1, 5000),
+        QuotaClaim, st.integers(0, 200_000), st.integers(1, 5000),
         st.tuples(st.integers(0, 100_000), st.integers(0, 50_000)), st.integers(0, 20_000),
     ),
     max_size=6,
@@ -194,7 +208,7 @@
 
 
 @given(st.integers(0, 100_000), st.integers(0, 100_000), claims)
-def test_parts_sum_to_at_most_what_there_is(rate: int, burst: int, told: dict[int, Claim]) -> None:
+def test_parts_sum_to_at_most_what_there_is(rate: int, burst: int, told: dict[int, QuotaClaim]) -> None:
     parts = divide(rate, burst, told)
     assert set(parts) == set(told)
     assert sum(part[0] for part in parts.values()) <= rate
@@ -203,37 +217,45 @@
 
 
 def test_who_wants_little_has_it_all_and_the_rest_is_by_worth() -> None:
-    parts = divide(90_000, 90_000, {
-        1: Claim(5_000, 1000, (0, 0)), 2: Claim(200_000, 1000, (0, 0)), 3: Claim(200_000, 3000, (0, 0)),
-    })  # fmt: skip
+    parts = divide(
+        90_000,
+        90_000,
+        {
+            1: QuotaClaim(5_000, 1000, (0, 0)),
+            2: QuotaClaim(200_000, 1000, (0, 0)),
+            3: QuotaClaim(200_000, 3000, (0, 0)),
+        },
+    )
     assert parts[1][0] == 5_000
     assert abs(parts[3][0] - 3 * parts[2][0]) < 10 and parts[2][0] + parts[3][0] > 84_990
 
 
 def test_a_part_too_small_for_one_request_is_nobodys() -> None:
-    parts = divide(90_000, 10_000, {1: Claim(50_000, 2, (0, 0), 8000), 2: Claim(50_000, 1, (0, 0), 8000)})
+    parts = divide(
+        90_000, 10_000, {1: QuotaClaim(50_000, 2, (0, 0), 8000), 2: QuotaClaim(50_000, 1, (0, 0), 8000)}
+    )
     assert parts[1][0] > 0 and parts[2] == (0, 0)
 
 
 # ---- a holder's own count ----
 
 
-def holder(store: str = "s", now: int = 0) -> Holder:
-    made = Holder(CHARTER, "d", "h", 7, store, Floor(), now, random.Random(1))
+def holder(store: str = "s", now: int = 0) -> LeaseHolder:
+    made = LeaseHolder(CHARTER, "d", "h", 7, store, HeadFloor(), now, random.Random(1))
     made.state({"p": (100_000, 80_000)}, 8000)
     return made
 
 
-def asked(one: Holder, now: int) -> m.Ask:
+def asked(one: LeaseHolder, now: int) -> m.LeaseRequest:
     one.tick(now, ["a"])
     (_, ask), *_ = one.take_out()
-    assert isinstance(ask, m.Ask)
+    assert isinstance(ask, m.LeaseRequest)
     return ask
 
 
-def answer(ask: m.Ask, session: int = 5, term: int = 1, **more: object) -> m.Answer:
+def answer(ask: m.LeaseRequest, session: int = 5, term: int = 1, **more: object) -> m.LeaseResponse:
     given = {"fleet": "f", "slot": -1, "version": 0, "wholes": ()} | more
-    return m.Answer(ask.process, ask.number, m.Status.RENEWED, session, term, "a", given["slot"],  # type: ignore[arg-type]
+    return m.LeaseResponse(ask.process, ask.number, m.LeaseStatus.RENEWED, session, term, "a", given["slot"],  # type: ignore[arg-type]
                     given["version"], given["wholes"], given["fleet"])  # type: ignore[arg-type]  # fmt: skip
 
 
@@ -249,25 +271,25 @@
 def test_an_order_for_another_process_or_session_is_nothing() -> None:
     one = holder()
     one.receive(10, "a", answer(asked(one, 0)))
-    order = (m.Order("p/1", 9, 50_000, 8000),)
-    one.receive(20, "a", m.Orders(8, 5, "f", order))
-    one.receive(20, "a", m.Orders(7, 4, "f", order))
-    one.receive(20, "a", m.Orders(7, 5, "g", order))
+    order = (m.QuotaOrder("p/1", 9, 50_000, 8000),)
+    one.receive(20, "a", m.QuotaOrders(8, 5, "f", order))
+    one.receive(20, "a", m.QuotaOrders(7, 4, "f", order))
+    one.receive(20, "a", m.QuotaOrders(7, 5, "g", order))
     assert not one.book
-    one.receive(20, "a", m.Orders(7, 5, "f", order))
+    one.receive(20, "a", m.QuotaOrders(7, 5, "f", order))
     assert one.book["p/1"].rate == 50_000
-    one.receive(30, "a", m.Orders(7, 5, "f", (m.Order("p/1", 8, 90_000, 9000),)))
+    one.receive(30, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 8, 90_000, 9000),)))
     assert one.book["p/1"].rate == 50_000, "an older one"
-    one.receive(30, "a", m.Orders(7, 5, "f", (m.Order("p/1", 9, 20_000, 9000, True),)))
+    one.receive(30, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 20_000, 9000, True),)))
     assert (one.book["p/1"].rate, one.book["p/1"].burst) == (20_000, 8000), "less, never more"
-    one.receive(40, "a", m.Orders(7, 5, "f", order))
+    one.receive(40, "a", m.QuotaOrders(7, 5, "f", order))
     assert one.book["p/1"].rate == 20_000, "told once more, it is not taken back"
 
 
 def test_another_session_has_none_of_the_parts_of_the_one_before() -> None:
     one = holder()
     one.receive(10, "a", answer(asked(one, 0)))
-    one.receive(20, "a", m.Orders(7, 5, "f", (m.Order("p/1", 9, 50_000, 8000),)))
+    one.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 50_000, 8000),)))
     one.spendable()
     one.receive(2_000_000, "a", answer(asked(one, 1_500_000), session=6))
     told = one.spendable()
@@ -289,7 +311,7 @@
     one.leave(20)
     ask = asked(one, 20)
     assert ask.leaving
-    one.receive(30, "a", m.Answer(7, ask.number, m.Status.LEFT, 0, 1, "a"))
+    one.receive(30, "a", m.LeaseResponse(7, ask.number, m.LeaseStatus.LEFT, 0, 1, "a"))
     assert one.left and one.next_at > 1 << 60, "or its process would turn without end"
     one.tick(10_000_000, ["a"])
     assert not one.take_out()
@@ -305,17 +327,17 @@
 
 
 def test_a_store_is_judged_by_the_latest_mark_that_is_known_of_it() -> None:
-    known = Known(life=3, saves=40, process=9)
-    assert judge(None, m.Mark("s", 1, 1, 0, 5))
-    assert judge(known, m.Mark("s", 3, 41, 30, 9)), "the same process goes on"
-    assert judge(known, m.Mark("s", 4, 42, 41, 10)), "the next one, from a save as late"
-    assert not judge(known, m.Mark("s", 4, 42, 39, 10)), "from an older copy"
-    assert not judge(known, m.Mark("s", 3, 50, 45, 10)), "two of one life"
-    one = Witness({}, 0)
+    known = KnownStore(life=3, saves=40, process=9)
+    assert judge(None, m.StoreMark("s", 1, 1, 0, 5))
+    assert judge(known, m.StoreMark("s", 3, 41, 30, 9)), "the same process goes on"
+    assert judge(known, m.StoreMark("s", 4, 42, 41, 10)), "the next one, from a save as late"
+    assert not judge(known, m.StoreMark("s", 4, 42, 39, 10)), "from an older copy"
+    assert not judge(known, m.StoreMark("s", 3, 50, 45, 10)), "two of one life"
+    one = StoreFence({}, 0)
     assert not one.good(2)
-    one.told("a", m.Marked("s", 1, True))
+    one.told("a", m.StoreMarkVerdict("s", 1, True))
     assert not one.good(2), "of two others both are needed: more than half"
-    one.told("b", m.Marked("s", 1, True))
+    one.told("b", m.StoreMarkVerdict("s", 1, True))
     assert one.good(2)
-    one.told("a", m.Marked("s", 1, False))
+    one.told("a", m.StoreMarkVerdict("s", 1, False))
     assert one.stale and not one.good(2)
--- a/tests/test_engine.py
+++ b/tests/core/test_engine.py
@@ -11,14 +11,21 @@
 from gaugesail.core.engine import Engine
 from gaugesail.core.ports import Attempt, Order
 from gaugesail.logs import make_logger
+from gaugesail.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, StartAttempt, WriteLog
+from gaugesail.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    Event,
+    RequestReceived,
+)
+from gaugesail.policy.settings import Plan, RequestClass, Settings
 from gaugesail.rehearsal.memory import MemoryReactor
-from marllift import interface as api
-from marllift.interface import Result
 
 NODE = b"n1"
-SETTINGS = api.Settings(
-    (api.RequestClass("read", 500_000, 3_000_000),), (api.Plan("basic"),), max_attempts=2
-)
+SETTINGS = Settings((RequestClass("read", 500_000, 3_000_000),), (Plan("basic"),), max_attempts=2)
 
 
 class Rig:
@@ -29,20 +36,20 @@
         self.clock = ReactorClock(self.reactor, lambda: round(self.reactor.seconds() * 1e9), lambda: 10**18)
         self.sent: list[Attempt] = []
         self.aborted: list[Attempt] = []
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
         self.answers: list[tuple[str, Any]] = []
-        self.script: dict[type, list[api.Action]] = {}
+        self.script: dict[type, list[Action]] = {}
         self.gone = self.unwritten = False
         transport: Any = self
         self.engine = Engine(SETTINGS, 1, self.clock, transport, transport, make_logger(io.StringIO()), 4)
         gateway: Any = self
         self.engine._gateway = gateway
-        self.engine.start(api.NodeList(api.ListKind.CACHED, (api.Node(NODE, 0),)))
+        self.engine.start(EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 0),)))
 
-    def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         self.events += events
         actions = [action for event in events for action in self.script.pop(type(event), [])]
-        if any(isinstance(action, api.Log) for action in actions):
+        if any(isinstance(action, WriteLog) for action in actions):
             raise RuntimeError("told to")
         return actions
 
@@ -71,50 +78,50 @@
     def left(self) -> bool:
         return self.gone
 
-    def take(self, *actions: api.Action, name: str = "a") -> int:
-        self.script[api.Request] = list(actions)
+    def take(self, *actions: Action, name: str = "a") -> int:
+        self.script[RequestReceived] = list(actions)
         ticket = self.engine.take(Order(name, SETTINGS, 0, 1_000_000, "payload"), self)
         self.reactor.advance(0)
         return ticket
 
-    def outcomes(self) -> list[Result]:
-        return [event.result for event in self.events if isinstance(event, api.Outcome)]
+    def outcomes(self) -> list[AttemptResult]:
+        return [event.result for event in self.events if isinstance(event, AttemptEnded)]
 
 
 def test_a_second_attempt_beside_one_that_is_out_is_not_sent() -> None:
     rig = Rig()
-    rig.take(api.Send(1, NODE), api.Send(1, NODE))
+    rig.take(StartAttempt(1, NODE), StartAttempt(1, NODE))
     rig.reactor.advance(0)
-    assert len(rig.sent) == 1 and rig.outcomes() == [Result.MOOT]
+    assert len(rig.sent) == 1 and rig.outcomes() == [AttemptResult.NOT_STARTED]
 
 
 def test_attempts_past_the_cap_are_not_sent() -> None:
     rig = Rig()
-    rig.take(api.Send(1, NODE))
+    rig.take(StartAttempt(1, NODE))
     for _ in range(2):
-        rig.script[api.Outcome] = [api.Send(1, NODE)]
-        rig.engine.attempt_ended(rig.sent[-1], Result.ERROR)
+        rig.script[AttemptEnded] = [StartAttempt(1, NODE)]
+        rig.engine.attempt_ended(rig.sent[-1], AttemptResult.ERROR)
         rig.reactor.advance(0)
     assert len(rig.sent) == 2
     rig.reactor.advance(0)
-    assert rig.outcomes() == [Result.ERROR, Result.ERROR, Result.MOOT]
+    assert rig.outcomes() == [AttemptResult.ERROR, AttemptResult.ERROR, AttemptResult.NOT_STARTED]
 
 
 def test_nothing_is_sent_after_the_end() -> None:
     rig = Rig()
-    rig.take(api.Refuse(1, 5), api.Send(1, NODE))
+    rig.take(RejectRequest(1, 5), StartAttempt(1, NODE))
     rig.reactor.advance(0)
-    assert not rig.sent and rig.answers == [("refused", 5)] and rig.outcomes() == [Result.MOOT]
+    assert not rig.sent and rig.answers == [("refused", 5)] and rig.outcomes() == [AttemptResult.NOT_STARTED]
 
 
 def test_one_final_answer_whatever_is_told_later() -> None:
     rig = Rig()
-    rig.take(api.Send(1, NODE))
-    rig.script[api.Outcome] = [api.Fail(1), api.Refuse(1)]
-    rig.engine.attempt_ended(rig.sent[0], Result.SERVED, b"x")
-    rig.engine.attempt_ended(rig.sent[0], Result.RESET)
+    rig.take(StartAttempt(1, NODE))
+    rig.script[AttemptEnded] = [FailRequest(1), RejectRequest(1)]
+    rig.engine.attempt_ended(rig.sent[0], AttemptResult.SERVED, b"x")
+    rig.engine.attempt_ended(rig.sent[0], AttemptResult.RESET)
     rig.reactor.advance(2)
-    assert rig.answers == [("served", b"x")] and rig.outcomes() == [Result.SERVED]
+    assert rig.answers == [("served", b"x")] and rig.outcomes() == [AttemptResult.SERVED]
 
 
 def test_a_silent_module_still_answers_before_the_client_leaves() -> None:
@@ -128,61 +135,61 @@
 
 def test_an_attempt_is_aborted_at_its_deadline_before_the_module_hears() -> None:
     rig = Rig()
-    rig.take(api.Send(1, NODE, 200_000))
+    rig.take(StartAttempt(1, NODE, 200_000))
     rig.reactor.advance(0.1999)
     assert not rig.aborted
     rig.reactor.advance(0.0002)
-    assert rig.aborted == rig.sent and rig.outcomes() == [Result.TIMEOUT]
+    assert rig.aborted == rig.sent and rig.outcomes() == [AttemptResult.TIMEOUT]
 
 
 def test_cancelled_is_aborted_and_told_once() -> None:
     rig = Rig()
-    rig.take(api.Send(1, NODE), api.Cancel(1, 0), api.Cancel(1, 0))
+    rig.take(StartAttempt(1, NODE), CancelAttempt(1, 0), CancelAttempt(1, 0))
     rig.reactor.advance(0)
-    assert rig.aborted == rig.sent and rig.outcomes() == [Result.CANCELLED]
+    assert rig.aborted == rig.sent and rig.outcomes() == [AttemptResult.CANCELLED]
 
 
 @pytest.mark.parametrize("unwritten", [True, False])
 def test_what_its_client_has_left_ends_if_it_is_not_written_and_goes_on_if_it_is(unwritten: bool) -> None:
     rig = Rig()
-    ticket = rig.take(api.Send(1, NODE))
+    ticket = rig.take(StartAttempt(1, NODE))
     rig.unwritten = unwritten
     rig.engine.client_gone(ticket)
     rig.reactor.advance(0)
-    assert rig.outcomes() == ([Result.MOOT] if unwritten else [])
+    assert rig.outcomes() == ([AttemptResult.NOT_STARTED] if unwritten else [])
     assert rig.engine.attempts_out == (0 if unwritten else 1)
 
 
 def test_a_request_that_ends_before_the_module_has_it_is_never_told() -> None:
     rig = Rig()
-    rig.script[api.Request] = [api.Send(1, NODE)]
+    rig.script[RequestReceived] = [StartAttempt(1, NODE)]
     ticket = rig.engine.take(Order("a", SETTINGS, 0, 1_000_000, "payload"), rig)
     rig.engine.client_gone(ticket)
     rig.reactor.advance(0.01)
-    assert not rig.sent and not any(isinstance(event, api.Request) for event in rig.events)
+    assert not rig.sent and not any(isinstance(event, RequestReceived) for event in rig.events)
 
 
 def test_a_module_that_raises_loses_no_request_and_not_the_head() -> None:
     rig = Rig()
-    rig.take(api.Log("raise"))
+    rig.take(WriteLog("raise"))
     assert rig.answers == [("failed", "failed")] and rig.engine.counts["module_raised"] == 1
-    rig.take(api.Refuse(2), name="b")
+    rig.take(RejectRequest(2), name="b")
     assert rig.answers[-1] == ("refused", 0)
 
 
 def test_a_transport_that_raises_ends_the_attempt() -> None:
     rig = Rig()
     rig.send = None  # type: ignore[method-assign, assignment]
-    rig.take(api.Send(1, NODE))
+    rig.take(StartAttempt(1, NODE))
     rig.reactor.advance(0)
-    assert rig.outcomes() == [Result.RESET]
+    assert rig.outcomes() == [AttemptResult.RESET]
 
 
 def test_a_front_that_raises_harms_nobody_else() -> None:
     rig = Rig()
     rig.refused = None  # type: ignore[method-assign, assignment]
-    rig.take(api.Refuse(1))
-    rig.take(api.Fail(2), name="b")
+    rig.take(RejectRequest(1))
+    rig.take(FailRequest(2), name="b")
     assert rig.answers == [("failed", "failed")] and rig.engine.idle
 
 
@@ -208,7 +215,7 @@
 @pytest.mark.parametrize("left", [0, 3_000])
 def test_a_request_without_time_is_answered_and_not_sent(left: int) -> None:
     rig = Rig()
-    rig.script[api.Request] = [api.Send(1, NODE)]
+    rig.script[RequestReceived] = [StartAttempt(1, NODE)]
     rig.engine.take(Order("a", SETTINGS, 0, left, None), rig)
     rig.reactor.advance(0.01)
     assert not rig.sent and rig.answers == [("failed", "out of time")]
--- a/tests/test_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -10,8 +10,8 @@
 from gaugesail.core.rules import MOST_DRAINING, Breach, Denial, RuleMonitor, deny_send, deny_start
 from gaugesail.core.trace import MOST_STEPS, Step, Trace
 from gaugesail.http.bricks import BrickPool
-from marllift import interface as api
-from tests.turned import turned
+from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
+from tests.support.live_head import turned
 
 NOW, GRACE_US = 10_000_000, 250_000
 
@@ -60,8 +60,8 @@
     monitor = RuleMonitor(GRACE_US, log, trace)
     trace.note(NOW, "r", Step.TAKEN)
     if told is not None:
-        line = api.Node(b"n", 0, api.NodeMode.DRAINING)
-        monitor.listed(api.NodeList(api.ListKind.CHANGES, (line,)), told)
+        line = Endpoint(b"n", 0, EndpointState.DRAINING)
+        monitor.listed(EndpointList(EndpointListKind.CHANGES, (line,)), told)
     for one in begun:
         monitor.began(one, NOW)
     assert all("taken" in line["steps"] for line in log.lines)
@@ -83,8 +83,8 @@
 def test_a_node_that_is_ready_again_or_no_longer_listed_is_forgotten() -> None:
     log = Log()
     monitor = RuleMonitor(GRACE_US, log, Trace())
-    for mode in (api.NodeMode.DRAINING, api.NodeMode.READY):
-        news = api.NodeList(api.ListKind.CHANGES, (api.Node(b"n", 0, mode),))
+    for mode in (EndpointState.DRAINING, EndpointState.READY):
+        news = EndpointList(EndpointListKind.CHANGES, (Endpoint(b"n", 0, mode),))
         monitor.listed(news, NOW - 10 * GRACE_US)
     monitor.began(attempt(), NOW)
     assert not log.lines
@@ -93,8 +93,8 @@
 def test_nodes_that_come_and_go_by_the_thousand_are_forgotten() -> None:
     monitor = RuleMonitor(GRACE_US, Log(), Trace())
     for number in range(MOST_DRAINING + 10):
-        line = api.Node(b"%d" % number, 0, api.NodeMode.GONE)
-        monitor.listed(api.NodeList(api.ListKind.CHANGES, (line,)), NOW)
+        line = Endpoint(b"%d" % number, 0, EndpointState.GONE)
+        monitor.listed(EndpointList(EndpointListKind.CHANGES, (line,)), NOW)
     assert len(monitor._draining) == MOST_DRAINING
 
 
--- a/tests/test_fleet_agent.py
+++ b/tests/fleet/test_agent.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 from typing import Any
 
+from gaugesail.coordination import messages as m
 from gaugesail.core.clock import ReactorClock
 from gaugesail.fleet.agent import FleetAgent
 from gaugesail.fleet.link import Link
@@ -14,10 +15,10 @@
 from gaugesail.fleet.store import FleetStore, StoreFailed
 from gaugesail.fleet.wire import MOST_DATAGRAM, Wire
 from gaugesail.logs import make_logger
-from marllift import interface as api
-from marllift import messages as m
+from gaugesail.policy.events import QuotaChanged
+from gaugesail.policy.settings import Plan, RequestClass, Settings
 
-from .udp import UdpReactor
+from ..support.datagram_reactor import UdpReactor
 
 KEY = "k" * 20
 
@@ -26,14 +27,14 @@
     """The engine as an agent sees it."""
 
     def __init__(self) -> None:
-        self.settings = api.Settings(
-            classes=(api.RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
-            plans=(api.Plan("p", 100.0, limit=100.0, limit_burst=80.0),), most_units=8.0, fleet=True,
+        self.settings = Settings(
+            classes=(RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
+            plans=(Plan("p", 100.0, limit=100.0, limit_burst=80.0),), max_request_units=8.0, fleet_quota=True,
         )  # fmt: skip
-        self.shares: list[api.Shares] = []
+        self.shares: list[QuotaChanged] = []
         self.asked = 0.0
 
-    def share(self, event: api.Shares) -> None:
+    def share(self, event: QuotaChanged) -> None:
         self.shares.append(event)
 
     def wants(self) -> list[tuple[str, int, float, float, float]]:
@@ -41,7 +42,7 @@
 
     def part(self) -> float:
         """The rate that it was last told of."""
-        told = [part[2] for event in self.shares for part in event.parts]
+        told = [part[2] for event in self.shares for part in event.allocations]
         return told[-1] if told else 0.0
 
 
@@ -208,17 +209,17 @@
             lambda sender, process, message: heard.append(message),
         )  # fmt: skip
         links[name].listen(*where[name])
-    large = m.Petition(1, m.Forget("x" * 5 * MOST_DATAGRAM))
+    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MOST_DATAGRAM))
     links["a"].send("b", large)
-    links["a"].send("b", m.Compare(1))
-    links["a"].send("c", m.Compare(2))
+    links["a"].send("b", m.DigestOffer(1))
+    links["a"].send("c", m.DigestOffer(2))
     reactor.run_until(lambda: False, 1)
-    assert m.Compare(1) in heard and large in heard and len(heard) == 2
+    assert m.DigestOffer(1) in heard and large in heard and len(heard) == 2
     assert links["a"].counts["no_address"] == 1
     links["b"].close()
     links["a"].send("b", large)
     reactor.run_until(lambda: False, 1)
-    links["a"].send("b", m.Petition(1, m.Forget("x" * 9_000_000)))
+    links["a"].send("b", m.OperatorCommand(1, m.ForgetHead("x" * 9_000_000)))
     reactor.run_until(lambda: False, 1)
     assert len(heard) == 2 and links["a"].counts["too_large"] == 1
     reactor.run_until(lambda: False, 30)
--- a/tests/test_fleet_process.py
+++ b/tests/fleet/test_processes.py
@@ -13,7 +13,7 @@
 from gaugesail.fleet.settings import FleetError, digest, load_fleet, read_fleet
 from gaugesail.rehearsal.fleet.trial import KINDS
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 MUST = ("overspent", "lost", "answered_twice", "two_out", "errors")
 
 
@@ -41,7 +41,7 @@
         "import sys; from gaugesail import app, service; from gaugesail.iscsi import app as other\n"
         "bad = [name for name in ('msgspec', 'sqlite3', 'click', 'numpy') if name in sys.modules]\n"
         "bad += [name for name in sys.modules if name.startswith(('gaugesail.fleet', 'gaugesail.lab',"
-        " 'gaugesail.rehearsal')) or name in ('marllift.fleet', 'marllift.raft', 'marllift.members')]\n"
+        " 'gaugesail.rehearsal', 'gaugesail.coordination'))]\n"
         "print(bad); sys.exit(bool(bad))"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=False)
--- a/tests/test_fleet_rig.py
+++ b/tests/fleet/test_rig.py
@@ -23,7 +23,7 @@
 from gaugesail.rehearsal.fleet.world import LATE_S, Clients, FleetJudge, MovingDemand, Node
 from gaugesail.rehearsal.memory import MemoryReactor
 
-from .udp import UdpReactor
+from ..support.datagram_reactor import UdpReactor
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -202,7 +202,7 @@
 
 
 def test_a_newcomers_timeline_is_taken() -> None:
-    path = Path(__file__).parent.parent / "deploy" / "trials" / "newcomer.toml"
+    path = Path(__file__).parents[2] / "deploy" / "trials" / "newcomer.toml"
     assert [name for _, name in timeline_of(str(path), ["h0", "h1", "h2"])] == ["kill h1", "cut h2"]
 
 
@@ -228,9 +228,10 @@
 
     try:
         end = time.monotonic() + 30
-        while not any(
-            floor["rate"] for floor in told("budgets").get("own", {}).get("floors", {}).values()
-        ) and time.monotonic() < end:
+        while (
+            not any(floor["rate"] for floor in told("budgets").get("own", {}).get("floors", {}).values())
+            and time.monotonic() < end
+        ):
             time.sleep(0.2)
         budgets = told("budgets")
         assert budgets["own"]["floors"]["basic"]["rate"] == pytest.approx(100 * 0.1 / 8)
--- a/tests/test_fleet_store.py
+++ b/tests/fleet/test_store.py
@@ -8,27 +8,29 @@
 
 import pytest
 
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.consensus import Snapshot
+from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
 from gaugesail.fleet.store import FleetStore, StoreBusy, StoreFailed, accept
-from marllift import messages as m
-from marllift.fleet import Kept, Loaded, Save
-from marllift.raft import Snapshot
 
 
-def opened(folder: Path) -> tuple[FleetStore, Loaded]:
+def opened(folder: Path) -> tuple[FleetStore, StoredState]:
     store = FleetStore(str(folder), "h1")
     return store, store.open()
 
 
-def entries(*terms: int) -> tuple[m.Entry, ...]:
-    return tuple(m.Entry(term, m.Open("h", term, "")) for term in terms)
+def entries(*terms: int) -> tuple[m.LogEntry, ...]:
+    return tuple(m.LogEntry(term, m.OpenSession("h", term, "")) for term in terms)
 
 
 def test_what_is_written_is_there_for_the_next_process(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
     assert found.log == [] and found.kept.store
-    kept = Kept(found.kept.store, 3, 9, vote="h2#s", term=7, slot=2, version=4, wholes={"p": (1, 2)})
-    store.write(Save(kept, 1, entries(1, 1, 2)))
-    store.write(Save(kept, 3, entries(3)))
+    kept = PersistentState(
+        found.kept.store, 3, 9, vote="h2#s", term=7, slot=2, version=4, wholes={"p": (1, 2)}
+    )
+    store.write(StoreWrite(kept, 1, entries(1, 1, 2)))
+    store.write(StoreWrite(kept, 3, entries(3)))
     store.close()
     again = opened(tmp_path)[1]
     assert again.kept == kept and [entry.term for entry in again.log] == [1, 1, 3]
@@ -36,8 +38,8 @@
 
 def test_a_snapshot_takes_the_place_of_the_entries_before_it(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    store.write(Save(found.kept, 1, entries(1, 1, 2)))
-    store.write(Save(found.kept, snapshot=Snapshot(2, 1, ("a#b",), b"ledger")))
+    store.write(StoreWrite(found.kept, 1, entries(1, 1, 2)))
+    store.write(StoreWrite(found.kept, snapshot=Snapshot(2, 1, ("a#b",), b"ledger")))
     store.close()
     again = opened(tmp_path)[1]
     assert again.snapshot == Snapshot(2, 1, ("a#b",), b"ledger") and [e.term for e in again.log] == [2]
@@ -45,8 +47,8 @@
 
 def test_another_store_begins_with_no_log(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    store.write(Save(found.kept, 1, entries(1, 1)))
-    store.write(Save(Kept("other"), anew=True))
+    store.write(StoreWrite(found.kept, 1, entries(1, 1)))
+    store.write(StoreWrite(PersistentState("other"), anew=True))
     store.close()
     again = opened(tmp_path)[1]
     assert again.kept.store == "other" and not again.log and not again.snapshot.index
@@ -90,7 +92,7 @@
 @pytest.mark.parametrize("damage", ["truncated", "noise", "changed", "gap"])
 def test_a_torn_store_is_put_aside_and_a_fresh_one_made(tmp_path: Path, damage: str) -> None:
     store, found = opened(tmp_path)
-    store.write(Save(found.kept, 1, entries(1, 1, 2)))
+    store.write(StoreWrite(found.kept, 1, entries(1, 1, 2)))
     store.close()
     data = store.path.read_bytes()
     if damage == "truncated":
@@ -113,15 +115,15 @@
 
 def test_a_store_that_takes_no_more_says_so_and_keeps_what_it_had(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    store.write(Save(found.kept, 1, entries(1)))
+    store.write(StoreWrite(found.kept, 1, entries(1)))
     assert store._db is not None
     pages = store._db.execute("pragma page_count").fetchone()[0]
     store._db.execute(f"pragma max_page_count = {pages}")  # as a full disk would
-    big = tuple(m.Entry(2, m.Open("h" * 5000, n, "")) for n in range(20))
+    big = tuple(m.LogEntry(2, m.OpenSession("h" * 5000, n, "")) for n in range(20))
     with pytest.raises(StoreFailed):
-        store.write(Save(Kept(found.kept.store, 9), 2, big))
+        store.write(StoreWrite(PersistentState(found.kept.store, 9), 2, big))
     with pytest.raises(StoreFailed):
-        store.write(Save(found.kept))  # nothing more is said to be kept by this process
+        store.write(StoreWrite(found.kept))  # nothing more is said to be kept by this process
     again, loaded = opened(tmp_path)
     assert loaded.kept.life == found.kept.life and len(loaded.log) == 1
     again.close()
--- a/tests/test_fleet_disk.py
+++ b/tests/fleet/test_store_failures.py
@@ -17,7 +17,7 @@
 from gaugesail.iscsi.operator import write_toml
 from gaugesail.rehearsal.faults.shim import Call
 from gaugesail.rehearsal.fleet.heads import free_ports
-from tests.faulty import HOST, FaultyHead, HangingNode, faulty, folder_of, wait_until
+from tests.support.faulty_process import HOST, FaultyHead, HangingNode, faulty, folder_of, wait_until
 
 HEADS = ("a", "b", "c")
 KEY = "a key of the tests alone"
--- a/tests/test_fleet_wire.py
+++ b/tests/fleet/test_wire.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gaugesail.coordination import messages as m
 from gaugesail.fleet.wire import TAG_BYTES, VERSION, WINDOW, Envelope, Window, Wire
 from gaugesail.lab.fleet import FleetWorld, Limit
-from marllift import messages as m
 
 KEY = b"sixteen bytes and more"
 
@@ -21,13 +21,15 @@
 
 def test_a_message_comes_as_it_was_said() -> None:
     a, b = pair()
-    said = m.Ask(1, 2, 3, "d", "s", (("p", 1, 2),), 0, 0, 5, "f", 6, (m.Demand("p/1", 1, 2, 3),), ())
+    said = m.LeaseRequest(
+        1, 2, 3, "d", "s", (("p", 1, 2),), 0, 0, 5, "f", 6, (m.QuotaDemand("p/1", 1, 2, 3),), ()
+    )
     assert b.unpack(a.pack("b", said)) == ("a", 1, said)
 
 
 def test_what_comes_twice_is_taken_once_in_any_order() -> None:
     a, b = pair()
-    said = [a.pack("b", m.Compare(n)) for n in range(40)]
+    said = [a.pack("b", m.DigestOffer(n)) for n in range(40)]
     random.Random(1).shuffle(said)
     assert sum(b.unpack(data) is not None for data in said * 2) == 40
     assert b.dropped == {"replayed": 40}
@@ -35,17 +37,17 @@
 
 def test_each_reason_is_counted_and_nothing_is_taken() -> None:
     a, b = pair()
-    good = a.pack("b", m.Compare(1))
+    good = a.pack("b", m.DigestOffer(1))
     cases = {
         "foreign": b"hello", "version": good[:2] + bytes([VERSION + 1]) + good[3:],
-        "tag": good[:-1] + bytes([good[-1] ^ 1]), "fleet": Wire("g", "a", 1, KEY).pack("b", m.Compare(1)),
-        "not_ours": a.pack("c", m.Compare(1)), "own": Wire("f", "b", 2, KEY).pack("b", m.Compare(1)),
+        "tag": good[:-1] + bytes([good[-1] ^ 1]), "fleet": Wire("g", "a", 1, KEY).pack("b", m.DigestOffer(1)),
+        "not_ours": a.pack("c", m.DigestOffer(1)), "own": Wire("f", "b", 2, KEY).pack("b", m.DigestOffer(1)),
     }  # fmt: skip
     for why, data in cases.items():
         before = b.dropped[why]
         assert b.unpack(data) is None and b.dropped[why] == before + 1, why
-    assert Wire("f", "a", 1, b"another key, also long").pack("b", m.Compare(1)) != good
-    assert b.unpack(Wire("f", "a", 9, b"another key, also long").pack("b", m.Compare(1))) is None
+    assert Wire("f", "a", 1, b"another key, also long").pack("b", m.DigestOffer(1)) != good
+    assert b.unpack(Wire("f", "a", 9, b"another key, also long").pack("b", m.DigestOffer(1))) is None
     assert b.unpack(good) is not None, "and what was damaged did not use its number up"
 
 
@@ -80,9 +82,15 @@
     assert node is not None
     before = repr((node.view_members(0), node.view_budgets(0)))
     wire, other = Wire("f", "h0", 1, KEY), Wire("f", "h1", 2, KEY)
-    said = [other.pack("h0", message) for message in (
-        m.Compare(1), m.Vote("h1#s", 9, False, 9, 9), m.Ping(1, ()), m.Petition(1, m.Forget("h2")),
-    )]  # fmt: skip
+    said = [
+        other.pack("h0", message)
+        for message in (
+            m.DigestOffer(1),
+            m.VoteRequest("h1#s", 9, False, 9, 9),
+            m.Ping(1, ()),
+            m.OperatorCommand(1, m.ForgetHead("h2")),
+        )
+    ]
     taken = 0
     for _ in range(count):
         data = bytearray(rng.choice(said) if rng.random() < 0.8 else rng.randbytes(rng.randrange(200)))
--- a/tests/test_rare_clients.py
+++ b/tests/http/test_client_disconnects.py
@@ -14,7 +14,7 @@
 from gaugesail.http import bricks
 from gaugesail.http.front import ClientConnection
 
-from .turned import STEP_S, End, HeldDials, Turned, chunk, turned
+from ..support.live_head import STEP_S, End, HeldDials, Turned, chunk, turned
 
 Way = Callable[[Turned, End], None]
 BOUND_S = 0.3  # the outer bound of the operators
@@ -628,7 +628,7 @@
         way(rig, client)
         rig.pass_time(0.1)
         assert rig.until(lambda: brick.ends[0].gone() or body in brick.look(), 1.0)
-        assert body not in brick.look() and rig.head.engine.counts["attempt_moot"] == 1
+        assert body not in brick.look() and rig.head.engine.counts["attempt_not_started"] == 1
         again = rig.client()  # its id and its slot are free again
         again.send(rig.ask("left"))
         brick.request("left")
--- a/tests/test_rare_instants.py
+++ b/tests/http/test_connection_edges.py
@@ -10,7 +10,7 @@
 
 from gaugesail import config as configuration
 
-from .turned import End, Place, Turned, turned
+from ..support.live_head import End, Place, Turned, turned
 
 KILL_S = 5.7  # after SIGTERM
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -274,7 +274,7 @@
 ANSWERS = {
     "length": b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
     "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-              b"2;x=1\r\nwh\r\n3\r\nole\r\n0\r\nT: t\r\n\r\n",
+    b"2;x=1\r\nwh\r\n3\r\nole\r\n0\r\nT: t\r\n\r\n",
     "lower case": b"HTTP/1.1 200 ok\r\ncontent-length:5\r\n\r\nwhole",
     "no reason": b"HTTP/1.1 200 \r\nContent-Length:  5 \r\n\r\nwhole",
     "interim": b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
@@ -337,7 +337,7 @@
         client.send(rig.ask("b"))
         assert brick.request("b") is not end
         brick.answer("b", b"b!")
-        assert client.take(b"\r\n\r\nb!")[len(before):].count(b"HTTP/1.1 ") == 1
+        assert client.take(b"\r\n\r\nb!")[len(before) :].count(b"HTTP/1.1 ") == 1
 
 
 def test_a_reload_followed_by_a_drain() -> None:
--- a/tests/test_told.py
+++ b/tests/http/test_discovery_notifications.py
@@ -21,13 +21,14 @@
 from gaugesail.core.clock import ReactorClock
 from gaugesail.logs import make_logger
 from gaugesail.net import Connection
+from gaugesail.policy.actions import SetTimer
+from gaugesail.policy.events import EndpointList, EndpointListKind
+from gaugesail.policy.gateway import Gateway
 from gaugesail.rehearsal import defaults
 from gaugesail.rehearsal.memory import MemoryReactor
-from marllift import interface as api
-from marllift.decide import Gateway
 
-from .driver import settings as driver_settings
-from .turned import HEAD, End, Place, Turned, chunk, served, turned
+from ..support.gateway_driver import settings as driver_settings
+from ..support.live_head import HEAD, End, Place, Turned, chunk, served, turned
 
 TOLD_S = 6.0
 ANSWER_S = 2.0  # that a call may wait until its answer begins
@@ -391,10 +392,10 @@
     """Fifty that failed alike: later each time up to a second, and spread over as long."""
     waits: list[float] = []
     for seed in range(50):
-        gateway = Gateway(driver_settings(ask_for_lists=True), seed, 0)
+        gateway = Gateway(driver_settings(subscribes_to_endpoints=True), seed, 0)
         for _ in range(6):
-            [timer] = gateway.handle(0, [api.NodeList(api.ListKind.FAILED)])[-1:]
-        assert isinstance(timer, api.SetTimer)
+            [timer] = gateway.handle(0, [EndpointList(EndpointListKind.FAILED)])[-1:]
+        assert isinstance(timer, SetTimer)
         waits.append(timer.at_us / 1e6)
     assert min(waits) >= 0.5 and max(waits) <= 1.5
     assert len({int(wait * 20) for wait in waits}) >= 14, "they would come in a wave"
--- a/tests/test_rare_lists.py
+++ b/tests/http/test_endpoint_list_edges.py
@@ -9,7 +9,7 @@
 from gaugesail import config as configuration
 from gaugesail.http import discovery
 
-from .turned import HEAD, End, HeldDials, Place, Turned, chunk, served, turned
+from ..support.live_head import HEAD, End, HeldDials, Place, Turned, chunk, served, turned
 
 TOLD_S = 6.0  # after a watch fell silent all that it missed counts as told
 PUSHED = {"settings__discovery": "push"}
--- a/tests/test_time_in_kernel.py
+++ b/tests/http/test_kernel_wait.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from gaugesail.rehearsal.faults.shim import Call
-from tests.faulty import HOST, FaultyHead, HangingNode, faulty, wait_until
+from tests.support.faulty_process import HOST, FaultyHead, HangingNode, faulty, wait_until
 
 SLACK_MS = 150
 TIMEOUT_MS = 1500
--- a/tests/test_rare_nodes.py
+++ b/tests/http/test_node_connections.py
@@ -8,9 +8,9 @@
 import pytest
 
 from gaugesail.core.ports import Attempt
-from marllift.interface import Result
+from gaugesail.policy.events import AttemptResult
 
-from .turned import End, HeldDials, Turned, turned
+from ..support.live_head import End, HeldDials, Turned, turned
 
 FULL = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
@@ -45,7 +45,7 @@
         client = rig.client()
         client.send(rig.ask("a"))
         end = rig.bricks[0].request("a")
-        rig.head.engine._abort(out(rig), Result.TIMEOUT)
+        rig.head.engine._abort(out(rig), AttemptResult.TIMEOUT)
         assert end.gone(), "its connection is still open when the call returns"
 
 
--- a/tests/test_http.py
+++ b/tests/http/test_parser.py
@@ -21,16 +21,16 @@
 from gaugesail.http.discovery import BadList, read_list, split_address
 from gaugesail.http.parser import BadMessage, Data, End, Head, Parser
 from gaugesail.listening import ListeningPort
+from gaugesail.policy.events import AttemptResult
 from gaugesail.rehearsal import defaults
-from marllift.interface import Result
 
-from .rehearse import play
+from ..support.scenario_runner import play
 
 STREAM = (
     b"\r\nPUT /api?q=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello"
     b"GET /x HTTP/1.0\r\n\r\n"
     b"PUT /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-    b"3;x=1;y=\"2\"\r\nabc\r\n02 \r\nde\r\n000\r\nTrailer: t\r\nOther: u\r\n\r\n"
+    b'3;x=1;y="2"\r\nabc\r\n02 \r\nde\r\n000\r\nTrailer: t\r\nOther: u\r\n\r\n'
 )
 
 
@@ -111,7 +111,7 @@
     clock = SimpleNamespace(now_us=lambda: 1)
     pool: Any = SimpleNamespace(clock=clock, buffers=BufferPool(9), freed=ends.append, ended=lambda _: None)
     pool.finish, pool.max_answer = lambda _, *end: ends.append(end), 100
-    for written, result in ((False, Result.NO_CONNECTION), (True, Result.SERVED)):
+    for written, result in ((False, AttemptResult.NO_CONNECTION), (True, AttemptResult.SERVED)):
         connection, link = BrickConnection(pool, cast(Any, None), 0), cast(Any, StringTransport)()
         connection.transport = link
         connection.start(cast(Any, SimpleNamespace(attempt=None)), b"GET / HTTP/1.1\r\n\r\n")
--- a/tests/test_rare_standstill.py
+++ b/tests/http/test_process_stall.py
@@ -6,7 +6,7 @@
 
 from gaugesail.http import bricks
 
-from .turned import End, HeldDials, Turned, turned
+from ..support.live_head import End, HeldDials, Turned, turned
 
 STOOD_S = [0.3, 0.5, 1.0, 2.0]  # each longer than the time that drains leave
 
--- a/tests/test_rare_ends.py
+++ b/tests/http/test_shutdown.py
@@ -6,7 +6,7 @@
 
 from gaugesail import config as configuration
 
-from .turned import End, Place, Turned, turned
+from ..support.live_head import End, Place, Turned, turned
 
 LONGEST_S = 5.0  # of the settings' deadlines
 KILL_S = LONGEST_S + 0.7
--- a/tests/test_rare_iscsi.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -15,10 +15,10 @@
 from gaugesail.iscsi.operator import read_operator
 from gaugesail.logs import make_logger
 from gaugesail.net import unread
+from gaugesail.policy.events import AttemptResult
 from gaugesail.rehearsal.iscsi_peers import IscsiClient, IscsiNode, operator_file
-from marllift.interface import Result
 
-from .turned import Turning
+from ..support.live_head import Turning
 
 BOUND_S = 0.3
 
@@ -240,7 +240,7 @@
         session = rig.head.transport._books[b"n1"].session
         assert session is not None
         peer = rig.node.open[0].link.socket
-        session.drop(Result.RESET)
+        session.drop(AttemptResult.RESET)
         peer.setblocking(False)
         try:
             left = peer.recv(1 << 20)
--- a/tests/test_start_times.py
+++ b/tests/policy/test_node_starts.py
@@ -7,10 +7,17 @@
 
 import pytest
 
-from marllift import Gateway
-from marllift import interface as api
-from marllift.interface import ListKind
-from tests.faulty import FaultyHead, HangingNode, at_once, faulty, folder_of, wait_until
+from gaugesail.policy import Gateway
+from gaugesail.policy.events import (
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    MaintenanceChanged,
+    TimerFired,
+)
+from gaugesail.policy.settings import Plan, RequestClass, Settings
+from tests.support.faulty_process import FaultyHead, HangingNode, at_once, faulty, folder_of, wait_until
 
 HOUR_S = 3600.0
 ASKED = 8
@@ -65,38 +72,50 @@
 
 
 def gateway(now: int) -> Gateway:
-    classes = (api.RequestClass("read", 500_000, 3_000_000),)
+    classes = (RequestClass("read", 500_000, 3_000_000),)
     return Gateway(
-        api.Settings(classes=classes, plans=(api.Plan("basic", 8.0, 4.0),), fall_us=1_500_000,
-                     fall_multiple=3.0, cold_share=0.31, cold_units=22.0, warm_after_us=WARM_AFTER_US),
-        seed=7, now=now,
-    )  # fmt: skip
+        Settings(
+            classes=classes,
+            plans=(Plan("basic", 8.0, 4.0),),
+            overload_window_us=1_500_000,
+            overload_factor=3.0,
+            initial_capacity_share=0.31,
+            initial_capacity_units=22.0,
+            warm_up_us=WARM_AFTER_US,
+        ),
+        seed=7,
+        now=now,
+    )
 
 
-def hear(heard: Gateway, now: int, kind: ListKind, *starts: tuple[bytes, int]) -> None:
-    nodes = tuple(api.Node(name, shard, started_us=at) for shard, (name, at) in enumerate(starts))
-    heard.handle(now, [api.NodeList(kind, nodes)])
+def hear(heard: Gateway, now: int, kind: EndpointListKind, *starts: tuple[bytes, int]) -> None:
+    nodes = tuple(Endpoint(name, shard, started_us=at) for shard, (name, at) in enumerate(starts))
+    heard.handle(now, [EndpointList(kind, nodes)])
 
 
 def age_s(heard: Gateway, now: int, name: bytes) -> float:
     """How long ago a node started, as far as the gateway knows; infinite for one that is warm."""
-    since = heard.nodes[name].cold_since
-    return float("inf") if heard.cold.share(now, since) >= 1 or since is None else (now - since) / SECOND
+    since = heard.nodes[name].warming_since
+    return (
+        float("inf")
+        if heard.cold.capacity_share(now, since) >= 1 or since is None
+        else (now - since) / SECOND
+    )
 
 
 @pytest.mark.parametrize("off_s", [-3600, -3, 0, 3, 3600])
 def test_first_lists_tell_how_much_older_one_start_is_than_another(off_s: int) -> None:
     told, heard = NOW + off_s * SECOND, gateway(NOW)
     starts = (b"old", told - 60 * SECOND), (b"mid", told - 10 * SECOND), (b"new", told)
-    hear(heard, NOW, ListKind.CACHED, *starts)
+    hear(heard, NOW, EndpointListKind.CACHED, *starts)
     assert [age_s(heard, NOW, name) for name in (b"old", b"mid", b"new")] == [float("inf"), 10.0, 0.0]
 
 
 @pytest.mark.parametrize("off_s", [-3600, -3, 0, 3, 3600])
 def test_the_first_list_of_discovery_counts_from_what_the_known_one_told(off_s: int) -> None:
     told, heard = NOW + off_s * SECOND, gateway(NOW)
-    hear(heard, NOW, ListKind.CACHED, (b"old", told))
-    hear(heard, NOW + 5 * SECOND, ListKind.FULL, (b"old", told), (b"new", told + 2 * SECOND))
+    hear(heard, NOW, EndpointListKind.CACHED, (b"old", told))
+    hear(heard, NOW + 5 * SECOND, EndpointListKind.FULL, (b"old", told), (b"new", told + 2 * SECOND))
     assert age_s(heard, NOW + 5 * SECOND, b"old") == 5.0
     assert age_s(heard, NOW + 5 * SECOND, b"new") == 3.0
 
@@ -104,51 +123,51 @@
 @pytest.mark.parametrize("off_s", [-3600, -3, 0, 3, 3600])
 def test_a_start_that_comes_as_news_is_counted_from_then(off_s: int) -> None:
     heard = gateway(NOW)
-    hear(heard, NOW, ListKind.FULL, (b"a", 0), (b"b", NOW - 60 * SECOND))
+    hear(heard, NOW, EndpointListKind.FULL, (b"a", 0), (b"b", NOW - 60 * SECOND))
     now = NOW + 5 * SECOND
-    hear(heard, now, ListKind.CHANGES, (b"a", now + off_s * SECOND))
+    hear(heard, now, EndpointListKind.CHANGES, (b"a", now + off_s * SECOND))
     assert age_s(heard, now, b"a") == 0.0
     later = now + WARM_AFTER_US
-    hear(heard, later, ListKind.CHANGES, (b"a", now + off_s * SECOND))
+    hear(heard, later, EndpointListKind.CHANGES, (b"a", now + off_s * SECOND))
     assert age_s(heard, later, b"a") == float("inf"), "warm, whatever the clocks are"
 
 
 def test_a_list_that_drops_a_node_for_a_moment_makes_it_neither_warm_nor_colder() -> None:
     heard = gateway(NOW)
-    hear(heard, NOW, ListKind.FULL, (b"a", 0))
-    hear(heard, NOW + SECOND, ListKind.CHANGES, (b"a", NOW))
-    hear(heard, NOW + 2 * SECOND, ListKind.FULL)
-    heard.handle(NOW + 3 * SECOND, [api.TimerFired(1)])  # its book ends
+    hear(heard, NOW, EndpointListKind.FULL, (b"a", 0))
+    hear(heard, NOW + SECOND, EndpointListKind.CHANGES, (b"a", NOW))
+    hear(heard, NOW + 2 * SECOND, EndpointListKind.FULL)
+    heard.handle(NOW + 3 * SECOND, [TimerFired(1)])  # its book ends
     assert b"a" not in heard.nodes
-    hear(heard, NOW + 4 * SECOND, ListKind.FULL, (b"a", NOW))
+    hear(heard, NOW + 4 * SECOND, EndpointListKind.FULL, (b"a", NOW))
     assert age_s(heard, NOW + 4 * SECOND, b"a") == 3.0
 
 
 def test_a_restart_is_news_though_it_is_told_with_an_earlier_time_than_the_last() -> None:
     heard = gateway(NOW)
-    hear(heard, NOW, ListKind.FULL, (b"a", 0))
-    hear(heard, NOW + SECOND, ListKind.CHANGES, (b"a", NOW))
+    hear(heard, NOW, EndpointListKind.FULL, (b"a", 0))
+    hear(heard, NOW + SECOND, EndpointListKind.CHANGES, (b"a", NOW))
     later = NOW + 60 * SECOND
-    hear(heard, later, ListKind.CHANGES, (b"a", NOW - 3600 * SECOND))
+    hear(heard, later, EndpointListKind.CHANGES, (b"a", NOW - 3600 * SECOND))
     assert age_s(heard, later, b"a") == 0.0
 
 
 @pytest.mark.parametrize("off_s", [-3600, 0, 3600])
 def test_a_start_that_is_first_told_while_the_node_drains_counts_when_it_is_ready(off_s: int) -> None:
     heard, now = gateway(NOW), NOW + SECOND
-    hear(heard, NOW, ListKind.FULL, (b"a", 0))
-    draining = api.Node(b"a", 0, api.NodeMode.DRAINING, started_us=now + off_s * SECOND)
-    heard.handle(now, [api.NodeList(ListKind.CHANGES, (draining,))])
-    hear(heard, now + SECOND, ListKind.CHANGES, (b"a", now + off_s * SECOND))
+    hear(heard, NOW, EndpointListKind.FULL, (b"a", 0))
+    draining = Endpoint(b"a", 0, EndpointState.DRAINING, started_us=now + off_s * SECOND)
+    heard.handle(now, [EndpointList(EndpointListKind.CHANGES, (draining,))])
+    hear(heard, now + SECOND, EndpointListKind.CHANGES, (b"a", now + off_s * SECOND))
     assert age_s(heard, now + SECOND, b"a") == 1.0
 
 
 def test_a_call_back_from_maintenance_counts_whatever_was_told_meanwhile() -> None:
     heard, now = gateway(NOW), NOW + SECOND
-    hear(heard, NOW, ListKind.FULL, (b"a", 0))
-    heard.handle(NOW, [api.Maintenance(b"a", True)])
-    hear(heard, now, ListKind.CHANGES, (b"a", now))
+    hear(heard, NOW, EndpointListKind.FULL, (b"a", 0))
+    heard.handle(NOW, [MaintenanceChanged(b"a", True)])
+    hear(heard, now, EndpointListKind.CHANGES, (b"a", now))
     back = now + 5 * SECOND
-    heard.handle(back, [api.Maintenance(b"a", False)])
-    hear(heard, back + SECOND, ListKind.CHANGES, (b"a", now))
+    heard.handle(back, [MaintenanceChanged(b"a", False)])
+    hear(heard, back + SECOND, EndpointListKind.CHANGES, (b"a", now))
     assert age_s(heard, back + SECOND, b"a") == 1.0
--- a/tests/test_blame.py
+++ b/tests/policy/test_outlier_blame.py
@@ -4,46 +4,45 @@
 
 import pytest
 
-from marllift import interface as api
-from marllift.interface import Result
+from gaugesail.policy.events import AttemptEnded, AttemptResult
 
-from . import driver
+from ..support import gateway_driver
 
 
 def test_a_late_connection_is_no_fault_of_a_node_that_has_served_what_was_sent_later() -> None:
-    rig = driver.Driver(driver.settings())
-    rig.pass_time(3 * driver.SEC)
+    rig = gateway_driver.Driver(gateway_driver.settings())
+    rig.pass_time(3 * gateway_driver.SEC)
     late = rig.ask()
     rig.pass_time(10_000)
     other = rig.ask()
-    assert {send.request for send in rig.sends} >= {late, other}
-    node = rig.gateway.nodes[rig.sends[0].node]
+    assert {send.request_id for send in rig.sends} >= {late, other}
+    node = rig.gateway.nodes[rig.sends[0].node_id]
     rig.pass_time(20_000)
-    rig.feed(api.Outcome(other, 0, node.id, Result.SERVED, 20_000, True))
-    rig.feed(api.Outcome(late, 0, node.id, Result.NO_CONNECTION, 250_000, False))
-    assert not node.misses and node.next_at <= rig.now
+    rig.feed(AttemptEnded(other, 0, node.node_id, AttemptResult.SERVED, 20_000, True))
+    rig.feed(AttemptEnded(late, 0, node.node_id, AttemptResult.NO_CONNECTION, 250_000, False))
+    assert not node.consecutive_failures and node.backoff_until <= rig.now
 
 
 @pytest.mark.parametrize(("elapsed", "blamed"), [(60_000, False), (400_000, True)])
 def test_an_attempt_that_its_client_cut_short_is_no_hang_of_the_node(elapsed: int, blamed: bool) -> None:
     """One that ran out of time sooner than a node is allowed to take says nothing of the node."""
-    rig = driver.Driver(driver.settings())
-    rig.pass_time(3 * driver.SEC)
+    rig = gateway_driver.Driver(gateway_driver.settings())
+    rig.pass_time(3 * gateway_driver.SEC)
     rig.ask(give_up=elapsed)
     (send,) = rig.sends
-    node = rig.gateway.nodes[send.node]
-    learnt = list(node.latency)
+    node = rig.gateway.nodes[send.node_id]
+    learnt = list(node.latency_us)
     rig.pass_time(elapsed + 500_000)  # its time is up, and the control loop has had a period
     assert not rig.out
-    assert bool(node.misses) is blamed
+    assert bool(node.consecutive_failures) is blamed
     assert bool(rig.gateway.recovery.lines) is blamed
-    assert (node.latency != learnt) is blamed
+    assert (node.latency_us != learnt) is blamed
 
 
 def test_a_request_that_cannot_begin_is_refused_before_half_of_its_time_is_over() -> None:
     """From there on a refusal costs a part of its worth, though nothing was sent."""
-    rig = driver.Driver(driver.settings())
-    rig.pass_time(3 * driver.SEC)
+    rig = gateway_driver.Driver(gateway_driver.settings())
+    rig.pass_time(3 * gateway_driver.SEC)
     for number in range(8):  # more than the window holds
         rig.ask(key=number)
     began = rig.now
--- a/tests/test_placement.py
+++ b/tests/policy/test_routing.py
@@ -6,9 +6,11 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from marllift import Gateway, Settings
-from marllift import interface as api
-from tests.faulty import HangingNode, faulty, folder_of, wait_until
+from gaugesail.policy import Gateway, Settings
+from gaugesail.policy.actions import StartAttempt
+from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, RequestReceived
+from gaugesail.policy.settings import Plan, RequestClass
+from tests.support.faulty_process import HangingNode, faulty, folder_of, wait_until
 
 HEADS, NODES = 8, 8
 
@@ -26,24 +28,31 @@
         assert max(node.requests for node in nodes) <= HEADS // 2, [node.requests for node in nodes]
 
 
-CLASSES = (api.RequestClass("write", 500_000, 3_000_000, writes=True),)
+CLASSES = (RequestClass("write", 500_000, 3_000_000, writes=True),)
 NOW, SECOND = 1_000_000_000, 1_000_000
 
 
 def gateway(seed: int, shards: int = NODES) -> Gateway:
-    settings = Settings(classes=CLASSES, plans=(api.Plan("basic", 800.0, 400.0),), gateways=HEADS,
-                        fall_us=1_500_000, fall_multiple=3.0, cold_share=0.3, cold_units=20.0,
-                        warm_after_us=17 * SECOND)  # fmt: skip
+    settings = Settings(
+        classes=CLASSES,
+        plans=(Plan("basic", 800.0, 400.0),),
+        gateway_count=HEADS,
+        overload_window_us=1_500_000,
+        overload_factor=3.0,
+        initial_capacity_share=0.3,
+        initial_capacity_units=20.0,
+        warm_up_us=17 * SECOND,
+    )
     made = Gateway(settings, seed, NOW)
-    nodes = tuple(api.Node(b"n%d" % shard, shard) for shard in range(shards))
-    made.handle(NOW, [api.NodeList(api.ListKind.FULL, nodes)])
+    nodes = tuple(Endpoint(b"n%d" % shard, shard) for shard in range(shards))
+    made.handle(NOW, [EndpointList(EndpointListKind.FULL, nodes)])
     return made
 
 
 def placed(made: Gateway, number: int, now: int) -> bytes:
     """Where a new object goes."""
-    found = made.handle(now, [api.Request(number, 0, now + 3 * SECOND, shard=-1, key=number)])
-    return next(act.node for act in found if isinstance(act, api.Send))
+    found = made.handle(now, [RequestReceived(number, 0, now + 3 * SECOND, shard=-1, key=number)])
+    return next(act.node_id for act in found if isinstance(act, StartAttempt))
 
 
 def test_gateways_of_other_seeds_that_know_the_same_spread() -> None:
@@ -55,8 +64,8 @@
     counts = Counter[bytes]()
     for seed in range(200):
         made = gateway(seed)
-        made.nodes[b"n0"].latency = [10 * made.target[0]]
-        made.nodes[b"n1"].misses = 4
+        made.nodes[b"n0"].latency_us = [10 * made.target[0]]
+        made.nodes[b"n1"].consecutive_failures = 4
         counts[placed(made, 1, NOW + 1)] += 1
     assert counts[b"n0"] + counts[b"n1"] < 0.06 * 200
 
@@ -64,18 +73,18 @@
 def test_a_node_that_is_away_gets_nothing_and_none_at_all_is_borne() -> None:
     for seed in range(50):
         made = gateway(seed, 2)
-        gone = api.Node(b"n0", 0, api.NodeMode.DRAINING)
-        made.handle(NOW, [api.NodeList(api.ListKind.CHANGES, (gone,))])
+        gone = Endpoint(b"n0", 0, EndpointState.DRAINING)
+        made.handle(NOW, [EndpointList(EndpointListKind.CHANGES, (gone,))])
         assert placed(made, 1, NOW + 1) == b"n1"
-    made.handle(NOW, [api.NodeList(api.ListKind.FULL, ())])
-    made.handle(NOW + 2, [api.Request(2, 0, NOW + 3 * SECOND, shard=-1, key=2)])  # waits, or is refused
+    made.handle(NOW, [EndpointList(EndpointListKind.FULL, ())])
+    made.handle(NOW + 2, [RequestReceived(2, 0, NOW + 3 * SECOND, shard=-1, key=2)])  # waits, or is refused
 
 
 def test_shards_without_a_node_are_not_drawn() -> None:
     for seed in range(20):
         made = gateway(seed, 40)
-        gone = tuple(api.Node(b"n%d" % shard, shard, api.NodeMode.DRAINING) for shard in range(39))
-        made.handle(NOW, [api.NodeList(api.ListKind.CHANGES, gone)])
+        gone = tuple(Endpoint(b"n%d" % shard, shard, EndpointState.DRAINING) for shard in range(39))
+        made.handle(NOW, [EndpointList(EndpointListKind.CHANGES, gone)])
         assert placed(made, 1, NOW + 1) == b"n39"
 
 
--- a/tests/test_cold.py
+++ b/tests/policy/test_slow_start.py
@@ -11,13 +11,26 @@
 
 import pytest
 
-from marllift import interface as api
-from marllift.decide import Gateway
-
-from . import driver
-from .driver import SEC
-
-NODE = driver.node_id(1)
+from gaugesail.policy.actions import SendPeerMessage, SetTimer, StartAttempt
+from gaugesail.policy.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
+)
+from gaugesail.policy.gateway import Gateway
+from gaugesail.policy.settings import Plan, RequestClass
+
+from ..support import gateway_driver
+from ..support.gateway_driver import SEC
+
+NODE = gateway_driver.node_id(1)
 STEP = 10_000
 AIM = 500_000
 
@@ -27,50 +40,63 @@
 
     def __init__(self, gateways: int, busy: int, talk: bool, loss: float, restarts: bool) -> None:
         self.given = [
-            driver.settings(
-                classes=(api.RequestClass("get", AIM, 2 * SEC),), plans=(api.Plan("plan", 50.0, 50.0),),
-                gateways=gateways, me=me, fall_us=SEC, fall_multiple=2.0, cold_share=0.16,
-                warm_after_us=17 * SEC, cold_units=12.0, budget_window_us=0, may_tell=talk,
+            gateway_driver.settings(
+                classes=(RequestClass("get", AIM, 2 * SEC),),
+                plans=(Plan("plan", 50.0, 50.0),),
+                gateway_count=gateways,
+                gateway_index=me,
+                overload_window_us=SEC,
+                overload_factor=2.0,
+                initial_capacity_share=0.16,
+                warm_up_us=17 * SEC,
+                initial_capacity_units=12.0,
+                retry_budget_window_us=0,
+                peer_messages_allowed=talk,
             )
             for me in range(gateways)
-        ]  # fmt: skip
+        ]
         self.rng, self.now, self.start, self.busy = random.Random(5), 100 * SEC, 103 * SEC, busy
         self.loss, self.restarts = loss, restarts
         self.hosts = [Gateway(given, me, self.now) for me, given in enumerate(self.given)]
-        self.inbox: list[tuple[int, int, api.Event]] = []
-        self.queue: deque[tuple[int, int, api.Send, float]] = deque()  # sent at, gateway, send, work left
+        self.inbox: list[tuple[int, int, Event]] = []
+        self.queue: deque[tuple[int, int, StartAttempt, float]] = deque()  # sent at, gateway, send, work left
         self.units: dict[int, float] = {}
         self.sent: list[tuple[int, float]] = []
         self.answered: list[int] = []
         self.next_id = 1
         for me in range(gateways):
-            self.give(me, api.NodeList(api.ListKind.CACHED, (api.Node(NODE, 1),)))
+            self.give(me, EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 1),)))
 
-    def give(self, me: int, event: api.Event) -> None:
+    def give(self, me: int, event: Event) -> None:
         for action in self.hosts[me].handle(self.now, [event]):
-            if isinstance(action, api.Send):
-                self.queue.append((self.now, me, action, self.units[action.request]))
-                self.sent.append((self.now, self.units[action.request]))
-            elif isinstance(action, api.SetTimer):
-                self.inbox.append((action.at_us, me, api.TimerFired(action.token)))
-            elif isinstance(action, api.Tell):
+            if isinstance(action, StartAttempt):
+                self.queue.append((self.now, me, action, self.units[action.request_id]))
+                self.sent.append((self.now, self.units[action.request_id]))
+            elif isinstance(action, SetTimer):
+                self.inbox.append((action.at_us, me, TimerFired(action.token)))
+            elif isinstance(action, SendPeerMessage):
                 to = range(len(self.hosts)) if action.to is None else [action.to]
                 for peer in to:
                     if peer != me and self.rng.random() >= self.loss:
                         late = self.now + self.rng.randrange(1500, 19_000)
-                        self.inbox.append((late, peer, api.PeerMessage(me, action.data)))
+                        self.inbox.append((late, peer, PeerMessageReceived(me, action.data)))
 
     def power(self, at: int) -> float:
         """Units a second of the weakest legal node at that time."""
         given = self.given[0]
-        full = given.cold_units / (given.fall_us / SEC) / given.fall_multiple / given.cold_share
-        age = min(1.0, max(0.0, (at - self.start) / given.warm_after_us))
-        return full * (given.cold_share + (1 - given.cold_share) * age)
+        full = (
+            given.initial_capacity_units
+            / (given.overload_window_us / SEC)
+            / given.overload_factor
+            / given.initial_capacity_share
+        )
+        age = min(1.0, max(0.0, (at - self.start) / given.warm_up_us))
+        return full * (given.initial_capacity_share + (1 - given.initial_capacity_share) * age)
 
     def bears(self, until: int) -> float:
         """Units that it bears in the window that ends then."""
         marks = [until - SEC + SEC * (i * 2 + 1) // 40 for i in range(20)]
-        return self.given[0].fall_multiple * sum(self.power(mark) for mark in marks) / 20
+        return self.given[0].overload_factor * sum(self.power(mark) for mark in marks) / 20
 
     def run(self, span: int) -> None:
         end = self.now + span
@@ -82,14 +108,14 @@
                 self.queue.clear()
                 for me in range(len(self.hosts)):
                     late = self.now + self.rng.randrange(0, 800_000)
-                    news = api.NodeList(api.ListKind.CHANGES, (api.Node(NODE, 1, started_us=self.start),))
+                    news = EndpointList(EndpointListKind.CHANGES, (Endpoint(NODE, 1, started_us=self.start),))
                     self.inbox.append((late, me, news))
             if self.restarts and self.now > self.start and self.rng.random() < 0.02:
                 me = self.rng.randrange(self.busy)  # killed, and back at once with the list it had
                 self.hosts[me] = Gateway(self.given[me], me, self.now)
                 self.inbox = [i for i in self.inbox if i[1] != me]
-                line = api.Node(NODE, 1, started_us=self.start)
-                self.give(me, api.NodeList(api.ListKind.CACHED, (line,)))
+                line = Endpoint(NODE, 1, started_us=self.start)
+                self.give(me, EndpointList(EndpointListKind.CACHED, (line,)))
             for _, me, event in due:
                 self.give(me, event)
             work = self.power(self.now) * STEP / SEC
@@ -101,12 +127,12 @@
                 work -= left
                 self.answered.append(self.now)
                 taken = self.now - at
-                self.give(me, api.Outcome(send.request, 0, NODE, api.Result.SERVED, taken, True))
+                self.give(me, AttemptEnded(send.request_id, 0, NODE, AttemptResult.SERVED, taken, True))
             for me in range(self.busy):
                 if self.now > self.start + 900_000 and self.rng.random() < 0.1:
                     size = self.rng.choice([1.0, 1.0, 2.0, 2.0, 3.0, 6.0])
                     self.units[self.next_id] = size
-                    ask = api.Request(self.next_id, 0, self.now + 2 * SEC, 1, 0, size, 0, me, 1.0)
+                    ask = RequestReceived(self.next_id, 0, self.now + 2 * SEC, 1, 0, size, 0, me, 1.0)
                     self.next_id += 1
                     self.give(me, ask)
             window = [units for at, units in self.sent if self.now - SEC < at <= self.now]
@@ -136,18 +162,18 @@
 
 @pytest.mark.parametrize("data", [b"", b"?", b"\0" * 12, b"\xff" * 16, b"\xff" * 12, b"x" * 256])
 def test_garbage_from_a_peer_changes_nothing(data: bytes) -> None:
-    rig = driver.Driver(driver.settings(may_tell=True))
+    rig = gateway_driver.Driver(gateway_driver.settings(peer_messages_allowed=True))
     rig.pass_time(3 * SEC)
-    rig.list_nodes([(0, api.NodeMode.READY, rig.now)])
-    part = rig.gateway.nodes[driver.node_id(0)].part
-    assert not [a for a in rig.feed(api.PeerMessage(1, data)) if isinstance(a, api.Tell)]
-    assert rig.gateway.nodes[driver.node_id(0)].part == part
+    rig.list_nodes([(0, EndpointState.READY, rig.now)])
+    part = rig.gateway.nodes[gateway_driver.node_id(0)].slow_start_share
+    assert not [a for a in rig.feed(PeerMessageReceived(1, data)) if isinstance(a, SendPeerMessage)]
+    assert rig.gateway.nodes[gateway_driver.node_id(0)].slow_start_share == part
 
 
 def test_a_restarted_gateway_has_no_part_as_it_may_have_given_it_away() -> None:
     for talk in (True, False):
-        rig = driver.Driver(driver.settings(may_tell=talk), nodes=0)
-        rig.list_nodes([(0, api.NodeMode.READY, rig.now - SEC)], api.ListKind.CACHED)
+        rig = gateway_driver.Driver(gateway_driver.settings(peer_messages_allowed=talk), nodes=0)
+        rig.list_nodes([(0, EndpointState.READY, rig.now - SEC)], EndpointListKind.CACHED)
         rig.pass_time(3 * SEC)
         for _ in range(5):
             rig.ask(units=1.0)
--- a/tests/test_cold_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -13,9 +13,10 @@
 import pytest
 
 from gaugesail.lab.ramp import Play, Ramp, plays
-from marllift import interface as api
-from marllift.cold import ColdCare
-from marllift.decide import Gateway
+from gaugesail.policy.events import EndpointList, EndpointListKind
+from gaugesail.policy.gateway import Gateway
+from gaugesail.policy.settings import Plan, RequestClass, Settings
+from gaugesail.policy.slow_start import SlowStart
 
 SIZES = (5, 20, 30)
 
@@ -62,19 +63,19 @@
 
 def forgets(head: Gateway) -> None:
     """What was sent is not kept."""
-    head.cold.sent = lambda now, node, units: None  # type: ignore[method-assign]
+    head.cold.record_sent = lambda now, node, units: None  # type: ignore[method-assign]
 
 
 def drops(head: Gateway) -> None:
     """What was sent is forgotten with the book of a node that a list has dropped."""
     listed = head._list
 
-    def heard(event: api.NodeList) -> None:
-        if event.kind is api.ListKind.FULL:
+    def heard(event: EndpointList) -> None:
+        if event.kind is EndpointListKind.FULL:
             head.cold._unserved.clear()
         listed(event)
 
-    head.handlers[api.NodeList] = heard
+    head.handlers[EndpointList] = heard
 
 
 def sound(head: Gateway) -> None:
@@ -89,12 +90,12 @@
     play: Play
     seeds: tuple[int, ...]
     change: Callable[[Gateway], None] = sound
-    told: Callable[[api.Settings], api.Settings] = lambda given: given
+    told: Callable[[Settings], Settings] = lambda given: given
 
     def worst(self) -> float:
         """Of all its plays."""
 
-        def make(given: api.Settings, seed: int, now: int) -> Gateway:
+        def make(given: Settings, seed: int, now: int) -> Gateway:
             head = Gateway(given, seed, now)
             self.change(head)
             return head
@@ -106,14 +107,28 @@
 CROWD = Play(span=4.0, rate=100.0, slots=0)
 MANY = replace(CROWD, heads=20, slots=40)
 FAULTS = [
-    Fault("the part is not divided", MANY, (0, 1), told=lambda given: replace(given, gateways=1, me=0)),
-    Fault("all have their turn at once", replace(MANY, heads=30), (4, 7),
-          told=lambda given: replace(given, me=0)),
-    Fault("a cold node counts as warm", MANY, (0, 1), told=lambda given: replace(given, cold_share=1.0)),
+    Fault(
+        "the part is not divided",
+        MANY,
+        (0, 1),
+        told=lambda given: replace(given, gateway_count=1, gateway_index=0),
+    ),
+    Fault(
+        "all have their turn at once",
+        replace(MANY, heads=30),
+        (4, 7),
+        told=lambda given: replace(given, gateway_index=0),
+    ),
+    Fault(
+        "a cold node counts as warm",
+        MANY,
+        (0, 1),
+        told=lambda given: replace(given, initial_capacity_share=1.0),
+    ),
     Fault("a new life has its part at once", replace(CROWD, restarts="burst"), (8, 23), old_life),
     Fault("what was sent is not kept", CROWD, (4, 6, 11, 21, 23), forgets),
     Fault("a list that drops the node ends its book", replace(CROWD, flaps=True), (4, 21), drops),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
@@ -126,11 +141,18 @@
 @pytest.mark.parametrize("units", [0.5, 9.0, 24.0, 60.0])
 def test_the_turns_of_all_gateways_add_up_to_the_whole(heads: int, units: float) -> None:
     """At each moment, and over the time of the rule with half of the chance and a quantum more."""
-    given = api.Settings(
-        (api.RequestClass("read", 1, 1),), (api.Plan("plan"),), gateways=heads, fall_us=1_500_000,
-        fall_multiple=3.0, cold_share=0.31, warm_after_us=17_000_000, cold_units=units, mean_units=2.05,
-    )  # fmt: skip
-    cares = [ColdCare(replace(given, me=me), 0) for me in range(heads)]
+    given = Settings(
+        (RequestClass("read", 1, 1),),
+        (Plan("plan"),),
+        gateway_count=heads,
+        overload_window_us=1_500_000,
+        overload_factor=3.0,
+        initial_capacity_share=0.31,
+        warm_up_us=17_000_000,
+        initial_capacity_units=units,
+        mean_request_units=2.05,
+    )
+    cares = [SlowStart(replace(given, gateway_index=me), 0) for me in range(heads)]
     rng = random.Random(heads)
     root = (units / 2.05) ** 0.5 + 1
     quantum = 2.05 * min(2.0, root)
@@ -138,8 +160,8 @@
         borne = units * 2 / 3 * rng.uniform(1, 3)
         start = rng.randrange(10**15, 2 * 10**15)
         most = [0.0] * heads
-        for now in range(start, start + given.fall_us, 25_000):
-            parts = [care.turn(now, node, borne) * borne for care in cares]
+        for now in range(start, start + given.overload_window_us, 25_000):
+            parts = [care.share_in_turn(now, node, borne) * borne for care in cares]
             assert sum(parts) <= borne + quantum + 1e-6
             most = [max(pair) for pair in zip(most, parts, strict=True)]
         assert sum(most) <= borne + root * 2.05 + quantum + 1e-6
--- a/tests/test_process.py
+++ b/tests/process/test_command_line.py
@@ -9,7 +9,7 @@
 
 from gaugesail.iscsi.operator import load_operator
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def run(*arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
@@ -59,5 +59,5 @@
 
 
 def test_the_adapter_never_imports_twisted() -> None:
-    code = "import marllift.benchlink, sys; sys.exit('twisted' in sys.modules)"
+    code = "import gaugesail.simulator.adapter, sys; sys.exit('twisted' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
--- a/tests/test_rare_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -21,9 +21,9 @@
 from gaugesail.http.management import MOST_CALLS
 from gaugesail.rehearsal import defaults
 
-from .turned import HEAD, Turned, chunk
+from ..support.live_head import HEAD, Turned, chunk
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 AGAIN_S = 2.5  # after failed calls discovery is asked again within that, whatever clients do
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -124,7 +124,7 @@
     def call(self, path: str) -> bytes:
         end = self.client(self.calls)
         end.sendall(f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
-        return read_to(end, b"\n\r\n\r") [:15]
+        return read_to(end, b"\n\r\n\r")[:15]
 
     def close(self) -> None:
         self.child.kill()
--- a/tests/test_failing_calls.py
+++ b/tests/process/test_failing_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaugesail.rehearsal.faults.shim import DOCUMENTED, SHORT, Call
-from tests.faulty import ServingNode, answered_late, faulty
+from tests.support.faulty_process import ServingNode, answered_late, faulty
 
 # Errors of a connection itself, after which it has ended.
 ENDED = {errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE}
--- a/tests/test_operations.py
+++ b/tests/process/test_operations.py
@@ -16,13 +16,14 @@
 from gaugesail.core.retune import between
 from gaugesail.handover import Handover, Link
 from gaugesail.operations import NotYet, Operations
+from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
+from gaugesail.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from gaugesail.rehearsal.memory import MemoryReactor
 from gaugesail.rehearsal.scenario import split
 from gaugesail.rehearsal.worlds import MemoryWorld, rehearse
 from gaugesail.state import State, StateError, StateFile
-from marllift import interface as api
 
-from .rehearse import play
+from ..support.scenario_runner import play
 
 OUT = "brick b1\ncaller o1\nclient c1\nsend o1 call POST /bricks/b1/maint\nexpect o1 200\n"
 
@@ -64,7 +65,7 @@
 def test_ids_ever_listed_are_known_and_bounded() -> None:
     engine = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head.engine
     for n in range(MOST_IDS + 10):
-        engine.listed(api.NodeList(api.ListKind.CHANGES, (api.Node(b"s-%d" % n, 0, api.NodeMode.GONE),)))
+        engine.listed(EndpointList(EndpointListKind.CHANGES, (Endpoint(b"s-%d" % n, 0, EndpointState.GONE),)))
     assert engine.has_seen(b"s-11") and not engine.has_seen(b"s-1") and len(engine._seen) == MOST_IDS
 
 
@@ -109,7 +110,7 @@
 
 class Noise(Protocol):
     def connectionMade(self) -> None:
-        cast(Any, self.transport).write(b"{}\n[]\n{\"known\": {}, \"version\": 99}\n\xff\n")
+        cast(Any, self.transport).write(b'{}\n[]\n{"known": {}, "version": 99}\n\xff\n')
 
 
 def test_a_folder_whose_path_is_too_long_for_a_socket_is_named_another_way(tmp_path: Path) -> None:
@@ -163,16 +164,21 @@
 
 
 def test_between_two_settings_the_stricter_holds() -> None:
-    read, write = api.RequestClass("read", 5, 50), api.RequestClass("write", 5, 50, effect=api.Effect.UNSAFE)
-    old = api.Settings((read, write), (api.Plan("a"), api.Plan("b")), max_attempts=4)
-    changed = api.RequestClass("write", 9, 20, effect=api.Effect.KEYED, group=api.Group.SHARD)
-    new = api.Settings((changed, api.RequestClass("seal", 1, 2)), (api.Plan("b", 7.0),), max_attempts=2)
+    read, write = (
+        RequestClass("read", 5, 50),
+        RequestClass("write", 5, 50, idempotency=Idempotency.NOT_IDEMPOTENT),
+    )
+    old = Settings((read, write), (Plan("a"), Plan("b")), max_attempts=4)
+    changed = RequestClass(
+        "write", 9, 20, idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.SHARD
+    )
+    new = Settings((changed, RequestClass("seal", 1, 2)), (Plan("b", 7.0),), max_attempts=2)
     both = between(old, new)
     assert [spec.name for spec in both.classes] == ["write", "seal", "read"]
-    assert both.classes[0] == api.RequestClass(
-        "write", 9, 50, effect=api.Effect.UNSAFE, group=api.Group.SHARD
+    assert both.classes[0] == RequestClass(
+        "write", 9, 50, idempotency=Idempotency.NOT_IDEMPOTENT, deduplication_scope=DeduplicationScope.SHARD
     )
-    assert both.plans == (api.Plan("b", 7.0), api.Plan("a")) and both.max_attempts == 2
+    assert both.plans == (Plan("b", 7.0), Plan("a")) and both.max_attempts == 2
 
 
 def test_calls_at_both_processes_at_once_bind_both_and_are_kept(tmp_path: Path) -> None:
--- a/tests/test_lasting_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -14,8 +14,8 @@
 from gaugesail.rehearsal.faults.shim import Call
 from gaugesail.rehearsal.fleet.heads import free_ports
 from gaugesail.state import State
-from tests.faulty import HOST, FaultyHead, ServingNode, faulty, wait_until
-from tests.rehearse import play
+from tests.support.faulty_process import HOST, FaultyHead, ServingNode, faulty, wait_until
+from tests.support.scenario_runner import play
 
 NODE = "b0"
 
--- a/tests/test_start.py
+++ b/tests/process/test_startup.py
@@ -20,7 +20,7 @@
 
 from gaugesail.rehearsal import defaults
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 READY_S = 10.0
 Server = Callable[[socket.socket, int], None]
 
--- a/tests/test_wall_clock.py
+++ b/tests/process/test_wall_clock.py
@@ -5,7 +5,7 @@
 import time
 from pathlib import Path
 
-from tests.faulty import (
+from tests.support.faulty_process import (
     FaultyHead,
     HangingNode,
     ServingNode,
--- a/tests/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -9,13 +9,13 @@
 from gaugesail.core.engine import Engine
 from gaugesail.door import Door
 from gaugesail.http.front import ClientConnection
+from gaugesail.policy.gateway import Gateway
 from gaugesail.rehearsal.judge import Judge, RequestBook
 from gaugesail.rehearsal.memory import MemoryReactor
 from gaugesail.rehearsal.scenario import ScenarioFailed
 from gaugesail.service import Service
-from marllift.decide import Gateway
 
-from .rehearse import play
+from ..support.scenario_runner import play
 
 ASKED = "brick b1\nclient c1\nsend c1 request a\nexpect b1 request a\n"
 SERVED = ASKED + "send b1 answer a 200 hello\nexpect c1 200 hello\n"
--- a/tests/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -13,7 +13,7 @@
 from gaugesail.rehearsal.scenario import ScenarioFailed, split
 from gaugesail.rehearsal.worlds import MemoryWorld
 
-from .rehearse import FOLDER, play, scenarios
+from ..support.scenario_runner import FOLDER, play, scenarios
 
 ALL = scenarios(*sorted(path.name for path in FOLDER.iterdir()))
 
--- a/tests/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -13,7 +13,7 @@
 from gaugesail.rehearsal.soak import plan
 from gaugesail.rehearsal.soak.judge import ColdNodeWindow, Rule, SoakJudge
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 READ, WRITE, BOOKING, LEDGER = plan.KINDS
 DUE_S = 1.0
 
--- a/tests/test_wire.py
+++ b/tests/simulator/test_protocol.py
@@ -10,9 +10,10 @@
 
 import pytest
 
-from marllift import interface as api
-from marllift import wire
-from marllift.benchlink import serve
+from gaugesail.policy.actions import Action, WriteLog
+from gaugesail.policy.settings import Plan, RequestClass, Settings
+from gaugesail.simulator import protocol as wire
+from gaugesail.simulator.adapter import serve
 
 SETTINGS = """balancers=3
 me=0
@@ -69,7 +70,7 @@
 
 
 def test_note_and_crash_use_the_tail() -> None:
-    note = wire.write_reply([(5, api.Log("two servers known"))])
+    note = wire.write_reply([(5, WriteLog("two servers known"))])
     assert note.hex().startswith("01000000" + "31000000" + "4700" + "05000000" + "00000000" + "11000000")
     assert note.endswith(b"two servers known")
 
@@ -89,26 +90,30 @@
     ids=["header", "count", "code", "truncated", "missing", "word", "negative", "stranger"],
 )
 def test_malformed_input_ends_with_one_line(data: bytes, words: str) -> None:
-    done = subprocess.run([sys.executable, "-m", "marllift.benchlink"], input=data, capture_output=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "gaugesail.simulator.adapter"], input=data, capture_output=True
+    )
     assert done.returncode != 0
     text = done.stderr.decode()
     assert words in text and text.count("\n") == 1
 
 
 def test_an_exception_becomes_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: Any) -> list[api.Action]:
+    def broken(*_: Any) -> list[Action]:
         raise IndexError("out of range")
 
-    monkeypatch.setattr("marllift.decide.Gateway.handle", broken)
+    monkeypatch.setattr("gaugesail.policy.gateway.Gateway.handle", broken)
     assert b"IndexError: out of range" in talk(start())
 
 
 @pytest.mark.parametrize(
     ("changes", "key"),
-    [({"gateways": 0}, "gateways"), ({"fall_us": -1}, "fall_us"), ({"classes": ()}, "classes"),
-     ({"me": 9}, "me"), ({"mean_units": 0}, "mean_units"), ({"cold_share": "x"}, "cold_share")],
+    [({"gateway_count": 0}, "gateway_count"), ({"overload_window_us": -1}, "overload_window_us"),
+     ({"classes": ()}, "classes"), ({"gateway_index": 9}, "gateway_index"),
+     ({"mean_request_units": 0}, "mean_request_units"),
+     ({"initial_capacity_share": "x"}, "initial_capacity_share")],
 )  # fmt: skip
 def test_wrong_settings_name_the_key(changes: dict[str, Any], key: str) -> None:
-    given: dict[str, Any] = {"classes": (api.RequestClass("a", 1, 1),), "plans": (api.Plan("p"),)}
+    given: dict[str, Any] = {"classes": (RequestClass("a", 1, 1),), "plans": (Plan("p"),)}
     with pytest.raises(ValueError, match=key):
-        api.Settings(**{**given, **changes})
+        Settings(**{**given, **changes})
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What several test files use: drivers, stand-ins and runners."""
--- a/tests/faulty.py
+++ b/tests/support/faulty_process.py
@@ -22,7 +22,7 @@
 from gaugesail.rehearsal import defaults
 from gaugesail.rehearsal.faults.shim import Faults
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 READY_S = 20.0
 BEAT_S = 1.0  # between empty lines of a watch
 HOST = "127.0.0.1"
@@ -177,9 +177,7 @@
 class Answer:
     """A request on a connection of its own, and what came of it."""
 
-    def __init__(
-        self, head: FaultyHead, name: str, shard: int, timeout_ms: int, units: int
-    ) -> None:
+    def __init__(self, head: FaultyHead, name: str, shard: int, timeout_ms: int, units: int) -> None:
         self.due_s = timeout_ms / 1000
         self._socket = socket.create_connection((HOST, head.port), 5.0)
         self._socket.settimeout(0.0)
--- a/tests/rehearse.py
+++ b/tests/support/scenario_runner.py
@@ -7,7 +7,7 @@
 from gaugesail.rehearsal.scenario import Step, split
 from gaugesail.rehearsal.worlds import MemoryWorld, rehearse
 
-FOLDER = Path(__file__).parent / "scenarios"
+FOLDER = Path(__file__).parents[1] / "scenarios"
 
 
 def scenarios(*files: str) -> dict[str, list[Step]]:
