--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -226,12 +226,12 @@
 
 def test_a_volume_named_with_another_plan_or_other_hosts_is_another_book() -> None:
     rig = Driver(gateway_driver.settings(overload_window_us=0))
-    rig.ask(volume_id=7, plan=0, gateways_in_use=2.0)
+    rig.ask(volume_id=7, plan_index=0, gateways_in_use=2.0)
     book = rig.gateway.volumes[7, "small", 2.0]
     left = book.reserve_units, book.share_units, book.plan, book.gateways_in_use
     for _ in range(20):
-        rig.ask(volume_id=7, plan=1, gateways_in_use=2.0, units=6.0)
-        rig.ask(volume_id=7, plan=0, gateways_in_use=1.0, units=6.0)
+        rig.ask(volume_id=7, plan_index=1, gateways_in_use=2.0, units=6.0)
+        rig.ask(volume_id=7, plan_index=0, gateways_in_use=1.0, units=6.0)
     assert (book.reserve_units, book.share_units, book.plan, book.gateways_in_use) == left
 
 
