--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,6 +12,9 @@
 from tests import known_red
 
 ROOT = Path(__file__).parent.parent
+BAD = "tests/test_some.py::test_bad | make test | a | 35\n"
+GOOD = "tests/test_some.py::test_good | make test | b | 35\n"
+GONE = "tests/test_some.py::test_gone | make test | b | 35\n"
 TESTS = """
 def test_good(): pass
 def test_bad(): assert False, "a real fault"
@@ -44,32 +47,23 @@
 
 
 def test_a_listed_test_that_passes_fails_ci(tmp_path: Path) -> None:
-    listed = "tests/test_some.py::test_bad | make test | a | 35\ntests/test_some.py::test_good | make test | b | 35\n"
-    done = run(tmp_path, listed)
+    done = run(tmp_path, BAD + GOOD)
     assert done.returncode == 1 and "XPASS(strict)" in done.stdout
 
 
 def test_a_listed_test_that_does_not_exist_fails_ci(tmp_path: Path) -> None:
-    done = run(
-        tmp_path,
-        "tests/test_some.py::test_bad | make test | a | 35\ntests/test_some.py::test_gone | make test | b | 35\n",
-    )
+    done = run(tmp_path, BAD + GONE)
     assert done.returncode not in (0, 1) and "there is no test tests/test_some.py::test_gone" in done.stderr
 
 
 def test_over_several_workers_the_list_holds_as_well(tmp_path: Path) -> None:
     workers = "-n", "2", "--dist", "loadfile"
-    red = "tests/test_some.py::test_bad | make test | a | 35\n"
-    done = run(tmp_path, red, *workers)
+    done = run(tmp_path, BAD, *workers)
     assert done.returncode == 0 and "1 passed, 1 xfailed" in done.stdout
     assert "test_bad | make test | a | 35" in done.stdout
     assert run(tmp_path, "", *workers).returncode == 1
-    assert (
-        run(tmp_path, red + "tests/test_some.py::test_good | make test | b | 35\n", *workers).returncode == 1
-    )
-    assert (
-        run(tmp_path, red + "tests/test_some.py::test_gone | make test | b | 35\n", *workers).returncode != 0
-    )
+    assert run(tmp_path, BAD + GOOD, *workers).returncode == 1
+    assert run(tmp_path, BAD + GONE, *workers).returncode != 0
 
 
 def test_more_than_three_lines_fail_ci(tmp_path: Path) -> None:
