--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -166,7 +166,7 @@
 
         It is taken when it is whole, and runs when the module sends it; None where it can go nowhere.
         """
-        node = self._gateway.holder(order.shard)
+        node = self._gateway.node_of(order.shard)
         if node is None or node in self.away:
             return None
         return self._transport.stage(node, order, source)
@@ -228,7 +228,7 @@
     def wants(self) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
         under a limit that was asked for."""
-        return self._gateway.amounts.take_demand(self._clock.now_us())
+        return self._gateway.rate_limits.take_demand(self._clock.now_us())
 
     def overlap(self, on: bool) -> None:
         """Another process of this head works beside this one."""
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -341,7 +341,7 @@
             return
         asked = {
             amount_of(plan, volume): (units, spent, saved, 1000)
-            for plan, volume, units, spent, saved in self.gateway.amounts.take_demand(self.now())
+            for plan, volume, units, spent, saved in self.gateway.rate_limits.take_demand(self.now())
         }
         self.step(lambda node: node.want(self.now(), asked))
 
@@ -545,7 +545,7 @@
             rate = burst = 0.0
             for head in alive:
                 if head.gateway is not None:
-                    mine = head.gateway.amounts.allowance(head.now(), "plan", volume)
+                    mine = head.gateway.rate_limits.allowance(head.now(), "plan", volume)
                     rate, burst = rate + mine[0], burst + mine[1]
             most = max([judge.rate, *(item[1] for item in judge.later)])
             judge.fill(self.now)
--- a/gaugesail/policy/gateway.py
+++ b/gaugesail/policy/gateway.py
@@ -75,19 +75,23 @@
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.born, self.now = now, now
-        self.rng, self.cold, self.starts = random.Random(seed), SlowStart(settings, now), NodeStartTimes()
-        self.amounts = RateLimits(settings, now)
-        self.recovery = RecoveryRamp(settings, self.cold, random.Random(seed + 1))
-        self.placement = Router(self.cold, random.Random(seed + 2))
+        self.rng, self.slow_start, self.starts = (
+            random.Random(seed),
+            SlowStart(settings, now),
+            NodeStartTimes(),
+        )
+        self.rate_limits = RateLimits(settings, now)
+        self.recovery = RecoveryRamp(settings, self.slow_start, random.Random(seed + 1))
+        self.router = Router(self.slow_start, random.Random(seed + 2))
         self.places: dict[str, int] = {}  # of each class in the books
-        self.target, self.aims = list[float](), list[float]()  # by place
+        self.latency_targets_us, self.latency_objectives_us = list[float](), list[float]()  # by place
         self._settle(settings)
-        self.jobs: dict[int, PendingRequest] = {}
+        self.pending: dict[int, PendingRequest] = {}
         self.nodes: dict[NodeId, NodeRecord] = {}
-        self.away: set[NodeId] = set()  # in maintenance
-        self.shards: dict[int, ShardRecord] = defaultdict(lambda: ShardRecord(len(self.target)))
+        self.in_maintenance: set[NodeId] = set()  # in maintenance
+        self.shards: dict[int, ShardRecord] = defaultdict(lambda: ShardRecord(len(self.latency_targets_us)))
         self.volumes: dict[tuple[int, str, float], VolumeBudget] = {}
-        self.chains: dict[int, OrderedKey] = {}
+        self.ordered_keys: dict[int, OrderedKey] = {}
         self.acts: list[Action] = [SetTimer(now + PERIOD_US, BELL_PERIOD)]
         self.acts += [WatchEndpoints(True)] * settings.subscribes_to_endpoints
         self.handlers: dict[type, Callable[[Any], None]] = {
@@ -95,37 +99,46 @@
             EndpointList: self._list, PeerMessageReceived: self._peer, ClientDisconnected: self._gone,
             MaintenanceChanged: self._maintain, SiblingProcessChanged: self._overlap,
             SettingsChanged: self._retune,
-            QuotaChanged: lambda event: self.amounts.update_quota(self.now, event)}  # fmt: skip
+            QuotaChanged: lambda event: self.rate_limits.update_quota(self.now, event)}  # fmt: skip
         self.dirty: dict[int, ShardRecord] = {}
         self.walkers: list[PendingRequest] = []  # came in this batch, and do not wait
         self.ticking, self.watch_fails = False, 0
         self.alone_at = 0.0  # until then another process of this gateway has half of what is rationed
 
     def _settle(self, settings: Settings) -> None:
-        self.set, self.hold_off = settings, settings.longest_retry_after_us
-        self.cold.update_settings(settings)
-        self.amounts.update_settings(settings)
+        self.settings, self.hold_off = settings, settings.longest_retry_after_us
+        self.slow_start.update_settings(settings)
+        self.rate_limits.update_settings(settings)
         self.recovery.update_settings(settings)
-        self.tick = max(
+        self.tick_us = max(
             settings.tick_us, min(TICK_US, min(c.latency_objective_us for c in settings.classes) // TICKS)
         )
         self.tiers = (1.0, settings.fair_share_weight, settings.beyond_share_weight)
         self.floor = 1 / settings.gateway_count  # all hosts at their floor still keep one request out
-        self.target, self.aims = list(self.target), [float("inf")] * len(self.aims)  # of those no longer used
+        self.latency_targets_us, self.latency_objectives_us = (
+            list(self.latency_targets_us),
+            [float("inf")] * len(self.latency_objectives_us),
+        )  # of those no longer used
         for spec in settings.classes:
             place = self.places.setdefault(spec.name, len(self.places))
-            self.target[place:] = [spec.latency_objective_us * TARGET, *self.target[place + 1 :]]
-            self.aims[place:] = [spec.latency_objective_us, *self.aims[place + 1 :]]
+            self.latency_targets_us[place:] = [
+                spec.latency_objective_us * TARGET,
+                *self.latency_targets_us[place + 1 :],
+            ]
+            self.latency_objectives_us[place:] = [
+                spec.latency_objective_us,
+                *self.latency_objectives_us[place + 1 :],
+            ]
 
     def _retune(self, event: SettingsChanged) -> None:
         """Books go by the names of classes and plans; jobs keep what they were taken under."""
-        old = self.target
+        old = self.latency_targets_us
         self._settle(event.settings)
         for node in self.nodes.values():
-            node.widen(old, self.target)
+            node.widen(old, self.latency_targets_us)
         for shard in self.shards.values():
-            shard.widen(len(self.target))
-        plans = {plan.name: plan for plan in self.set.plans}
+            shard.widen(len(self.latency_targets_us))
+        plans = {plan.name: plan for plan in self.settings.plans}
         for volume in self.volumes.values():
             volume.plan = plans.get(volume.plan.name, volume.plan)
 
@@ -136,16 +149,16 @@
             if (handler := self.handlers.get(type(event))) is not None:
                 handler(event)
         for number, shard in self.dirty.items():
-            self.recovery.update_capacity(now, number, shard.node, self.lives)
+            self.recovery.update_capacity(now, number, shard.node, self.process_count)
             self._dispatch(shard)
             if (node := shard.node) is not None and node.share_requesters and node.warming_since is not None:
-                self._tell(self.cold.give_share(now, shard, node, self.lives))
+                self._tell(self.slow_start.give_share(now, shard, node, self.process_count))
         for job in self.walkers:  # there was no room for those whose place has not come
             if not (job.in_flight or job.finished or job.attempts):
                 self._end(job, "no_place")
         if not self.ticking and any(any(s.waiting) for s in self.shards.values()):
             self.ticking = True
-            self.acts.append(SetTimer(now + self.tick, BELL_TICK))
+            self.acts.append(SetTimer(now + self.tick_us, BELL_TICK))
         acts, self.acts = self.acts, []
         return acts
 
@@ -173,18 +186,20 @@
             book = self.nodes.get(line.node_id)
             if book is None:
                 book = NodeRecord(
-                    line.node_id, line.shard, line.zone, [START_WINDOW] * TIERS, list(self.target)
+                    line.node_id, line.shard, line.zone, [START_WINDOW] * TIERS, list(self.latency_targets_us)
                 )
                 # Unheard, it counts as the average of those heard of.
                 if known := [
-                    node.latency_us for node in self.nodes.values() if node.latency_us != self.target
+                    node.latency_us
+                    for node in self.nodes.values()
+                    if node.latency_us != self.latency_targets_us
                 ]:
                     book.latency_us = [sum(kind) / len(known) for kind in zip(*known, strict=True)]
                 self.nodes[line.node_id] = book
             if line.started_us not in (0, book.listed_start_us):
                 self._started(book, line.started_us, self.starts.started_at(self.now, line.node_id))
             book.listed = line.state is EndpointState.READY
-            if not book.listed or book.node_id in self.away:
+            if not book.listed or book.node_id in self.in_maintenance:
                 self._retire(book)
                 continue
             self._admit(book)
@@ -192,8 +207,8 @@
     def _started(self, node: NodeRecord, told: int, since: int) -> None:
         """A start that lists tell as ``told`` was at ``since`` on this gateway's clock, or later."""
         node.listed_start_us = told
-        node.warming_since = since if self.cold.capacity_share(self.now, since) < 1 else None
-        node.slow_start_share = self.cold.own_share(since)
+        node.warming_since = since if self.slow_start.capacity_share(self.now, since) < 1 else None
+        node.slow_start_share = self.slow_start.own_share(since)
         cold = node.warming_since is not None
         node.windows, node.consecutive_failures = [COLD_WINDOW if cold else START_WINDOW] * TIERS, 0
 
@@ -210,7 +225,9 @@
         shard = self.shards[node.shard]
         if shard.node is node:
             shard.node = None
-        shard.in_maintenance = shard.node is None and (shard.in_maintenance or node.node_id in self.away)
+        shard.in_maintenance = shard.node is None and (
+            shard.in_maintenance or node.node_id in self.in_maintenance
+        )
         if shard.node is None:
             self.recovery.node_removed(
                 self.now, node.shard, "maintenance" if shard.in_maintenance else "the list says so"
@@ -218,8 +235,8 @@
 
     def _maintain(self, event: MaintenanceChanged) -> None:
         """Out until the call back, whatever lists say; then a cold node, with its old faults forgotten."""
-        node, was = self.nodes.get(event.node_id), event.node_id in self.away
-        (self.away.add if event.in_maintenance else self.away.discard)(event.node_id)
+        node, was = self.nodes.get(event.node_id), event.node_id in self.in_maintenance
+        (self.in_maintenance.add if event.in_maintenance else self.in_maintenance.discard)(event.node_id)
         if node is None or was is event.in_maintenance:
             return
         self._retire(node)
@@ -232,16 +249,16 @@
 
     def _overlap(self, event: SiblingProcessChanged) -> None:
         # What the other has sent to a cold node counts for a window yet.
-        self.alone_at = float("inf") if event.present else self.now + self.set.overload_window_us
+        self.alone_at = float("inf") if event.present else self.now + self.settings.overload_window_us
 
     @property
-    def lives(self) -> int:
+    def process_count(self) -> int:
         return 1 + (self.now < self.alone_at)
 
     # ---- requests ----
 
     def _request(self, event: RequestReceived) -> None:
-        terms, now = event.settings or self.set, self.now
+        terms, now = event.settings or self.settings, self.now
         came = event.received_us or now
         spec = terms.classes[event.class_index]
         kind = self.places[spec.name]
@@ -250,18 +267,18 @@
             self.recovery.count_rejection("unlisted", "none")
             self.acts.append(RejectRequest(event.request_id, self.hold_off))
             return
-        self.amounts.record_request(now)
+        self.rate_limits.record_request(now)
         volume = self._volume(event, terms)
         # A client's repeat has less time than its class, and part of its aim is gone.  Past its aim a request
         # earns next to nothing and delays the rest: there it ends.
         first = self.recovery.first_received_at(came, event, kind, event.deadline_us - spec.deadline_us)
-        aim_at = min(first + spec.latency_objective_us, event.deadline_us - 2 * self.tick)
-        chain = self.chains.setdefault(event.key, OrderedKey()) if spec.ordered and event.key else None
+        aim_at = min(first + spec.latency_objective_us, event.deadline_us - 2 * self.tick_us)
+        chain = self.ordered_keys.setdefault(event.key, OrderedKey()) if spec.ordered and event.key else None
         movable = event.shard < 0
-        number = self.placement.choose(now, self.shards, kind) if movable else event.shard
+        number = self.router.choose(now, self.shards, kind) if movable else event.shard
         job = PendingRequest(event.request_id, kind, spec, volume, number, movable, event.units,
                   came, aim_at, event.deadline_us, chain, terms.max_attempts)  # fmt: skip
-        self.jobs[job.request_id] = job
+        self.pending[job.request_id] = job
         if chain is not None:
             chain.pending.append(job)
         self.shards[number].arrivals[job.class_index] += 1
@@ -269,7 +286,7 @@
         if self._walks(job):
             self.walkers.append(job)
         self._wait(job)
-        if aim_at <= now + self.tick:
+        if aim_at <= now + self.tick_us:
             self._end(job, "too_late")  # the next look at the queue may come too late for rule 1
 
     def _walks(self, job: PendingRequest) -> bool:
@@ -284,25 +301,25 @@
         plan = terms.plans[event.plan_index]
         name = event.volume_id, plan.name, event.gateways_in_use
         if (volume := self.volumes.get(name)) is None:
-            limit = self.amounts.open_bucket(self.now, plan, event.volume_id, event.gateways_in_use)
-            reserve = plan.reserve + self.set.max_request_units
+            limit = self.rate_limits.open_bucket(self.now, plan, event.volume_id, event.gateways_in_use)
+            reserve = plan.reserve + self.settings.max_request_units
             volume = VolumeBudget(plan, event.gateways_in_use, self.born, reserve, plan.rate, limit)
             self.volumes[name] = volume
         self._refill(volume)
-        self.amounts.record_demand(self.now, volume.limit_bucket, event.volume_id, event.units)
+        self.rate_limits.record_demand(self.now, volume.limit_bucket, event.volume_id, event.units)
         volume.open_requests += 1
         return volume
 
     def _refill(self, volume: VolumeBudget) -> None:
-        volume.refill(self.now, self.set.max_request_units)
-        self.amounts.refill(self.now, volume.limit_bucket, volume.gateways_in_use, self.lives)
+        volume.refill(self.now, self.settings.max_request_units)
+        self.rate_limits.refill(self.now, volume.limit_bucket, volume.gateways_in_use, self.process_count)
 
     def _wait(self, job: PendingRequest) -> None:
         self.shards[job.shard].waiting[job.class_index].append(job)
         self.dirty[job.shard] = self.shards[job.shard]
 
     def _gone(self, event: ClientDisconnected) -> None:
-        if (job := self.jobs.get(event.request_id)) is not None:
+        if (job := self.pending.get(event.request_id)) is not None:
             self.recovery.client_disconnected(self.now, job)
             self._forget(job)
 
@@ -310,7 +327,7 @@
         """The request is finished; what it still has out stays in the node's book."""
         job.finished = True
         job.volume.open_requests -= 1
-        del self.jobs[job.request_id]
+        del self.pending[job.request_id]
         if not job.in_flight:
             self.shards[job.shard].waiting[job.class_index].remove(job)
             self.recovery.left_queue(job)
@@ -347,7 +364,7 @@
         """Before when what may have run may begin again, where its class bounds that; 0: it does not."""
         bound = job.possibly_executed_at is not None and job.request_class.idempotency is Idempotency.KEYED
         return (
-            (job.possibly_executed_at or 0) + job.request_class.deduplication_window_us - self.tick
+            (job.possibly_executed_at or 0) + job.request_class.deduplication_window_us - self.tick_us
             if bound
             else 0
         )
@@ -380,7 +397,7 @@
                 0,
                 max(node.latest_success_sent_at, job.sent_at),
             )
-            self.cold.record_served(node, job.sent_at, job.units)
+            self.slow_start.record_served(node, job.sent_at, job.units)
             job.volume.reserve_units -= event.served_elsewhere_units
         elif not blameless and result not in (AttemptResult.NOT_STARTED, AttemptResult.CANCELLED):
             # A connection that broke is mostly the connection's fault, a second one in a row the node's.
@@ -389,7 +406,7 @@
             if result is not AttemptResult.ERROR and not broke:
                 # It may still hold what timed out: a pause, so that its queue drains.  Hurts after bad luck.
                 pause = (
-                    min(self.target)
+                    min(self.latency_targets_us)
                     * BACKOFF
                     * 2 ** min(node.consecutive_failures, 6)
                     * (0.5 + self.rng.random())
@@ -400,7 +417,7 @@
         if chain is not None:
             chain.in_flight -= 1
             if result in UNENDED:
-                chain.quiet_until, chain.quiet_except = self.now + self.set.ordered_key_pause_us, job
+                chain.quiet_until, chain.quiet_except = self.now + self.settings.ordered_key_pause_us, job
             self._next_in(chain)
         if job.finished:
             return
@@ -409,15 +426,15 @@
             self._forget(job)
             return
         if job.any_shard and job.possibly_executed_at is None:
-            job.shard = self.placement.choose(self.now, self.shards, job.class_index)
-        job.not_before = self.now + self.tick
+            job.shard = self.router.choose(self.now, self.shards, job.class_index)
+        job.not_before = self.now + self.tick_us
         self._wait(job)
         if result is AttemptResult.NOT_STARTED or not self._may_repeat(job):
             self._end(job, "no_repeat")
 
     # ---- sending ----
 
-    def holder(self, shard: int) -> NodeId | None:
+    def node_of(self, shard: int) -> NodeId | None:
         """Where a large request for a shard may be written while it comes; it runs only once it is sent."""
         node = self.shards[shard].node if shard in self.shards else None
         return None if node is None else node.node_id
@@ -428,7 +445,7 @@
         stuck = [
             job
             for job in node.in_flight.values()
-            if self.now - job.sent_at > STUCK * self.target[job.class_index]
+            if self.now - job.sent_at > STUCK * self.latency_targets_us[job.class_index]
         ]
         hangs = any(
             job.sent_at >= node.latest_success_sent_at for job in stuck
@@ -440,7 +457,7 @@
         return free and self.recovery.may_send(self.now, node.shard, len(node.in_flight))
 
     def _peer(self, event: PeerMessageReceived) -> None:
-        if (number := self.cold.receive(self.now, event, self.shards)) is not None:
+        if (number := self.slow_start.receive(self.now, event, self.shards)) is not None:
             self.dirty[number] = self.shards[number]
 
     def _blocked(self, job: PendingRequest, node: NodeRecord, cold_room: float) -> bool:
@@ -457,8 +474,8 @@
             job.possibly_executed_at is not None
             and job.request_class.deduplication_scope is DeduplicationScope.ZONE
         )
-        return (risky and node.zone != job.possibly_executed_zone) or not self.amounts.retry_allowed(
-            now, self.lives
+        return (risky and node.zone != job.possibly_executed_zone) or not self.rate_limits.retry_allowed(
+            now, self.process_count
         )
 
     def _tier(self, job: PendingRequest) -> int:
@@ -478,8 +495,8 @@
         line = self.recovery.ordering_queue(node.shard)
         while any(room := [self._room(node, tier) for tier in range(TIERS)]):
             best, chosen = (-2, False, -1.0, 0), None
-            borne, cold_room = self.cold.capacity(
-                self.now, node, self.lives, self.recovery.is_crowded(node.shard)
+            borne, cold_room = self.slow_start.capacity(
+                self.now, node, self.process_count, self.recovery.is_crowded(node.shard)
             )
             for kind, waiting in enumerate(shard.waiting):
                 in_slots = node.class_in_flight[kind] < node.class_slots[kind]
@@ -491,7 +508,7 @@
                     if room[tier] and rank > best and not self._blocked(job, node, cold_room):
                         best, chosen = rank, job
             if chosen is None:
-                self._tell(self.cold.request_share(self.now, node, borne))
+                self._tell(self.slow_start.request_share(self.now, node, borne))
                 return
             self._send(chosen, shard, node)
 
@@ -525,19 +542,19 @@
         # One that hangs gives its slot back; what must not run twice waits to the end: it could not go again.
         longer = PATIENCE * self.recovery.timeout_factor(job)
         patience = (
-            int(longer * self.target[job.class_index])
+            int(longer * self.latency_targets_us[job.class_index])
             if job.request_class.idempotency is Idempotency.IDEMPOTENT
             else 0
         )
         volume = job.volume
         if job.attempts == 0:
-            job.start_before = self.amounts.spend(self.now, volume.limit_bucket, job.units)
+            job.start_before = self.rate_limits.spend(self.now, volume.limit_bucket, job.units)
             if volume.reserve_units >= job.units / 2:
                 volume.reserve_units -= job.units
             else:
                 volume.share_units -= job.units
         else:
-            self.amounts.record_retry(self.now)
+            self.rate_limits.record_retry(self.now)
         before = (
             job.start_before if job.possibly_executed_at is None else self._until(job)
         )  # what may have arrived is spent
@@ -545,7 +562,7 @@
         node.in_flight[(job.request_id, job.attempts)] = job
         node.class_in_flight[job.class_index] += 1
         node.peak_in_flight = max(node.peak_in_flight, len(node.in_flight))
-        self.cold.record_sent(self.now, node, job.units)
+        self.slow_start.record_sent(self.now, node, job.units)
         job.attempts, job.in_flight, job.sent_at = job.attempts + 1, True, self.now
         if job.ordered_key is not None:
             job.ordered_key.in_flight += 1
@@ -564,7 +581,7 @@
                         self._end(job, "away" if barred else "aim" if late else "no_repeat")
                     elif job.any_shard and job.possibly_executed_at is None and shard.node is None:
                         shard.waiting[job.class_index].remove(job)
-                        job.shard = self.placement.choose(self.now, self.shards, job.class_index)
+                        job.shard = self.router.choose(self.now, self.shards, job.class_index)
                         self._wait(job)
                 for job in self._hopeless(shard):
                     self._end(job, "hopeless")
@@ -573,16 +590,18 @@
         elif event.token == BELL_PERIOD:
             self.acts.append(SetTimer(self.now + PERIOD_US, BELL_PERIOD))
             self.acts += self.recovery.end_control_period(
-                self.now, {number: shard.node for number, shard in self.shards.items()}, self.lives
+                self.now, {number: shard.node for number, shard in self.shards.items()}, self.process_count
             )
             for shard in self.shards.values():
                 self._control(shard)
-            self.amounts.retry_allowed(self.now, self.lives)
-            self.chains = {
-                k: c for k, c in self.chains.items() if c.pending or c.in_flight or c.quiet_until > self.now
+            self.rate_limits.retry_allowed(self.now, self.process_count)
+            self.ordered_keys = {
+                k: c
+                for k, c in self.ordered_keys.items()
+                if c.pending or c.in_flight or c.quiet_until > self.now
             }
             for key, volume in [item for item in self.volumes.items() if not item[1].open_requests]:
-                if self.now - volume.refilled_at > FORGET_US and self.amounts.release(
+                if self.now - volume.refilled_at > FORGET_US and self.rate_limits.release(
                     self.now, key, volume.limit_bucket
                 ):
                     del self.volumes[key]
@@ -597,9 +616,9 @@
                 if count:
                     fresh = node.latency_sums[kind] / count
                     node.latency_us[kind] = (1 - ALPHA) * fresh + ALPHA * node.latency_us[kind]
-                    goal, total = goal + self.target[kind], total + node.latency_us[kind]
+                    goal, total = goal + self.latency_targets_us[kind], total + node.latency_us[kind]
                     node.base_latency_us[kind] = min(
-                        self.target[kind], fresh, node.base_latency_us[kind] * BASE_DRIFT
+                        self.latency_targets_us[kind], fresh, node.base_latency_us[kind] * BASE_DRIFT
                     )
                     base += node.base_latency_us[kind]
             if total:
@@ -622,7 +641,7 @@
 
     def _split(self, shard: ShardRecord, node: NodeRecord) -> None:
         """One slot at a time to the class whose forecast response is furthest over its aim."""
-        node.class_slots = [0] * len(self.target)
+        node.class_slots = [0] * len(self.latency_targets_us)
         for _ in range(max(1, int(node.windows[0]))):
             worst = (-1.0, 0)
             for kind, waiting in enumerate(shard.waiting):
@@ -632,6 +651,6 @@
                     spent = sum(self.now - job.received_at for job in waiting) / max(queue, 1)
                     ahead = (max(0.0, queue + rate - served) + shard.previous_queue_lengths[kind]) / 2
                     delay = ahead / rate * PERIOD_US + spent
-                over = (delay + self.target[kind]) / self.aims[kind]
+                over = (delay + self.latency_targets_us[kind]) / self.latency_objectives_us[kind]
                 worst = max(worst, (over, -kind))
             node.class_slots[-worst[1]] += 1
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -287,7 +287,7 @@
 
 
 def room(rig: Driver, book: NodeRecord) -> float:
-    return rig.gateway.cold.capacity(rig.gateway.now, book, rig.gateway.lives, False)[1]
+    return rig.gateway.slow_start.capacity(rig.gateway.now, book, rig.gateway.process_count, False)[1]
 
 
 def test_two_processes_of_a_gateway_share_what_is_rationed() -> None:
@@ -300,7 +300,7 @@
     half = room(rig, book)
     rig.feed(SiblingProcessChanged(False))
     assert room(rig, book) == half, "what the other has sent counts for a window yet"
-    capped = rig.gateway._volume(RequestReceived(99, 0, 0, plan_index=1, volume_id=5), rig.gateway.set)
+    capped = rig.gateway._volume(RequestReceived(99, 0, 0, plan_index=1, volume_id=5), rig.gateway.settings)
     capped.limit_bucket.units = 0.0
     rig.pass_time(SEC // 10)
     rig.feed()
@@ -308,7 +308,7 @@
     assert capped.limit_bucket.units == 1.0, "half of 20 a second"
     rig.pass_time(2 * SEC)
     rig.feed()
-    assert rig.gateway.lives == 1 and room(rig, book) > 2 * half
+    assert rig.gateway.process_count == 1 and room(rig, book) > 2 * half
 
 
 def test_a_first_broken_connection_is_its_own_fault_and_a_second_one_the_nodes() -> None:
--- a/tests/policy/test_gateway_properties.py
+++ b/tests/policy/test_gateway_properties.py
@@ -63,8 +63,16 @@
     for step in steps:
         match step:
             case ("ask", kind, shard, key, plan, units, tenths):
-                rig.ask(kind, shard, rig.given.classes[kind].deadline_us * tenths // 8, key=key, plan_index=plan,
-                        units=float(units), volume_id=plan * 4 + key, gateways_in_use=2.0)  # fmt: skip
+                rig.ask(
+                    kind,
+                    shard,
+                    rig.given.classes[kind].deadline_us * tenths // 8,
+                    key=key,
+                    plan_index=plan,
+                    units=float(units),
+                    volume_id=plan * 4 + key,
+                    gateways_in_use=2.0,
+                )
             case ("answer", which, result) if rig.out:
                 rig.answer(list(rig.out)[which % len(rig.out)], result)
             case ("wait", span):
--- a/tests/policy/test_node_starts.py
+++ b/tests/policy/test_node_starts.py
@@ -98,7 +98,7 @@
     since = heard.nodes[name].warming_since
     return (
         float("inf")
-        if heard.cold.capacity_share(now, since) >= 1 or since is None
+        if heard.slow_start.capacity_share(now, since) >= 1 or since is None
         else (now - since) / SECOND
     )
 
--- a/tests/policy/test_outlier_blame.py
+++ b/tests/policy/test_outlier_blame.py
@@ -47,6 +47,6 @@
         rig.ask(key=number)
     began = rig.now
     waits = rig.ask(give_up=240_000, key=9)
-    assert waits in rig.gateway.jobs
+    assert waits in rig.gateway.pending
     rig.pass_time(119_000)
-    assert waits not in rig.gateway.jobs and rig.now - began < 120_000
+    assert waits not in rig.gateway.pending and rig.now - began < 120_000
--- a/tests/policy/test_short_deadlines.py
+++ b/tests/policy/test_short_deadlines.py
@@ -34,7 +34,7 @@
     rig = rigged(True)
     asked = rig.ask(give_up=900_000, is_retry=True)
     assert not rig.sends
-    assert asked not in rig.gateway.jobs
+    assert asked not in rig.gateway.pending
 
 
 def ask(number: int, give_up: int, units: float = 1.0) -> RequestReceived:
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -58,12 +58,12 @@
 
 def old_life(head: Gateway) -> None:
     """A new life takes its part at once, as if no earlier one had spent it."""
-    head.cold._born = 0
+    head.slow_start._born = 0
 
 
 def forgets(head: Gateway) -> None:
     """What was sent is not kept."""
-    head.cold.record_sent = lambda now, node, units: None  # type: ignore[method-assign]
+    head.slow_start.record_sent = lambda now, node, units: None  # type: ignore[method-assign]
 
 
 def drops(head: Gateway) -> None:
@@ -72,7 +72,7 @@
 
     def heard(event: EndpointList) -> None:
         if event.kind is EndpointListKind.FULL:
-            head.cold._unserved.clear()
+            head.slow_start._unserved.clear()
         listed(event)
 
     head.handlers[EndpointList] = heard
