--- a/gaugesail/policy/gateway.py
+++ b/gaugesail/policy/gateway.py
@@ -41,6 +41,7 @@
 from .records import NodeRecord, OrderedKey, PendingRequest, ShardRecord, VolumeBudget
 from .recovery import RecoveryRamp
 from .recovery_queue import QueuePriority
+from .retry_budget import RetryBudget
 from .routing import Router
 from .settings import DeduplicationScope, Idempotency, NodeId, Settings
 from .slow_start import SlowStart
@@ -77,6 +78,7 @@
         self.born, self.now = now, now
         self.rng, self.cold, self.starts = random.Random(seed), SlowStart(settings, now), NodeStartTimes()
         self.amounts = RateLimits(settings, now)
+        self.retry_budget = RetryBudget(settings)
         self.recovery = RecoveryRamp(settings, self.cold, random.Random(seed + 1))
         self.placement = Router(self.cold, random.Random(seed + 2))
         self.places: dict[str, int] = {}  # of each class in the books
@@ -105,6 +107,7 @@
         self.set, self.hold_off = settings, settings.longest_retry_after_us
         self.cold.update_settings(settings)
         self.amounts.update_settings(settings)
+        self.retry_budget.update_settings(settings)
         self.recovery.update_settings(settings)
         self.tick = max(
             settings.tick_us, min(TICK_US, min(c.latency_objective_us for c in settings.classes) // TICKS)
@@ -250,7 +253,7 @@
             self.recovery.count_rejection("unlisted", "none")
             self.acts.append(RejectRequest(event.request_id, self.hold_off))
             return
-        self.amounts.record_request(now)
+        self.retry_budget.record_request(now)
         volume = self._volume(event, terms)
         # A client's repeat has less time than its class, and part of its aim is gone.  Past its aim a request
         # earns next to nothing and delays the rest: there it ends.
@@ -457,7 +460,7 @@
             job.possibly_executed_at is not None
             and job.request_class.deduplication_scope is DeduplicationScope.ZONE
         )
-        return (risky and node.zone != job.possibly_executed_zone) or not self.amounts.retry_allowed(
+        return (risky and node.zone != job.possibly_executed_zone) or not self.retry_budget.retry_allowed(
             now, self.lives
         )
 
@@ -537,7 +540,7 @@
             else:
                 volume.share_units -= job.units
         else:
-            self.amounts.record_retry(self.now)
+            self.retry_budget.record_retry(self.now)
         before = (
             job.start_before if job.possibly_executed_at is None else self._until(job)
         )  # what may have arrived is spent
@@ -577,7 +580,7 @@
             )
             for shard in self.shards.values():
                 self._control(shard)
-            self.amounts.retry_allowed(self.now, self.lives)
+            self.retry_budget.retry_allowed(self.now, self.lives)
             self.chains = {
                 k: c for k, c in self.chains.items() if c.pending or c.in_flight or c.quiet_until > self.now
             }
--- a/gaugesail/policy/rate_limits.py
+++ b/gaugesail/policy/rate_limits.py
@@ -9,7 +9,6 @@
 
 from __future__ import annotations
 
-from collections import deque
 from dataclasses import dataclass
 
 from .events import QuotaChanged
@@ -66,7 +65,6 @@
         self._parts: dict[tuple[str, int], tuple[float, float]] = {}
         self._floors: dict[str, tuple[float, float]] = {}
         self._floors_at = born
-        self._taken, self._extras = deque[int](), deque[int]()
 
     def update_settings(self, settings: Settings) -> None:
         """Other settings; stores go by the names of plans."""
@@ -178,25 +176,3 @@
                 found.leased_rate, found.leased_burst = rate, burst
         for store in changed:
             store.clamp()
-
-    # ---- further attempts ----
-
-    def record_request(self, now: int) -> None:
-        if self._set.retry_budget_window_us:
-            self._taken.append(now)
-
-    def record_retry(self, now: int) -> None:
-        """A further attempt goes."""
-        if self._set.retry_budget_window_us:
-            self._extras.append(now)
-
-    def retry_allowed(self, now: int, lives: int) -> bool:
-        """Rule 6, counted as it is worded."""
-        if not (span := self._set.retry_budget_window_us):
-            return True
-        while self._taken and self._taken[0] <= now - span:
-            self._taken.popleft()
-        while self._extras and self._extras[0] < now - span:
-            self._extras.popleft()
-        free = self._set.retry_budget_free / lives
-        return len(self._extras) + 1 <= free + self._set.retry_budget_share * len(self._taken)
