--- a/gaugesail/policy/gateway.py
+++ b/gaugesail/policy/gateway.py
@@ -41,6 +41,7 @@
 from .records import NodeRecord, OrderedKey, PendingRequest, ShardRecord, VolumeBudget
 from .recovery import RecoveryRamp
 from .recovery_queue import QueuePriority
+from .retry_budget import RetryBudget
 from .routing import Router
 from .settings import DeduplicationScope, Idempotency, NodeId, Settings
 from .slow_start import SlowStart
@@ -81,6 +82,7 @@
             NodeStartTimes(),
         )
         self.rate_limits = RateLimits(settings, now)
+        self.retry_budget = RetryBudget(settings)
         self.recovery = RecoveryRamp(settings, self.slow_start, random.Random(seed + 1))
         self.router = Router(self.slow_start, random.Random(seed + 2))
         self.places: dict[str, int] = {}  # of each class in the books
@@ -109,6 +111,7 @@
         self.settings, self.hold_off = settings, settings.longest_retry_after_us
         self.slow_start.update_settings(settings)
         self.rate_limits.update_settings(settings)
+        self.retry_budget.update_settings(settings)
         self.recovery.update_settings(settings)
         self.tick_us = max(
             settings.tick_us, min(TICK_US, min(c.latency_objective_us for c in settings.classes) // TICKS)
@@ -267,7 +270,7 @@
             self.recovery.count_rejection("unlisted", "none")
             self.acts.append(RejectRequest(event.request_id, self.hold_off))
             return
-        self.rate_limits.record_request(now)
+        self.retry_budget.record_request(now)
         volume = self._volume(event, terms)
         # A client's repeat has less time than its class, and part of its aim is gone.  Past its aim a request
         # earns next to nothing and delays the rest: there it ends.
@@ -474,7 +477,7 @@
             job.possibly_executed_at is not None
             and job.request_class.deduplication_scope is DeduplicationScope.ZONE
         )
-        return (risky and node.zone != job.possibly_executed_zone) or not self.rate_limits.retry_allowed(
+        return (risky and node.zone != job.possibly_executed_zone) or not self.retry_budget.retry_allowed(
             now, self.process_count
         )
 
@@ -554,7 +557,7 @@
             else:
                 volume.share_units -= job.units
         else:
-            self.rate_limits.record_retry(self.now)
+            self.retry_budget.record_retry(self.now)
         before = (
             job.start_before if job.possibly_executed_at is None else self._until(job)
         )  # what may have arrived is spent
@@ -594,7 +597,7 @@
             )
             for shard in self.shards.values():
                 self._control(shard)
-            self.rate_limits.retry_allowed(self.now, self.process_count)
+            self.retry_budget.retry_allowed(self.now, self.process_count)
             self.ordered_keys = {
                 k: c
                 for k, c in self.ordered_keys.items()
