--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -150,7 +150,7 @@
 
 def _shares(config: Any) -> Any:
     """A configuration of either wire, for a head that divides limits with others."""
-    return replace(config, settings=replace(config.settings, fleet=True))
+    return replace(config, settings=replace(config.settings, fleet_quota=True))
 
 
 def _among_others(arguments: list[str]) -> tuple[list[str], str | None]:
