--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -34,8 +34,8 @@
     """The floor that this head has kept: its slot, and the wholes that it goes by."""
 
     slot: int = -1
-    version: int = 0
-    wholes: dict[str, Pair] = field(default_factory=dict)
+    limits_version: int = 0
+    limits: dict[str, Pair] = field(default_factory=dict)
     fleet: str = ""
 
 
@@ -44,14 +44,14 @@
     """What the gateway may go by from now on.  ``parts`` are those that have changed, by amount; ``floors``
     are by plan, and None where they have not changed."""
 
-    until: int
-    parts: tuple[tuple[str, int, int], ...] = ()
+    lease_until: int
+    allocations: tuple[tuple[str, int, int], ...] = ()
     floors: tuple[tuple[str, int, int], ...] | None = None
-    anew: bool = False  # all parts that are not named are nothing
+    replaces_all: bool = False  # all parts that are not named are nothing
 
 
 @dataclass(slots=True, eq=False)
-class _Want:
+class DemandEstimate:
     """One amount that is asked for here: rates in thousandths of a unit a second, smoothed."""
 
     worth: int
@@ -79,10 +79,10 @@
     ) -> None:
         self._charter, self._digest, self._head, self._process = charter, digest, head, process
         self._store, self.floor, self._rng = store, floor, rng
-        self.session, self.until, self.term, self.leader = 0, 0, 0, ""
+        self.session, self.lease_until, self.term, self.leader = 0, 0, 0, ""
         self._fleet, self._seen = "", 0
-        self.book: dict[str, HeldQuota] = {}
-        self._wants: dict[str, _Want] = {}
+        self.allocations: dict[str, HeldQuota] = {}
+        self._wants: dict[str, DemandEstimate] = {}
         self._wanted_at = now
         self._wholes: tuple[tuple[str, int, int], ...] = ()
         self._quantum = 0
@@ -90,37 +90,41 @@
         self._number = 0
         self._changed: dict[str, int] = {}  # parts to tell, by the ask that carried them last
         # Whoever has no store may be a life whose earlier one still holds a lease.
-        self._first_at = self._ask_at = now if store else now + charter.count_us
+        self._first_at = self._ask_at = now if store else now + charter.lease_with_drift_us
         self._waits: int | None = None  # since when for an answer of the one that is asked
         self._asked = ""
         self._whom = ""  # who answered last, or was named as the leader
         self._mute: set[str] = set()  # who was asked since and did not help
         self.leaving = self.left = False
-        self.refused = ""  # why nothing is to be had
+        self.refusal_reason = ""  # why nothing is to be had
         self._out: list[tuple[str, Message]] = []
         self._fresh: dict[str, None] = {}  # parts that the gateway has not heard of
         self._anew = False
         self._floors_told: tuple[tuple[str, int, int], ...] | None = None
         self._until_told = -1
-        self.floor_dirty = self._frozen = False
+        self.floor_changed = self._frozen = False
         self._lapsed = True
-        self.notes: list[tuple[str, dict[str, str | int | float]]] = []
+        self.notices: list[tuple[str, dict[str, str | int | float]]] = []
 
     # ---- what it may spend ----
 
-    def spendable(self) -> QuotaUpdate | None:
+    def take_quota_update(self) -> QuotaUpdate | None:
         """What has changed for the gateway since the last call; to be passed on after the save is written."""
         floors = self.floors()
-        same = floors == self._floors_told and self.until == self._until_told
+        same = floors == self._floors_told and self.lease_until == self._until_told
         if same and not self._fresh and not self._anew:
             return None
         parts = tuple(
-            (amount, held.rate, held.burst) if (held := self.book.get(amount)) is not None else (amount, 0, 0)
+            (amount, held.rate, held.burst)
+            if (held := self.allocations.get(amount)) is not None
+            else (amount, 0, 0)
             for amount in self._fresh
         )
-        told = QuotaUpdate(self.until, parts, floors if floors != self._floors_told else None, self._anew)
+        told = QuotaUpdate(
+            self.lease_until, parts, floors if floors != self._floors_told else None, self._anew
+        )
         self._fresh, self._anew = {}, False
-        self._floors_told, self._until_told = floors, self.until
+        self._floors_told, self._until_told = floors, self.lease_until
         return told
 
     def floors(self) -> tuple[tuple[str, int, int], ...]:
@@ -129,46 +133,46 @@
             return ()
         own = {plan: (rate, burst) for plan, rate, burst in self._wholes}  # by this head's own file
         found = []
-        for plan, agreed in sorted(self.floor.wholes.items()):
+        for plan, agreed in sorted(self.floor.limits.items()):
             mine = own.get(plan, agreed)
             less = min(agreed[0], mine[0]), min(agreed[1], mine[1])
             found.append((plan, *self._charter.floor(*less)))
         return tuple(found)
 
-    def take_out(self) -> list[tuple[str, Message]]:
+    def take_messages(self) -> list[tuple[str, Message]]:
         found, self._out = self._out, []
         return found
 
-    def again(self) -> None:
+    def resend_quota(self) -> None:
         """What was last to be passed on was not: all of it is to be."""
-        self._fresh = dict.fromkeys(self.book)
+        self._fresh = dict.fromkeys(self.allocations)
         self._anew, self._floors_told, self._until_told = True, None, -1
 
-    def renew(self, now: int, store: str) -> None:
+    def replace_store(self, now: int, store: str) -> None:
         """Its store was an old copy and is put aside: what it says of a floor is nothing."""
         self._store, self.floor = store, HeadFloor()
-        self._first_at = self._ask_at = now + self._charter.count_us
+        self._first_at = self._ask_at = now + self._charter.lease_with_drift_us
         self._drop()
 
-    def unkept(self, kept: HeadFloor) -> None:
+    def floor_not_persisted(self, kept: HeadFloor) -> None:
         """The store takes no more: of two floors the less holds, and no more is said of it."""
         wholes = {
-            plan: (min(rate, self.floor.wholes[plan][0]), min(burst, self.floor.wholes[plan][1]))
-            for plan, (rate, burst) in kept.wholes.items() if plan in self.floor.wholes
+            plan: (min(rate, self.floor.limits[plan][0]), min(burst, self.floor.limits[plan][1]))
+            for plan, (rate, burst) in kept.limits.items() if plan in self.floor.limits
         }  # fmt: skip
         same = (kept.slot, kept.fleet) == (self.floor.slot, self.floor.fleet)
-        self.floor = HeadFloor(kept.slot if same else -1, kept.version, wholes, kept.fleet)
+        self.floor = HeadFloor(kept.slot if same else -1, kept.limits_version, wholes, kept.fleet)
         self._frozen = True
-        self.again()
+        self.resend_quota()
 
     # ---- what it wants ----
 
-    def state(self, wholes: Mapping[str, Pair], quantum: int) -> None:
+    def set_limits(self, wholes: Mapping[str, Pair], quantum: int) -> None:
         """What this head's own file says."""
         self._wholes = tuple((plan, *pair) for plan, pair in sorted(wholes.items()))
         self._quantum = quantum
 
-    def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> None:
+    def record_demand(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> None:
         """Units asked for and sent since the last call, those saved up, and what one is worth, by amount.
 
         What is saved up goes first: a head that has plenty leaves its rate to others, and has it when its
@@ -178,7 +182,7 @@
         gain = 1 - math.exp(-span / SMOOTH_S)
         for amount, (_, _, _, worth) in asked.items():
             if amount not in self._wants:
-                self._wants[amount] = _Want(worth, now)
+                self._wants[amount] = DemandEstimate(worth, now)
         for amount, want in self._wants.items():
             units, spent, want.saved, want.worth = asked.get(amount, (0.0, 0.0, want.saved, want.worth))
             want.rate += gain * (units * 1000 / span - want.rate)
@@ -188,13 +192,13 @@
             if self._differs(now, want):
                 self._hurry(now)
 
-    def _rate(self, now: int, want: _Want) -> int:
+    def _rate(self, now: int, want: DemandEstimate) -> int:
         """What is told of a demand: some, until nobody has asked for it in a while."""
         if now - want.at >= LIVE_US:
             return 0
         return max(LEAST, round(want.rate - max(0.0, want.saved * 1000 - self._quantum) / SPEND_S))
 
-    def _differs(self, now: int, want: _Want) -> bool:
+    def _differs(self, now: int, want: DemandEstimate) -> bool:
         rate, told = self._rate(now, want), want.told
         return told < 0 or abs(rate - told) > CHANGED * max(rate, told)
 
@@ -217,13 +221,13 @@
         """When ``tick`` has something to do; it has nothing more once it has left."""
         if self.left:
             return NEVER
-        return min(self._ask_at, self.until) if not self._lapsed else self._ask_at
+        return min(self._ask_at, self.lease_until) if not self._lapsed else self._ask_at
 
     def tick(self, now: int, keepers: list[str]) -> None:
         """Ask where it is due; ``keepers`` are those to ask, the likeliest first."""
-        if not self._lapsed and now >= self.until:
+        if not self._lapsed and now >= self.lease_until:
             self._lapsed = True
-            self.notes.append(("fell_to_floor", {"parts": len(self.book), "asked": self._number}))
+            self.notices.append(("fell_to_floor", {"parts": len(self.allocations), "asked": self._number}))
         if now < self._ask_at or self.left or not keepers:
             return
         if self._waits is not None and now - self._waits >= PATIENCE_US:
@@ -251,7 +255,7 @@
             demands.append(QuotaDemand(amount, want.told, want.worth, round(want.used)))
         held = []
         for amount in list(self._changed)[:MOST_TOLD]:
-            if (line := self.book.get(amount)) is None:
+            if (line := self.allocations.get(amount)) is None:
                 del self._changed[amount]
                 continue
             self._changed[amount] = self._number
@@ -259,10 +263,23 @@
         more = len(due) > MOST_TOLD or len(self._changed) > MOST_TOLD
         self._ask_at = now + (SOON_US if more else PATIENCE_US)
         floor = self.floor
-        self._out.append((whom, LeaseRequest(
-            self._process, self._number, self.session, self._digest, self._store, self._wholes, floor.slot,
-            floor.version, self._quantum, self._fleet, self._seen, tuple(demands), tuple(held), self.leaving,
-        )))  # fmt: skip
+        request = LeaseRequest(
+            self._process,
+            self._number,
+            self.session,
+            self._digest,
+            self._store,
+            self._wholes,
+            floor.slot,
+            floor.limits_version,
+            self._quantum,
+            self._fleet,
+            self._seen,
+            tuple(demands),
+            tuple(held),
+            self.leaving,
+        )
+        self._out.append((whom, request))
 
     # ---- what it is told ----
 
@@ -280,21 +297,21 @@
     def _told(self, now: int, sender: str, answer: LeaseResponse, asked: int) -> None:
         newest = answer.number == self._number
         if newest:
-            self._waits, self.refused = None, ""
+            self._waits, self.refusal_reason = None, ""
         match answer.status:
             case LeaseStatus.RENEWED:
                 self._renewed(now, sender, answer, asked, newest)
-            case LeaseStatus.UNKNOWN:
+            case LeaseStatus.UNKNOWN_SESSION:
                 if newest:
                     self._drop()
                     self._seen, self._ask_at = 0, now
-            case LeaseStatus.ELSEWHERE:
+            case LeaseStatus.NOT_LEADER:
                 self._mute.add(sender)
                 self._whom = answer.leader if answer.leader not in self._mute else ""
                 if newest:
                     self._ask_at = now if self._whom else now + PATIENCE_US // 2
-            case LeaseStatus.CHARTER:
-                self.refused = f"{sender}'s file differs in what binds the fleet"
+            case LeaseStatus.TERMS_DIFFER:
+                self.refusal_reason = f"{sender}'s file differs in what binds the fleet"
                 self._ask_at = now + self._charter.lease_us
             case LeaseStatus.LEFT:
                 self.left = True
@@ -306,15 +323,15 @@
             self._drop()
             self._fleet, self.term, self._seen = answer.fleet, 0, 0
             if self.floor.fleet != answer.fleet:
-                self.floor, self.floor_dirty = HeadFloor(), bool(self._store)
+                self.floor, self.floor_changed = HeadFloor(), bool(self._store)
         if answer.session != self.session:
             self._drop()  # parts of an earlier session are nothing under another
             self.session = answer.session
-        self.until = max(self.until, asked + self._charter.lease_us)
-        self._seen = max(self._seen, answer.session, answer.version)
-        if self._lapsed and now < self.until:
+        self.lease_until = max(self.lease_until, asked + self._charter.lease_us)
+        self._seen = max(self._seen, answer.session, answer.limits_version)
+        if self._lapsed and now < self.lease_until:
             self._lapsed = False
-            self.notes.append(("lease_held", {"session": self.session, "leader": answer.leader}))
+            self.notices.append(("lease_held", {"session": self.session, "leader": answer.leader}))
         if answer.term >= self.term:
             if answer.term > self.term:
                 for want in self._wants.values():
@@ -337,39 +354,43 @@
     def _floored(self, answer: LeaseResponse) -> None:
         """The slot and its wholes: kept, and gone by from then on."""
         floor = self.floor
-        if not self._store or self._frozen or (answer.slot, answer.version) == (floor.slot, floor.version):
+        if (
+            not self._store
+            or self._frozen
+            or (answer.floor_slot, answer.limits_version) == (floor.slot, floor.limits_version)
+        ):
             return
-        if answer.version < floor.version and answer.slot == floor.slot:
+        if answer.limits_version < floor.limits_version and answer.floor_slot == floor.slot:
             return
-        wholes = {plan: (rate, burst) for plan, rate, burst in answer.wholes}
-        self.floor = HeadFloor(answer.slot, answer.version, wholes, answer.fleet)
-        self.floor_dirty = True
+        wholes = {plan: (rate, burst) for plan, rate, burst in answer.limits}
+        self.floor = HeadFloor(answer.floor_slot, answer.limits_version, wholes, answer.fleet)
+        self.floor_changed = True
 
     def _ordered(self, now: int, message: QuotaOrders) -> None:
         for order in message.orders:
             self._seen = max(self._seen, order.version)
-            have = self.book.get(order.amount)
+            have = self.allocations.get(order.quota_name)
             rate, burst = order.rate, order.burst
             if have is not None and order.version < have.version:
                 continue
             if have is not None and order.version == have.version:
-                if not order.lower:
+                if not order.release:
                     # Told again: taken in already, and perhaps given up in part since.
-                    self._changed[order.amount] = 0
+                    self._changed[order.quota_name] = 0
                     continue
                 rate, burst = min(rate, have.rate), min(burst, have.burst)
-            self.book[order.amount] = HeldQuota(order.amount, order.version, rate, burst)
-            self._fresh[order.amount] = None
-            self._changed[order.amount] = 0
-        if any(order.lower for order in message.orders):
+            self.allocations[order.quota_name] = HeldQuota(order.quota_name, order.version, rate, burst)
+            self._fresh[order.quota_name] = None
+            self._changed[order.quota_name] = 0
+        if any(order.release for order in message.orders):
             self._ask_at = max(self._first_at, now)  # until it is told, what it gave up is nobody's
         elif self._changed:
             self._hurry(now)
 
     def _drop(self) -> None:
         """No part is left."""
-        self.session, self.book = 0, {}
-        self.until = 0
+        self.session, self.allocations = 0, {}
+        self.lease_until = 0
         self._changed.clear()
         self._fresh.clear()
         self._anew = True
--- a/gaugesail/coordination/lease_messages.py
+++ b/gaugesail/coordination/lease_messages.py
@@ -11,16 +11,16 @@
     """What a head wants of an amount, what a unit is worth there in thousandths, and what it has used lately;
     rate 0: it wants nothing."""
 
-    amount: str
+    quota_name: str
     rate: int
-    worth: int
+    priority_weight: int
     used: int = 0
 
 
 class HeldQuota(Record, frozen=True, tag="Held"):
     """What a holder's book says of a part: ``version`` is the latest entry that it has taken in."""
 
-    amount: str
+    quota_name: str
     version: int
     rate: int
     burst: int
@@ -32,14 +32,14 @@
     process: int
     number: int
     session: int  # 0: it has none
-    charter: str
+    terms_digest: str
     store: str
-    wholes: tuple[tuple[str, int, int], ...]  # by its own file
-    slot: int  # of its floor; -1: none
-    floor: int  # version of the wholes that its floor goes by
-    quantum: int  # the largest request
+    limits: tuple[tuple[str, int, int], ...]  # by its own file
+    floor_slot: int  # of its floor; -1: none
+    floor_version: int  # version of the wholes that its floor goes by
+    max_request: int  # the largest request
     fleet: str  # whose the session is
-    seen: int  # the latest entry of that fleet's log that it has heard of
+    last_seen_index: int  # the latest entry of that fleet's log that it has heard of
     demands: tuple[QuotaDemand, ...] = ()
     held: tuple[HeldQuota, ...] = ()
     leaving: bool = False
@@ -49,9 +49,9 @@
     """What became of an ask."""
 
     RENEWED = 0
-    UNKNOWN = 1  # the session is over, or was never opened
-    ELSEWHERE = 2  # ask the head that is named, if any
-    CHARTER = 3  # the two files differ in what binds
+    UNKNOWN_SESSION = 1  # the session is over, or was never opened
+    NOT_LEADER = 2  # ask the gateway that is named, if any
+    TERMS_DIFFER = 3  # the two files differ in the terms of the fleet
     LEFT = 4
 
 
@@ -59,11 +59,11 @@
     """One part of the session that is told: by entry ``version`` it may be so much; ``lower`` asks for a
     release down to that."""
 
-    amount: str
+    quota_name: str
     version: int
     rate: int
     burst: int
-    lower: bool = False
+    release: bool = False
 
 
 class LeaseResponse(Record, frozen=True, tag="Answer"):
@@ -75,9 +75,9 @@
     session: int = 0
     term: int = 0
     leader: str = ""
-    slot: int = -1
-    version: int = 0  # of the wholes below
-    wholes: tuple[tuple[str, int, int], ...] = ()
+    floor_slot: int = -1
+    limits_version: int = 0  # of the wholes below
+    limits: tuple[tuple[str, int, int], ...] = ()
     fleet: str = ""
 
 
--- a/gaugesail/coordination/log_commands.py
+++ b/gaugesail/coordination/log_commands.py
@@ -18,7 +18,7 @@
 class OpenSession(Record, frozen=True, tag="Open"):
     """A session for one process of a head.  The entry's index is its number; a store may bind a floor."""
 
-    head: str
+    gateway: str
     process: int
     store: str = ""
 
@@ -32,36 +32,36 @@
 class AllocateQuota(Record, frozen=True, tag="Part"):
     """What one session may spend of one amount, in place of what stood there under ``held``."""
 
-    amount: str
+    quota_name: str
     session: int
     rate: int
     burst: int
-    held: int = 0  # index of the entry that it replaces; 0: there was none
+    replaced_version: int = 0  # index of the entry that it replaces; 0: there was none
 
 
 class SetLimits(Record, frozen=True, tag="Wholes"):
     """The limit of each plan, as the heads' files say: what is less holds at once, what is more later."""
 
-    wholes: tuple[tuple[str, int, int], ...]  # plan, rate, burst
+    limits: tuple[tuple[str, int, int], ...]  # plan, rate, burst
 
 
 class SettleLimits(Record, frozen=True, tag="Settle"):
     """Whatever was given under the wholes before ``version`` has run out: the whole ones hold now."""
 
-    version: int
+    limits_version: int
 
 
 class AcknowledgeFloor(Record, frozen=True, tag="FloorAt"):
     """The holder of a slot spends no more of it than wholes ``version`` allow."""
 
-    slot: int
-    version: int
+    floor_slot: int
+    limits_version: int
 
 
 class ForgetHead(Record, frozen=True, tag="Forget"):
     """Operators say that a head is gone for good: its slot is free."""
 
-    head: str
+    gateway: str
 
 
 Command = (
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -91,14 +91,14 @@
 def shares_of(told: QuotaUpdate) -> QuotaChanged:
     """What the gateway is told: by plan and volume, in units."""
     parts = []
-    for amount, rate, burst in told.parts:
+    for amount, rate, burst in told.allocations:
         plan, _, volume = amount.rpartition("/")
         parts.append((plan, int(volume, 16), rate / 1000, burst / 1000))
     floors = told.floors
     return QuotaChanged(
-        told.until, tuple(parts),
+        told.lease_until, tuple(parts),
         None if floors is None else tuple((plan, rate / 1000, burst / 1000) for plan, rate, burst in floors),
-        told.anew,
+        told.replaces_all,
     )  # fmt: skip
 
 
@@ -111,7 +111,7 @@
     ) -> None:  # fmt: skip
         self.charter, self.digest, self.name = charter, digest, name
         self.process, self._rng, self._born = process, random.Random(seed), now
-        self.keeper = name in charter.keepers and loaded is not None
+        self.keeper = name in charter.replicas and loaded is not None
         self.holds_store = loaded is not None
         kept = loaded.kept if loaded is not None else PersistentState("")
         self._loaded_saves = kept.saves
@@ -120,7 +120,7 @@
         self.kept = kept
         self.members = Membership(name, address, process, kept.generation, self._rng, now)
         self.founding = Bootstrap(
-            name, kept.store, charter.keepers, digest, BootstrapRecord(kept.fleet, kept.seats, kept.bound)
+            name, kept.store, charter.replicas, digest, BootstrapRecord(kept.fleet, kept.seats, kept.bound)
         )
         self.witness = StoreFence({store: KnownStore(*item) for store, item in kept.known.items()}, now)
         self.seat: Replica | None = None
@@ -138,7 +138,7 @@
         if self.keeper:
             assert loaded is not None
             self._sit(now, loaded.snapshot, loaded.log)
-        self.members.join(list(charter.keepers))
+        self.members.join(list(charter.replicas))
 
     def _sit(self, now: int, snapshot: Snapshot, log: list[LogEntry]) -> None:
         """Take up a keeper's log as it was kept."""
@@ -181,11 +181,11 @@
 
     def state(self, wholes: Mapping[str, Pair], quantum: int) -> None:
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
-        self.holder.state(wholes, quantum)
+        self.holder.set_limits(wholes, quantum)
 
     def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
-        self.holder.want(now, asked)
+        self.holder.record_demand(now, asked)
         return self.tick(now)
 
     def leave(self, now: int) -> StepOutput:
@@ -329,7 +329,7 @@
         self.founding.renew(fresh)
         self.witness.restart(now)
         self.seat = None
-        self.holder.renew(now, fresh)
+        self.holder.replace_store(now, fresh)
         self._floor_kept = self.holder.floor
         self._changed = self._anew = True
 
@@ -343,7 +343,7 @@
         self._note("store_failed", why=why)
         self._fall(now)
         self.holds_store = False
-        self.holder.unkept(self._floor_kept)
+        self.holder.floor_not_persisted(self._floor_kept)
 
     # ---- the end of a step ----
 
@@ -358,7 +358,7 @@
             self._said.add("usurped")
             self._note("name_taken", head=self.name)
         out.save = self._save()
-        out.shares = self.holder.spendable()
+        out.shares = self.holder.take_quota_update()
         if seat is not None:
             for to, said in seat.take_out():
                 if isinstance(said, m.OperatorCommandResult) and to == self.name:
@@ -368,11 +368,11 @@
             for event, fields in seat.notes:
                 self._note(event, **fields)
             seat.notes.clear()
-        out.sends += self.holder.take_out() + self.members.out() + self._out
+        out.sends += self.holder.take_messages() + self.members.out() + self._out
         self._out = []
-        for event, fields in self.holder.notes:
+        for event, fields in self.holder.notices:
             self._note(event, **fields)
-        self.holder.notes.clear()
+        self.holder.notices.clear()
         out.notices, self._notices = self._notices, []
         return out
 
@@ -382,17 +382,17 @@
             return None
         kept, raft = self.kept, self.seat.raft if self.seat is not None else None
         log = raft.take_save() if raft is not None else None
-        changed = self._changed or self.witness.dirty or self.founding.dirty or self.holder.floor_dirty
+        changed = self._changed or self.witness.dirty or self.founding.dirty or self.holder.floor_changed
         if log is None and not changed:
             return None
-        self._changed = self.witness.dirty = self.founding.dirty = self.holder.floor_dirty = False
+        self._changed = self.witness.dirty = self.founding.dirty = self.holder.floor_changed = False
         founded, floor = self.founding.kept, self.holder.floor
         kept.saves += 1
         kept.fleet, kept.seats, kept.bound = founded.fleet, founded.seats, founded.bound
         kept.known = {
             store: (known.life, known.saves, known.process) for store, known in self.witness.known.items()
         }
-        kept.slot, kept.version, kept.wholes = floor.slot, floor.version, floor.wholes
+        kept.slot, kept.version, kept.wholes = floor.slot, floor.limits_version, floor.limits
         kept.of_fleet = floor.fleet
         self._floor_kept = floor
         if raft is not None:
@@ -405,7 +405,7 @@
 
     def _likely(self) -> list[str]:
         """Keepers to ask, the likeliest to lead first; who is thought to be gone comes last."""
-        names = sorted({name_of(seat) for seat in self._seats()} or self.charter.keepers)
+        names = sorted({name_of(seat) for seat in self._seats()} or self.charter.replicas)
         gone = {name for name in names if (self.members.state(name) or MemberState.ALIVE) >= MemberState.GONE}
         return sorted(names, key=lambda name: (name != self.leader, name in gone, name))
 
@@ -442,12 +442,12 @@
         told: dict[str, Any] = {
             "head": self.name, "leader": self.leader, "leads": self.leads, "keeper": self.seat is not None,
             "own": {
-                "session": holder.session, "lease_s": round(max(0, holder.until - now) / 1e6, 2),
-                "slot": holder.floor.slot, "refused": holder.refused,
+                "session": holder.session, "lease_s": round(max(0, holder.lease_until - now) / 1e6, 2),
+                "slot": holder.floor.slot, "refused": holder.refusal_reason,
                 "floors": {plan: {"rate": rate / 1000, "burst": burst / 1000}
                            for plan, rate, burst in holder.floors()},
-                "parts": {held.amount: {"rate": held.rate / 1000, "burst": held.burst / 1000}
-                          for held in holder.book.values()},
+                "parts": {held.quota_name: {"rate": held.rate / 1000, "burst": held.burst / 1000}
+                          for held in holder.allocations.values()},
             },
         }  # fmt: skip
         return told | (self.seat.view(now) if self.seat is not None else {})
--- a/gaugesail/coordination/quota_division.py
+++ b/gaugesail/coordination/quota_division.py
@@ -21,9 +21,9 @@
     """What one session wants and has.  Rates in thousandths of a unit a second, bursts of a unit."""
 
     rate: int  # what is asked for there
-    worth: int  # of a unit there
-    has: tuple[int, int]
-    need: int = 0  # the least burst without which its largest request could never go
+    priority_weight: int  # of a unit there
+    current: tuple[int, int]
+    min_burst: int = 0  # the least burst without which its largest request could never go
 
 
 def divide(rate: int, burst: int, claims: Mapping[int, QuotaClaim]) -> dict[int, tuple[int, int]]:
@@ -39,11 +39,11 @@
     """Those whose least burst fits, the most worth first: a part that can never be used helps nobody."""
     room = int(burst * KEPT_BURST)
     found = set()
-    order = sorted(claims, key=lambda n: (-claims[n].rate * claims[n].worth, n))
+    order = sorted(claims, key=lambda n: (-claims[n].rate * claims[n].priority_weight, n))
     for number in order:
         claim = claims[number]
-        if claim.rate > 0 and claim.need <= room:
-            room -= claim.need
+        if claim.rate > 0 and claim.min_burst <= room:
+            room -= claim.min_burst
             found.add(number)
     return found
 
@@ -62,11 +62,11 @@
 def _fill(whole: int, claims: Mapping[int, QuotaClaim]) -> dict[int, int]:
     """Water-filling: each gets up to what it asks for, in proportion to worth."""
     found: dict[int, int] = {}
-    left, weight = whole, sum(max(1, claim.worth) for claim in claims.values())
+    left, weight = whole, sum(max(1, claim.priority_weight) for claim in claims.values())
     # Who asks for least, by its weight, is satisfied first.
-    for number in sorted(claims, key=lambda n: (claims[n].rate / max(1, claims[n].worth), n)):
+    for number in sorted(claims, key=lambda n: (claims[n].rate / max(1, claims[n].priority_weight), n)):
         claim = claims[number]
-        mine = max(1, claim.worth)
+        mine = max(1, claim.priority_weight)
         found[number] = min(claim.rate, left * mine // weight)
         left, weight = left - found[number], weight - mine
     return found
@@ -76,7 +76,7 @@
     """Leave small differences, as far as the sum allows; who has too little for what it asks is not small."""
     kept = {}
     for number, fresh in rates.items():
-        has = claims[number].has[0]
+        has = claims[number].current[0]
         close = has > 0 and abs(fresh - has) <= STILL * max(fresh, has)
         kept[number] = has if close else fresh
     return kept if sum(kept.values()) <= whole else rates
@@ -85,5 +85,5 @@
 def _bursts(burst: int, holders: list[int], claims: Mapping[int, QuotaClaim]) -> dict[int, int]:
     """The least that each needs, and of the rest an even part, whatever its rate: what a head has saved up is
     there when its demand rises, and is not lost each time that its rate falls."""
-    spare = burst - sum(claims[n].need for n in holders)
-    return {n: claims[n].need + spare // len(holders) for n in holders}
+    spare = burst - sum(claims[n].min_burst for n in holders)
+    return {n: claims[n].min_burst + spare // len(holders) for n in holders}
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -53,18 +53,18 @@
     def ask(self, now: int, sender: str, ask: LeaseRequest, leader: str) -> list[tuple[str, Message]]:
         """A holder's ask: answered by the office later, or at once with who leads."""
         if self.office is not None:
-            self.office.ask(now, sender, ask)
+            self.office.request(now, sender, ask)
             return []
         return [(sender, elsewhere(ask, leader if leader != self.name else ""))]
 
     def petition(self, sender: str, petition: OperatorCommand, leader: str) -> None:
         """What operators ask of the fleet; what becomes of it is in ``heard``."""
-        head, number = petition.command.head, petition.number
+        head, number = petition.command.gateway, petition.number
         if self.office is None:
             self._hear(sender, number, False, f"the leader is {leader or 'not known'}")
-        elif any(session.head == head for session in self.ledger.sessions.values()):
+        elif any(session.gateway == head for session in self.ledger.sessions.values()):
             self._hear(sender, number, False, f"{head} has a session: it is not gone")
-        elif not any(slot.head == head for slot in self.ledger.slots.values()):
+        elif not any(slot.gateway == head for slot in self.ledger.floor_slots.values()):
             self._hear(sender, number, True, f"{head} has no floor")
         elif (index := self.raft.propose(petition.command)) is not None:
             self._later[index] = sender, number
@@ -95,7 +95,7 @@
             for index, command in raft.committed():
                 done = self.ledger.apply(index, command)
                 if self.office is not None:
-                    self.office.applied(now, index, command, done)
+                    self.office.entry_applied(now, index, command, done)
                 if (asked := self._later.pop(index, None)) is not None:
                     self._hear(*asked, done, "" if done else "it changed nothing")
             self._seat_office(now)
@@ -116,7 +116,7 @@
                 self.notes.append(("leads_no_more", {"term": self.office.term}))
             self.office = None
         elif self.office is None or self.office.term != raft.term:
-            fresh = now - self._born < self._charter.count_us or len(raft.seats) == 1
+            fresh = now - self._born < self._charter.lease_with_drift_us or len(raft.seats) == 1
             self.office = LeaseManager(
                 self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh
             )
@@ -143,8 +143,8 @@
         """What is to be said, once what is to be kept is written."""
         out: list[tuple[str, Message]] = [(name_of(seat), said) for seat, said in self.raft.take_out()]
         if self.office is not None:
-            out += self.office.take_out()
-            self.notes += [(note.event, dict(note.fields)) for note in self.office.take_notes()]
+            out += self.office.take_messages()
+            self.notes += [(note.event, dict(note.fields)) for note in self.office.take_notices()]
         heard, self.heard = self.heard, []
         return out + list[tuple[str, Message]](heard)
 
@@ -154,33 +154,35 @@
         """The whole ledger; the leader also tells until when each lease is counted and what is used."""
         ledger, office = self.ledger, self.office
         return {
-            "settled": ledger.settled, "version": ledger.version,
+            "settled": ledger.settled, "version": ledger.limits_version,
             "wholes": {
-                plan: {"rate": rate / 1000, "burst": burst / 1000, "floors": ledger.floors(plan)[0] / 1000}
-                for plan, (rate, burst) in sorted(ledger.wholes.items())
+                plan: {"rate": rate / 1000, "burst": burst / 1000,
+                       "floors": ledger.reserved_for_floors(plan)[0] / 1000}
+                for plan, (rate, burst) in sorted(ledger.limits.items())
             },
-            "slots": {n: {"head": slot.head, "store": slot.store} for n, slot in ledger.slots.items()},
+            "slots": {n: {"head": slot.gateway, "store": slot.store}
+                      for n, slot in ledger.floor_slots.items()},
             "sessions": [
-                {"session": n, "head": session.head, "slot": session.slot}
-                | (office.lease(now, n) if office is not None else {})
+                {"session": n, "head": session.gateway, "slot": session.floor_slot}
+                | (office.lease_view(now, n) if office is not None else {})
                 for n, session in sorted(ledger.sessions.items())
             ],
             "amounts": {
                 amount: {
-                    "free": round(ledger.room(amount)[0] / 1000, 3),
-                    "whole": ledger.wholes[plan_of(amount)][0] / 1000,
+                    "free": round(ledger.available(amount)[0] / 1000, 3),
+                    "whole": ledger.limits[plan_of(amount)][0] / 1000,
                     "parts": [
-                        {"head": ledger.sessions[n].head, "session": n, "rate": stake.rate / 1000,
+                        {"head": ledger.sessions[n].gateway, "session": n, "rate": stake.rate / 1000,
                          "burst": stake.burst / 1000}
-                        | (office.wish(now, amount, n) if office is not None else {})
+                        | (office.demand_view(now, amount, n) if office is not None else {})
                         for n, stake in sorted(stakes.items())
                     ],
                 }
-                for amount, stakes in sorted(ledger.parts.items())
+                for amount, stakes in sorted(ledger.allocations.items())
             },
         }  # fmt: skip
 
 
 def elsewhere(ask: LeaseRequest, leader: str) -> LeaseResponse:
     """Not here: perhaps at whom this one thinks leads."""
-    return LeaseResponse(ask.process, ask.number, LeaseStatus.ELSEWHERE, 0, 0, leader)
+    return LeaseResponse(ask.process, ask.number, LeaseStatus.NOT_LEADER, 0, 0, leader)
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -13,6 +13,7 @@
 import random
 import secrets
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from twisted.internet.error import CannotListenError
@@ -62,7 +63,7 @@
         settings = self._settings
         self.process = self._process_given or secrets.randbits(62) | 1
         self._process_given = None
-        self.wire = Wire(settings.charter.name, settings.head, self.process, settings.key)
+        self.wire = Wire(settings.terms.name, settings.gateway, self.process, settings.key)
         self.link = Link(self._reactor, self._clock, self.wire, self._log, self._address, self._heard)
 
     # ---- life ----
@@ -91,12 +92,12 @@
         settings, now = self._settings, self._clock.now_us()
         host, port = settings.advertise or address
         self.node = FleetNode(
-            settings.charter, digest(settings.charter), settings.head, f"{host}:{port}", self.process,
+            settings.terms, digest(settings.terms), settings.gateway, f"{host}:{port}", self.process,
             now // 1000, loaded, secrets.randbits(63), now,
         )  # fmt: skip
         self._state()
         self._log.info(
-            "fleet_begins", fleet=settings.charter.name, head=settings.head, address=f"{host}:{port}",
+            "fleet_begins", fleet=settings.terms.name, head=settings.gateway, address=f"{host}:{port}",
             keeper=self.node.keeper, store=loaded is not None, process=self.process,
         )  # fmt: skip
         self._step(lambda node, at: node.tick(at))
@@ -109,7 +110,7 @@
         """What the store holds; None where there is none, or none that can be used."""
         if self._settings.folder is None:
             return None
-        store = FleetStore(self._settings.folder, self._settings.head)
+        store = FleetStore(self._settings.folder, self._settings.gateway)
         try:
             loaded = store.open()
         except StoreFailed as error:
@@ -138,7 +139,7 @@
         leaving = self.node is not None and self.node.holder.leaving
         if self._closed or leaving or self._settings.folder is None or self._store is not None:
             return
-        store = FleetStore(self._settings.folder, self._settings.head)
+        store = FleetStore(self._settings.folder, self._settings.gateway)
         try:
             store.open()
             store.prove()
@@ -155,7 +156,7 @@
     def _begin_anew(self) -> None:
         """Take this head's place as a process does that has just started.  What the gateway holds of the
         lease ends with it, as the keepers count it; its floor is the same."""
-        self._log.info("fleet_begins_anew", head=self._settings.head)
+        self._log.info("fleet_begins_anew", head=self._settings.gateway)
         self.node = None
         if self._tick is not None and self._tick.active():
             self._tick.cancel()
@@ -179,7 +180,7 @@
     def leave(self) -> None:
         """This head ends in order."""
         if self.node is not None and not self.node.holder.leaving:
-            self._log.info("fleet_leaves", head=self._settings.head)
+            self._log.info("fleet_leaves", head=self._settings.gateway)
             self._step(lambda node, now: node.leave(now))
 
     def close(self) -> None:
@@ -225,8 +226,8 @@
             assert self._engine is not None
             self._engine.share(shares_of(out.shares))
         for to, message in out.sends:
-            if to == self._settings.head:
-                self._clock.call_later(0, lambda m=message: self._heard(self._settings.head, self.process, m))  # type: ignore[misc]
+            if to == self._settings.gateway:
+                self._clock.call_later(0, partial(self._heard, to, self.process, message))
             else:
                 self.link.send(to, message)
 
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -60,8 +60,8 @@
 class FleetSettings:
     """The whole file.  Addresses are (host, port); ``peers`` are those that this head reaches others at."""
 
-    charter: FleetTerms
-    head: str
+    terms: FleetTerms
+    gateway: str
     listen: tuple[str, int]
     advertise: tuple[str, int] | None
     key: bytes
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -420,7 +420,7 @@
     ) -> None:  # fmt: skip
         self.rng, self.now = random.Random(seed), 0
         names = [f"h{n}" for n in range(heads)]
-        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), most_heads=heads)
+        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), max_gateways=heads)
         self.limit, self.most_units = limit, most_units
         self.mounts = float(heads if mounts is None else mounts)
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -23,7 +23,7 @@
 from gaugesail.coordination.bootstrap import name_of, seat_of
 from gaugesail.coordination.consensus import RaftNode, Role, Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder, _Want
+from gaugesail.coordination.lease_holder import DemandEstimate, HeadFloor, LeaseHolder
 from gaugesail.coordination.quota_ledger import Pair
 from gaugesail.coordination.replica import Replica
 
@@ -96,7 +96,7 @@
 
 
 def _charter() -> FleetTerms:
-    return FleetTerms(FLEET, NAMES, LEASE_US, drift=0, most_heads=3)
+    return FleetTerms(FLEET, NAMES, LEASE_US, max_drift_ppm=0, max_gateways=3)
 
 
 def _raft(name: str, now: int, keepers: int, term: int, vote: str, log: list[m.LogEntry]) -> RaftNode:
@@ -112,7 +112,7 @@
     charter = _charter()
     keeper = Replica(charter, "d", FLEET, _raft(name, now, keepers, term, vote, list(log)), -10 * LEASE_US)
     holder = LeaseHolder(charter, "d", name, process, f"s-{name}", HeadFloor(), now, Still())
-    holder.state({"p": WHOLE}, QUANTUM)
+    holder.set_limits({"p": WHOLE}, QUANTUM)
     return Cell(keeper, holder, process, term, vote, list(log))
 
 
@@ -130,11 +130,11 @@
             if save.first is not None:
                 cell.log[save.first - 1 :] = save.entries
         said = [(name, to, _pack(what)) for to, what in keeper.take_out()]
-        said += [(name, to, _pack(what)) for to, what in cell.holder.take_out()]
+        said += [(name, to, _pack(what)) for to, what in cell.holder.take_messages()]
         keeper.notes.clear()
-        cell.holder.notes.clear()
-        cell.holder.spendable()
-        cell.holder.floor_dirty = False
+        cell.holder.notices.clear()
+        cell.holder.take_quota_update()
+        cell.holder.floor_changed = False
         self._still(cell, now)
         return said
 
@@ -145,14 +145,14 @@
         raft.now = now
         if not raft._others:
             raft.round = 0
-            for tenant in office.tenants.values() if office is not None else ():
-                tenant.round = 0
+            for lease in office.leases.values() if office is not None else ():
+                lease.confirmation_round = 0
         for other in raft._others.values():
             other.heard_at = other.sent_at = now
         if office is not None:
             office._retell_at = NEVER
-            for tenant in office.tenants.values():
-                tenant.untold = dict.fromkeys(tenant.untold, 0)
+            for lease in office.leases.values():
+                lease.unconfirmed = dict.fromkeys(lease.unconfirmed, 0)
         holder._ask_at, holder._waits, holder._mute, holder._whom = NEVER, None, set(), ""
         holder._wanted_at = now
         for want in holder._wants.values():
@@ -279,7 +279,7 @@
         return room
 
     def want(self, room: Room, name: str, rate: int) -> None:
-        room.cells[name].holder._wants[AMOUNT] = _Want(1000, room.now, float(rate), float(rate))
+        room.cells[name].holder._wants[AMOUNT] = DemandEstimate(1000, room.now, float(rate), float(rate))
 
     # ---- what must hold ----
 
@@ -288,7 +288,7 @@
         rate = burst = 0
         for cell in room.cells.values():
             holder = cell.holder
-            if room.now < holder.until and (held := holder.book.get(AMOUNT)) is not None:
+            if room.now < holder.lease_until and (held := holder.allocations.get(AMOUNT)) is not None:
                 rate, burst = rate + held.rate, burst + held.burst
         floor = _charter().floor(*WHOLE)
         return rate + 3 * floor[0], burst + 3 * floor[1]
@@ -332,7 +332,7 @@
                 back[key] = mine, step
                 found.states += 1
                 found.both += len(way._leaders(fresh)) > 1
-                found.moved += AMOUNT in fresh.cells["h2"].holder.book
+                found.moved += AMOUNT in fresh.cells["h2"].holder.allocations
                 if not way.good(fresh):
                     found.whole = False
                     while key in back:
--- a/gaugesail/lab/troubles.py
+++ b/gaugesail/lab/troubles.py
@@ -159,7 +159,7 @@
     def twin(self) -> None:
         """A second process starts under a name that is taken, with a store of its own."""
         head = self._any()
-        if self.world.charter.keepers == (head.name,):
+        if self.world.charter.replicas == (head.name,):
             return  # two processes that are each the one keeper are two fleets: the pages say so
         name = f"{head.name}~{self.faults['twin']}"
         twin = LabHead(self.world, head.name, head.drift)
@@ -170,7 +170,7 @@
     def rename(self) -> None:
         """A head that is no keeper comes back under another name, with its store."""
         head = self._any()
-        if head.name in self.world.charter.keepers:
+        if head.name in self.world.charter.replicas:
             return
         head.die()
         fresh = f"{head.name.partition('.')[0]}.{self.faults['rename']}"
@@ -181,7 +181,7 @@
 
     def lose_store(self) -> None:
         head = self._any()
-        if self.world.charter.keepers == (head.name,):
+        if self.world.charter.replicas == (head.name,):
             return  # with the one keeper's store the fleet is gone: the pages say so
         head.die()
         head.disk = Disk()
@@ -271,7 +271,7 @@
             waits.discard(name)
             if not waits and world.limit is fresh:
                 for judge in world.judges.values():
-                    judge.settle(world.now + 2 * world.charter.count_us)
+                    judge.settle(world.now + 2 * world.charter.lease_with_drift_us)
 
         for name, head in world.heads.items():
             at = world.now + int(self.rng.uniform(0, 4) * SECOND)
--- a/gaugesail/measure/budgets.py
+++ b/gaugesail/measure/budgets.py
@@ -119,8 +119,8 @@
     for head in world.heads.values():
         head.sent_bytes = 0
     world.run(world.now + seconds * SECOND)
-    kept = [head.sent_bytes for name, head in world.heads.items() if name in world.charter.keepers]
-    rest = [head.sent_bytes for name, head in world.heads.items() if name not in world.charter.keepers]
+    kept = [head.sent_bytes for name, head in world.heads.items() if name in world.charter.replicas]
+    rest = [head.sent_bytes for name, head in world.heads.items() if name not in world.charter.replicas]
     return sum(rest) / max(1, len(rest)) / seconds, sum(kept) / len(kept) / seconds
 
 
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -191,8 +191,8 @@
         world = begun(seed)
         boss = leader(world).name
         ask(world, ["h3"], 3)
-        keepers = [name for name in world.charter.keepers if name != boss]
-        for name in world.charter.keepers:
+        keepers = [name for name in world.charter.replicas if name != boss]
+        for name in world.charter.replicas:
             world.line("h3", name).cut = True
         ask(world, ["h3", "h4"], 2.4)
         for name in keepers:
@@ -201,10 +201,10 @@
         end = world.now + 4 * SECOND
         while world.now < end and seat is not None and seat.office is not None:
             ask(world, ["h4"], 0.02)
-            mine = [tenant for tenant in seat.office.tenants.values() if tenant.head == "h3"]
-            if not mine or mine[0].until - world.heads[boss].now() < (100 + 100 * seed) * 1000:
+            mine = [lease for lease in seat.office.leases.values() if lease.gateway == "h3"]
+            if not mine or mine[0].expires_at - world.heads[boss].now() < (100 + 100 * seed) * 1000:
                 break
-        for name in world.charter.keepers:
+        for name in world.charter.replicas:
             world.line("h3", name).cut = False
         ask(world, ["h3", "h4"], 2)
         for name in keepers:
@@ -236,7 +236,7 @@
     def once(seed: int) -> int:
         world = begun(seed)
         boss = leader(world).name
-        short, other = [name for name in world.charter.keepers if name != boss]
+        short, other = [name for name in world.charter.replicas if name != boss]
         world.cut({short})
         ask(world, ["h3"], 3)
         world.cut({short}, on=False)
@@ -366,7 +366,7 @@
     def once(seed: int) -> int:
         world = begun(seed)
         ask(world, ["h3"], 2)
-        copies = {name: world.heads[name].disk for name in world.charter.keepers}
+        copies = {name: world.heads[name].disk for name in world.charter.replicas}
         olds = {name: disk.copy() for name, disk in copies.items() if disk is not None}
         ask(world, ["h4"], 4)
         for name in list(olds)[:2]:
@@ -375,7 +375,7 @@
         world.run(world.now + SECOND // 10)
         for name in list(olds)[:2]:
             world.heads[name].start()
-        keep = world.charter.keepers[2]
+        keep = world.charter.replicas[2]
         world.cut({keep})
         ask(world, ["h3", "h4"], 12)
         world.cut({keep}, on=False)
@@ -396,7 +396,7 @@
     for judge in world.judges.values():
         judge.change(world.now, less)
     world.judge(1).change(world.now, less)
-    world.judge(1).settle(world.now + 2 * world.charter.count_us + SECOND)
+    world.judge(1).settle(world.now + 2 * world.charter.lease_with_drift_us + SECOND)
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 25 * SECOND)
     return broken(world)
@@ -414,7 +414,7 @@
         judge.change(world.now, less)
         for n, head in enumerate(world.heads.values()):
             world.at(world.now + n * SECOND // 2, lambda head=head: head.retune(less))  # type: ignore[misc]
-        judge.settle(world.now + 3 * SECOND + 2 * world.charter.count_us)
+        judge.settle(world.now + 3 * SECOND + 2 * world.charter.lease_with_drift_us)
         world.run(world.now + 20 * SECOND)
         more = world.limit = Limit(RATE, 80.0)
         judge.change(world.now, more)
@@ -476,7 +476,7 @@
 
 
 def _seats(charter: FleetTerms) -> tuple[Disk, tuple[str, ...]]:
-    seats = tuple(seat_of(name, f"store-{name}") for name in charter.keepers)
+    seats = tuple(seat_of(name, f"store-{name}") for name in charter.replicas)
     kept = PersistentState("store-h1", fleet="f", seats=seats, bound="store-h0")
     return Disk(kept), seats
 
@@ -529,9 +529,9 @@
 def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
     """One that has asked at 0."""
     holder = LeaseHolder(FleetTerms("f", ("a",)), "d", "h", 7, "s", HeadFloor(), 0, random.Random(1))
-    holder.state({"p": (100_000, 80_000)}, 8000)
+    holder.set_limits({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
-    said = holder.take_out()[0][1]
+    said = holder.take_messages()[0][1]
     assert isinstance(said, m.LeaseRequest)
     return holder, said
 
@@ -541,7 +541,7 @@
     holder, asked = _holder()
     answer = m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
     holder.receive(5 * SECOND, "a", answer)
-    return int(holder.until > FleetTerms("f", ("a",)).lease_us)
+    return int(holder.lease_until > FleetTerms("f", ("a",)).lease_us)
 
 
 def order_late() -> int:
@@ -552,7 +552,7 @@
     )
     for version, rate in ((9, 20_000), (8, 90_000)):
         holder.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", version, rate, 8000),)))
-    return int(holder.book["p/1"].rate != 20_000)
+    return int(holder.allocations["p/1"].rate != 20_000)
 
 
 def session_replaced() -> int:
@@ -565,7 +565,7 @@
     holder.receive(
         30, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 6, 1, "a", -1, 0, (), "f")
     )
-    return len(holder.book)
+    return len(holder.allocations)
 
 
 def leader_errs() -> int:
@@ -581,7 +581,7 @@
     ]
     for index, command in enumerate(commands, 1):
         ledger.apply(index, command)
-    return int(sum(stake.rate for stake in ledger.parts["p/1"].values()) > 90_000)
+    return int(sum(stake.rate for stake in ledger.allocations["p/1"].values()) > 90_000)
 
 
 def snapshot_and_log() -> int:
--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -39,14 +39,14 @@
 def _ordered_twice(self: Any, now: int, message: m.QuotaOrders) -> None:
     """Each order adds what it says to what is there."""
     for order in message.orders:
-        have = self.book.get(order.amount)
+        have = self.allocations.get(order.quota_name)
         self._seen = max(self._seen, order.version)
         rate, burst = order.rate, order.burst
-        if have is not None and order.version == have.version and not order.lower:
+        if have is not None and order.version == have.version and not order.release:
             rate, burst = have.rate + rate, have.burst + burst
-        self.book[order.amount] = m.HeldQuota(order.amount, order.version, rate, burst)
-        self._fresh[order.amount] = None
-        self._changed[order.amount] = 0
+        self.allocations[order.quota_name] = m.HeldQuota(order.quota_name, order.version, rate, burst)
+        self._fresh[order.quota_name] = None
+        self._changed[order.quota_name] = 0
     self._hurry(now)
 
 
@@ -55,9 +55,9 @@
 
     def ordered(self: Any, now: int, message: m.QuotaOrders) -> None:
         for order in message.orders:
-            have = self.book.get(order.amount)
+            have = self.allocations.get(order.quota_name)
             if have is not None and order.version < have.version:
-                self.book[order.amount] = m.HeldQuota(order.amount, order.version, 0, 0)
+                self.allocations[order.quota_name] = m.HeldQuota(order.quota_name, order.version, 0, 0)
         old(self, now, message)
 
     return ordered
@@ -69,19 +69,19 @@
     def init(self: Any, *given: Any) -> None:
         *most, now, _ = given
         old(self, *most, now, False)
-        for tenant in self.tenants.values():
-            tenant.until = now
+        for lease in self.leases.values():
+            lease.expires_at = now
 
     return init
 
 
-def _unasked(self: Any, now: int, number: int, tenant: Any, amounts: Any) -> None:
+def _unasked(self: Any, now: int, number: int, lease: Any, amounts: Any) -> None:
     """What a holder is asked to give up is written down at once."""
-    for amount, (rate, burst) in list(tenant.lower.items()):
-        stake = self._ledger.parts.get(amount, {}).get(number)
+    for amount, (rate, burst) in list(lease.release_targets.items()):
+        stake = self._ledger.allocations.get(amount, {}).get(number)
         if stake is not None:
             self._propose(amount, number, min(rate, stake.rate), min(burst, stake.burst), stake.version)
-    _TELL(self, now, number, tenant, amounts)
+    _TELL(self, now, number, lease, amounts)
 
 
 _TELL = lease_manager.LeaseManager._tell
@@ -91,10 +91,10 @@
     """The sum is not looked at."""
     if command.session not in self.sessions:
         return False
-    self.parts.setdefault(command.amount, {})[command.session] = quota_ledger.Allocation(
+    self.allocations.setdefault(command.quota_name, {})[command.session] = quota_ledger.Allocation(
         command.rate, command.burst, index
     )
-    self._sums.pop(command.amount, None)
+    self._sums.pop(command.quota_name, None)
     return True
 
 
@@ -105,19 +105,21 @@
         return
     pending.add(session)
     index = self._raft.propose(m.AllocateQuota(amount, session, rate, burst, held))
-    found, tenant = self._ledger.sessions.get(session), self.tenants[session]
+    found, lease = self._ledger.sessions.get(session), self.leases[session]
     if index is not None and found is not None:
         order = m.QuotaOrder(amount, index, rate, burst, False)
-        self._out.append((tenant.head, m.QuotaOrders(found.process, session, self._fleet, (order,))))
+        self._out.append((lease.gateway, m.QuotaOrders(found.process, session, self._fleet, (order,))))
 
 
 def _keep_book(old: Any) -> Any:
     """Parts of an earlier session are spent under the next."""
 
     def drop(self: Any) -> None:
-        book, until = dict(self.book), self.until
+        allocations = dict(self.allocations)
+        lease_until = self.lease_until
         old(self)
-        self.book, self.until = book, until
+        self.allocations = allocations
+        self.lease_until = lease_until
         self._anew = False
 
     return drop
@@ -160,9 +162,9 @@
 
 def _floor_any(self: Any, head: str, store: str) -> int:
     """Whoever opens a session has the first floor."""
-    if 0 not in self.slots:
-        self.slots[0] = quota_ledger.FloorSlot(head, store, [self.version])
-        self._past[self.version] = self.wholes
+    if 0 not in self.floor_slots:
+        self.floor_slots[0] = quota_ledger.FloorSlot(head, store, [self.limits_version])
+        self._past[self.limits_version] = self.limits
         self._floors.clear()
     return 0
 
@@ -194,7 +196,7 @@
     return shares
 
 
-def _closing_renewed(self: Any, now: int, number: int, tenant: Any) -> bool:
+def _closing_renewed(self: Any, now: int, number: int, lease: Any) -> bool:
     """A session whose end is on its way is renewed."""
     return True
 
@@ -204,8 +206,8 @@
 
     def tick(self: Any, now: int) -> None:
         old(self, now)
-        for tenant in self.tenants.values():
-            tenant.until = min(tenant.until, now + self._charter.count_us // 2)
+        for lease in self.leases.values():
+            lease.expires_at = min(lease.expires_at, now + self._charter.lease_with_drift_us // 2)
 
     return tick
 
@@ -227,7 +229,7 @@
     Plant("lower_unasked", "a part is taken down before its holder has given it up",
           lambda: [patch.object(lease_manager.LeaseManager, "_tell", _unasked)]),
     Plant("no_drift", "the drift of clocks is left out",
-          lambda: [patch.object(FleetTerms, "count_us", property(lambda self: self.lease_us))]),
+          lambda: [patch.object(FleetTerms, "lease_with_drift_us", property(lambda self: self.lease_us))]),
     Plant("no_sum", "the ledger takes a part without looking at the sum",
           lambda: [patch.object(quota_ledger.QuotaLedger, "_part", _part_anyway)]),
     Plant("told_before_committed", "a grant is told before a majority has it",
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -222,5 +222,5 @@
     heard = {
         said.number: said.done for _, said in seat.take_out() if isinstance(said, m.OperatorCommandResult)
     }
-    assert heard == {2: False, 3: True, 4: True} and not seat.ledger.slots
+    assert heard == {2: False, 3: True, 4: True} and not seat.ledger.floor_slots
     assert set(seat.view(three.now)) == {"settled", "version", "wholes", "slots", "sessions", "amounts"}
--- a/tests/coordination/test_exhaustive_search.py
+++ b/tests/coordination/test_exhaustive_search.py
@@ -22,7 +22,7 @@
     way = Search()
     room = way.first(Budget())
     assert way.spendable(room)[0] == 100_000 and way.good(room)
-    assert "p/1" in room.cells["h1"].holder.book and not room.cells["h2"].holder.book
+    assert "p/1" in room.cells["h1"].holder.allocations and not room.cells["h2"].holder.allocations
 
 
 @pytest.mark.parametrize("plant", ["lower_unasked", "closed_early"])
--- a/tests/coordination/test_leases_and_bootstrap.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -108,7 +108,7 @@
 
 # ---- the office ----
 
-CHARTER = FleetTerms("f", ("a",), most_heads=2)
+CHARTER = FleetTerms("f", ("a",), max_gateways=2)
 
 
 class Leader:
@@ -132,7 +132,7 @@
             for index, command in self.raft.committed():
                 done = self.ledger.apply(index, command)
                 if office is not None:
-                    office.applied(self.now, index, command, done)
+                    office.entry_applied(self.now, index, command, done)
             if office is not None:
                 office.tick(self.now)
             self.now += 30_000
@@ -140,12 +140,20 @@
     def ask(self, process: int, session: int = 0, **more: Any) -> list[Any]:
         self.number += 1
         given: dict[str, Any] = {
-            "charter": "d", "store": f"s{process}", "wholes": (("p", 100_000, 80_000),), "slot": -1,
-            "floor": 0, "quantum": 4000, "fleet": "f", "seen": 0, "demands": (), "held": (),
-        } | more  # fmt: skip
-        self.office.ask(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **given))
+            "terms_digest": "d",
+            "store": f"s{process}",
+            "limits": (("p", 100_000, 80_000),),
+            "floor_slot": -1,
+            "floor_version": 0,
+            "max_request": 4000,
+            "fleet": "f",
+            "last_seen_index": 0,
+            "demands": (),
+            "held": (),
+        } | more
+        self.office.request(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **given))
         self.pump()
-        return [said for _, said in self.office.take_out()]
+        return [said for _, said in self.office.take_messages()]
 
 
 def want(rate: int) -> tuple[m.QuotaDemand, ...]:
@@ -159,7 +167,7 @@
     leader.now += 10 * SECOND  # the whole is settled
     said = leader.ask(1, answer.session, demands=want(50_000))
     orders = [one for one in said if isinstance(one, m.QuotaOrders)]
-    stake = leader.ledger.parts["p/1"][answer.session]
+    stake = leader.ledger.allocations["p/1"][answer.session]
     assert orders and orders[-1].orders[0].version == stake.version and stake.rate >= 50_000
 
 
@@ -171,46 +179,48 @@
     leader.now += 3_200_000
     leader.ask(1, one), leader.ask(2, two)
     leader.ask(1, one, demands=want(200_000))
-    had = leader.ledger.parts["p/1"][one]
+    had = leader.ledger.allocations["p/1"][one]
     assert had.rate > 80_000
     said = leader.ask(2, two, demands=want(200_000))
     lower = [
-        order for told in said if isinstance(told, m.QuotaOrders) for order in told.orders if order.lower
+        order for told in said if isinstance(told, m.QuotaOrders) for order in told.orders if order.release
     ]
-    assert lower and leader.ledger.parts["p/1"][one].rate == had.rate, "asked, and not written down yet"
+    assert lower and leader.ledger.allocations["p/1"][one].rate == had.rate, "asked, and not written down yet"
     leader.ask(1, one, demands=want(200_000), held=(m.HeldQuota("p/1", had.version, 45_000, lower[0].burst),))
-    assert leader.ledger.parts["p/1"][one].rate <= 45_000
-    assert leader.ledger.parts["p/1"][two].rate >= 40_000
-    assert leader.ledger.sums("p/1")[0] <= 90_000
+    assert leader.ledger.allocations["p/1"][one].rate <= 45_000
+    assert leader.ledger.allocations["p/1"][two].rate >= 40_000
+    assert leader.ledger.allocated("p/1")[0] <= 90_000
 
 
 def test_a_lease_that_ran_out_is_closed_after_it_has_surely_run_out_and_not_renewed_then() -> None:
     leader = Leader()
     asked_at = leader.now
     session = leader.ask(1)[0].session
-    until = leader.office.tenants[session].until
-    assert until >= asked_at + CHARTER.count_us > asked_at + CHARTER.lease_us  # its clock may be slow
+    until = leader.office.leases[session].expires_at
+    assert (
+        until >= asked_at + CHARTER.lease_with_drift_us > asked_at + CHARTER.lease_us
+    )  # its clock may be slow
     leader.now = until
     leader.office.tick(leader.now)
-    assert not leader.office.tenants[session].closing
+    assert not leader.office.leases[session].closing
     leader.now = until + 1
     leader.office.tick(leader.now)
-    assert leader.office.tenants[session].closing
+    assert leader.office.leases[session].closing
     assert not [
         one for one in leader.ask(1, session) if getattr(one, "status", None) is m.LeaseStatus.RENEWED
     ]
     assert session not in leader.ledger.sessions
-    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN
+    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
 
 
 def test_a_file_that_differs_a_log_that_is_short_and_an_end_in_order() -> None:
     leader = Leader()
-    assert leader.ask(1, charter="other")[0].status is m.LeaseStatus.CHARTER
+    assert leader.ask(1, terms_digest="other")[0].status is m.LeaseStatus.TERMS_DIFFER
     session = leader.ask(1)[0].session
-    assert leader.ask(1, session, seen=10_000)[0].status is m.LeaseStatus.UNKNOWN
+    assert leader.ask(1, session, last_seen_index=10_000)[0].status is m.LeaseStatus.UNKNOWN_SESSION
     assert leader.ask(1, session, leaving=True)[0].status is m.LeaseStatus.LEFT
     assert session not in leader.ledger.sessions
-    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN
+    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
 
 
 def test_who_keeps_what_a_lowered_whole_has_no_room_for_is_renewed_no_more() -> None:
@@ -220,11 +230,11 @@
         leader.now += SECOND
         leader.ask(1, session, demands=want(200_000))
     less = (("p", 20_000, 80_000),)
-    leader.ask(1, session, demands=want(200_000), wholes=less)
+    leader.ask(1, session, demands=want(200_000), limits=less)
     leader.now += COMPLY_US
-    leader.ask(1, session, demands=want(200_000), wholes=less)
+    leader.ask(1, session, demands=want(200_000), limits=less)
     leader.now += 1000
-    said = leader.ask(1, session, demands=want(200_000), wholes=less)
+    said = leader.ask(1, session, demands=want(200_000), limits=less)
     assert not [one for one in said if getattr(one, "status", None) is m.LeaseStatus.RENEWED]
 
 
@@ -232,11 +242,11 @@
     with planted("closing_renewed"):
         leader = Leader()
         session = leader.ask(1)[0].session
-        tenant = leader.office.tenants[session]
-        tenant.ask = m.LeaseRequest(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
-        tenant.round, tenant.closing = 0, True
+        lease = leader.office.leases[session]
+        lease.unanswered_request = m.LeaseRequest(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
+        lease.confirmation_round, lease.closing = 0, True
         leader.office.tick(leader.now)
-        assert [one for _, one in leader.office.take_out() if isinstance(one, m.LeaseResponse)]
+        assert [one for _, one in leader.office.take_messages() if isinstance(one, m.LeaseResponse)]
 
 
 # ---- founding ----
@@ -311,18 +321,18 @@
             for n in (1, 2)
         }
         for one in self.holders.values():
-            one.state({"p": (100_000, 80_000)}, 4000)
+            one.set_limits({"p": (100_000, 80_000)}, 4000)
 
     def say(self) -> None:
         for n, one in self.holders.items():
-            self.air += [(0, (n, said)) for _, said in one.take_out()]
-        for to, said in self.leader.office.take_out():
+            self.air += [(0, (n, said)) for _, said in one.take_messages()]
+        for to, said in self.leader.office.take_messages():
             self.air.append((int(to[1:]), said))
 
     @rule(n=st.sampled_from([1, 2]), rate=st.sampled_from([0, 20, 60, 200]))
     def want(self, n: int, rate: int) -> None:
         one, now = self.holders[n], self.leader.now
-        one.want(now, {"p/1": (rate / 10, rate / 10, 0.0, 1000)} if rate else {})
+        one.record_demand(now, {"p/1": (rate / 10, rate / 10, 0.0, 1000)} if rate else {})
         one.tick(now, ["a"])
         self.say()
 
@@ -336,7 +346,7 @@
         if to:
             self.holders[to].receive(self.leader.now, "a", said)
         else:
-            self.leader.office.ask(self.leader.now, f"h{said[0]}", said[1])
+            self.leader.office.request(self.leader.now, f"h{said[0]}", said[1])
             self.leader.pump()
         self.say()
 
@@ -351,7 +361,11 @@
     @invariant()
     def rights_fit_the_whole(self) -> None:
         now = self.leader.now
-        parts = [one.book["p/1"] for one in self.holders.values() if now < one.until and "p/1" in one.book]
+        parts = [
+            one.allocations["p/1"]
+            for one in self.holders.values()
+            if now < one.lease_until and "p/1" in one.allocations
+        ]
         floors = CHARTER.floor(100_000, 80_000)
         assert sum(part.rate for part in parts) + 2 * floors[0] <= 100_000
         assert sum(part.burst for part in parts) + 2 * floors[1] <= 80_000
--- a/tests/coordination/test_quota.py
+++ b/tests/coordination/test_quota.py
@@ -15,7 +15,7 @@
 from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.coordination.store_fencing import KnownStore, StoreFence, judge
 
-CHARTER = FleetTerms("f", ("a", "b", "c"), most_heads=4)
+CHARTER = FleetTerms("f", ("a", "b", "c"), max_gateways=4)
 
 
 def made(*commands: m.Command) -> QuotaLedger:
@@ -44,7 +44,7 @@
     assert not ledger.apply(5, m.AllocateQuota("p/1", 3, 60_000, 1000)), "it was for nobody's part"
     assert ledger.apply(6, m.AllocateQuota("p/1", 3, 60_000, 1000, 4))
     assert not ledger.apply(7, m.AllocateQuota("p/1", 3, 70_000, 1000, 4)), "and once"
-    assert ledger.sums("p/1") == (60_000, 1000)
+    assert ledger.allocated("p/1") == (60_000, 1000)
 
 
 def test_a_close_frees_the_parts_and_keeps_the_floor() -> None:
@@ -55,47 +55,49 @@
         m.AllocateQuota("p/1", 3, 90_000, 1000),
         m.CloseSession(3),
     )
-    assert ledger.sums("p/1") == (0, 0) and not ledger.sessions
+    assert ledger.allocated("p/1") == (0, 0) and not ledger.sessions
     assert not ledger.apply(6, m.AllocateQuota("p/1", 3, 1, 1)), "nothing is given to who is gone"
     assert not ledger.apply(7, m.CloseSession(3))
-    assert ledger.slots[0].store == "s"
+    assert ledger.floor_slots[0].store == "s"
     ledger.apply(8, m.OpenSession("a", 9, "s"))
     ledger.apply(9, m.OpenSession("b", 10, "s2"))
-    assert [ledger.sessions[8].slot, ledger.sessions[9].slot] == [0, 1], "its own again, and never another's"
+    assert [ledger.sessions[8].floor_slot, ledger.sessions[9].floor_slot] == [0, 1], (
+        "its own again, and never another's"
+    )
 
 
 def test_one_process_has_one_session_and_floors_end_with_the_slots() -> None:
     ledger = made(*(m.OpenSession(f"h{n}", n, f"s{n}") for n in range(1, 7)), m.OpenSession("h1", 1, "s1"))
-    assert [item.slot for item in ledger.sessions.values()] == [0, 1, 2, 3, -1, -1]
+    assert [item.floor_slot for item in ledger.sessions.values()] == [0, 1, 2, 3, -1, -1]
     ledger = made(m.OpenSession("h", 1, ""))
-    assert ledger.sessions[1].slot == -1, "without a store there is no floor"
+    assert ledger.sessions[1].floor_slot == -1, "without a store there is no floor"
 
 
 def test_a_whole_is_lowered_at_once_and_raised_when_the_old_leases_are_over() -> None:
     ledger = made(WHOLE, m.SettleLimits(1))
-    assert ledger.wholes["p"] == (100_000, 80_000) and ledger.settled
+    assert ledger.limits["p"] == (100_000, 80_000) and ledger.settled
     ledger.apply(3, m.SetLimits((("p", 40_000, 90_000),)))
-    assert ledger.wholes["p"] == (40_000, 80_000) and not ledger.settled
+    assert ledger.limits["p"] == (40_000, 80_000) and not ledger.settled
     assert not ledger.apply(4, m.SettleLimits(1)), "that was of an earlier one"
     assert ledger.apply(5, m.SettleLimits(3))
-    assert ledger.wholes["p"] == (40_000, 90_000) and ledger.settled
+    assert ledger.limits["p"] == (40_000, 90_000) and ledger.settled
 
 
 def test_a_floor_counts_at_its_largest_until_its_holder_goes_by_less() -> None:
     ledger = made(WHOLE, m.SettleLimits(1), m.OpenSession("a", 1, "s"))
     ledger.apply(4, m.SetLimits((("p", 20_000, 80_000),)))
     ledger.apply(5, m.SettleLimits(4))
-    assert ledger.floors("p")[0] == 2500 + 3 * 500, "one of the old whole, three of the new"
-    assert ledger.apply(6, m.AcknowledgeFloor(0, ledger.version))
-    assert ledger.floors("p")[0] == 4 * 500
-    assert not ledger.apply(7, m.AcknowledgeFloor(0, ledger.version))
+    assert ledger.reserved_for_floors("p")[0] == 2500 + 3 * 500, "one of the old whole, three of the new"
+    assert ledger.apply(6, m.AcknowledgeFloor(0, ledger.limits_version))
+    assert ledger.reserved_for_floors("p")[0] == 4 * 500
+    assert not ledger.apply(7, m.AcknowledgeFloor(0, ledger.limits_version))
 
 
 def test_a_head_with_a_session_is_not_forgotten() -> None:
     ledger = made(m.OpenSession("a", 1, "s"))
-    assert not ledger.apply(2, m.ForgetHead("a")) and ledger.slots
+    assert not ledger.apply(2, m.ForgetHead("a")) and ledger.floor_slots
     ledger.apply(3, m.CloseSession(1))
-    assert ledger.apply(4, m.ForgetHead("a")) and not ledger.slots
+    assert ledger.apply(4, m.ForgetHead("a")) and not ledger.floor_slots
     assert not ledger.apply(5, m.ForgetHead("a"))
 
 
@@ -109,9 +111,9 @@
     )
     again = QuotaLedger(CHARTER)
     again.load(ledger.dump())
-    assert again.dump() == ledger.dump() and again.floors("p") == ledger.floors("p")
+    assert again.dump() == ledger.dump() and again.reserved_for_floors("p") == ledger.reserved_for_floors("p")
     again.load(b"")
-    assert not again.sessions and not again.wholes
+    assert not again.sessions and not again.limits
 
 
 numbers = st.integers(0, 200_000)
@@ -126,10 +128,10 @@
 
     def put(self, command: m.Command) -> None:
         self.index += 1
-        before = {amount: self.ledger.sums(amount) for amount in self.ledger.parts}
+        before = {amount: self.ledger.allocated(amount) for amount in self.ledger.allocations}
         done = self.ledger.apply(self.index, command)
         if isinstance(command, m.AllocateQuota) and not done:
-            assert before.get(command.amount, (0, 0)) == self.ledger.sums(command.amount)
+            assert before.get(command.quota_name, (0, 0)) == self.ledger.allocated(command.quota_name)
 
     @initialize()
     def begin(self) -> None:
@@ -150,7 +152,7 @@
     def part(self, pick: int, rate: int, burst: int, amount: str, fresh: bool) -> None:
         sessions = list(self.ledger.sessions)
         number = sessions[pick % len(sessions)]
-        stake = self.ledger.parts.get(amount, {}).get(number)
+        stake = self.ledger.allocations.get(amount, {}).get(number)
         held = stake.version if stake is not None and fresh else 0
         self.put(m.AllocateQuota(amount, number, rate, burst, held))
 
@@ -160,13 +162,15 @@
 
     @rule()
     def settle(self) -> None:
-        self.put(m.SettleLimits(self.ledger.version))
+        self.put(m.SettleLimits(self.ledger.limits_version))
 
     @rule(slot=st.integers(0, 3), back=st.integers(0, 3))
     def floor_at(self, slot: int, back: int) -> None:
-        found = self.ledger.slots.get(slot)
+        found = self.ledger.floor_slots.get(slot)
         if found is not None:
-            self.put(m.AcknowledgeFloor(slot, found.versions[max(-len(found.versions), -1 - back)]))
+            self.put(
+                m.AcknowledgeFloor(slot, found.limits_versions[max(-len(found.limits_versions), -1 - back)])
+            )
 
     @rule(head=st.sampled_from("abcdef"))
     def forget(self, head: str) -> None:
@@ -174,15 +178,18 @@
 
     @invariant()
     def slots_are_one_heads_each(self) -> None:
-        stores = [slot.store for slot in self.ledger.slots.values()]
-        assert len(set(stores)) == len(stores) <= CHARTER.most_heads
+        stores = [slot.store for slot in self.ledger.floor_slots.values()]
+        assert len(set(stores)) == len(stores) <= CHARTER.max_gateways
         for session in self.ledger.sessions.values():
-            assert session.slot < 0 or self.ledger.slots[session.slot].head == session.head
+            assert (
+                session.floor_slot < 0
+                or self.ledger.floor_slots[session.floor_slot].gateway == session.gateway
+            )
 
     @invariant()
     def what_is_given_while_a_whole_holds_fits_it(self) -> None:
-        for amount, stakes in self.ledger.parts.items():
-            assert self.ledger.sums(amount) == (
+        for amount, stakes in self.ledger.allocations.items():
+            assert self.ledger.allocated(amount) == (
                 sum(stake.rate for stake in stakes.values()), sum(stake.burst for stake in stakes.values())
             )  # fmt: skip
             assert set(stakes) <= set(self.ledger.sessions)
@@ -242,30 +249,39 @@
 
 def holder(store: str = "s", now: int = 0) -> LeaseHolder:
     made = LeaseHolder(CHARTER, "d", "h", 7, store, HeadFloor(), now, random.Random(1))
-    made.state({"p": (100_000, 80_000)}, 8000)
+    made.set_limits({"p": (100_000, 80_000)}, 8000)
     return made
 
 
 def asked(one: LeaseHolder, now: int) -> m.LeaseRequest:
     one.tick(now, ["a"])
-    (_, ask), *_ = one.take_out()
+    (_, ask), *_ = one.take_messages()
     assert isinstance(ask, m.LeaseRequest)
     return ask
 
 
-def answer(ask: m.LeaseRequest, session: int = 5, term: int = 1, **more: object) -> m.LeaseResponse:
-    given = {"fleet": "f", "slot": -1, "version": 0, "wholes": ()} | more
-    return m.LeaseResponse(ask.process, ask.number, m.LeaseStatus.RENEWED, session, term, "a", given["slot"],  # type: ignore[arg-type]
-                    given["version"], given["wholes"], given["fleet"])  # type: ignore[arg-type]  # fmt: skip
+def answer(
+    ask: m.LeaseRequest,
+    session: int = 5,
+    term: int = 1,
+    floor_slot: int = -1,
+    limits_version: int = 0,
+    limits: tuple[tuple[str, int, int], ...] = (),
+    fleet: str = "f",
+) -> m.LeaseResponse:
+    status = m.LeaseStatus.RENEWED
+    return m.LeaseResponse(
+        ask.process, ask.number, status, session, term, "a", floor_slot, limits_version, limits, fleet
+    )
 
 
 def test_a_lease_runs_from_when_it_was_asked_for() -> None:
     one = holder()
     ask = asked(one, 1000)
     one.receive(3_000_000, "a", answer(ask))
-    assert one.until == 1000 + CHARTER.lease_us
+    assert one.lease_until == 1000 + CHARTER.lease_us
     one.receive(9_000_000, "a", answer(ask))
-    assert one.until == 1000 + CHARTER.lease_us, "told again, it is the same lease"
+    assert one.lease_until == 1000 + CHARTER.lease_us, "told again, it is the same lease"
 
 
 def test_an_order_for_another_process_or_session_is_nothing() -> None:
@@ -275,33 +291,33 @@
     one.receive(20, "a", m.QuotaOrders(8, 5, "f", order))
     one.receive(20, "a", m.QuotaOrders(7, 4, "f", order))
     one.receive(20, "a", m.QuotaOrders(7, 5, "g", order))
-    assert not one.book
+    assert not one.allocations
     one.receive(20, "a", m.QuotaOrders(7, 5, "f", order))
-    assert one.book["p/1"].rate == 50_000
+    assert one.allocations["p/1"].rate == 50_000
     one.receive(30, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 8, 90_000, 9000),)))
-    assert one.book["p/1"].rate == 50_000, "an older one"
+    assert one.allocations["p/1"].rate == 50_000, "an older one"
     one.receive(30, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 20_000, 9000, True),)))
-    assert (one.book["p/1"].rate, one.book["p/1"].burst) == (20_000, 8000), "less, never more"
+    assert (one.allocations["p/1"].rate, one.allocations["p/1"].burst) == (20_000, 8000), "less, never more"
     one.receive(40, "a", m.QuotaOrders(7, 5, "f", order))
-    assert one.book["p/1"].rate == 20_000, "told once more, it is not taken back"
+    assert one.allocations["p/1"].rate == 20_000, "told once more, it is not taken back"
 
 
 def test_another_session_has_none_of_the_parts_of_the_one_before() -> None:
     one = holder()
     one.receive(10, "a", answer(asked(one, 0)))
     one.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 50_000, 8000),)))
-    one.spendable()
+    one.take_quota_update()
     one.receive(2_000_000, "a", answer(asked(one, 1_500_000), session=6))
-    told = one.spendable()
-    assert not one.book and told is not None and told.anew
+    told = one.take_quota_update()
+    assert not one.allocations and told is not None and told.replaces_all
 
 
 def test_without_a_store_it_asks_for_nothing_before_the_longest_lease_is_over() -> None:
     one = holder("", now=100)
-    one.tick(CHARTER.count_us, ["a"])
-    assert not one.take_out()
-    one.tick(100 + CHARTER.count_us, ["a"])
-    assert one.take_out()
+    one.tick(CHARTER.lease_with_drift_us, ["a"])
+    assert not one.take_messages()
+    one.tick(100 + CHARTER.lease_with_drift_us, ["a"])
+    assert one.take_messages()
     assert not one.floors()
 
 
@@ -314,16 +330,18 @@
     one.receive(30, "a", m.LeaseResponse(7, ask.number, m.LeaseStatus.LEFT, 0, 1, "a"))
     assert one.left and one.next_at > 1 << 60, "or its process would turn without end"
     one.tick(10_000_000, ["a"])
-    assert not one.take_out()
+    assert not one.take_messages()
 
 
 def test_a_floor_is_the_lesser_of_the_agreed_and_its_own_file() -> None:
     one = holder()
     more = (("p", 200_000, 160_000),)
-    one.receive(10, "a", answer(asked(one, 0), slot=2, version=3, wholes=more))
-    assert one.floor_dirty and one.floors() == (("p", *CHARTER.floor(100_000, 80_000)),)
-    one.receive(1_700_000, "a", answer(asked(one, 1_600_000), slot=2, version=2, wholes=(("p", 1, 1),)))
-    assert one.floor.version == 3, "an older word of it"
+    one.receive(10, "a", answer(asked(one, 0), floor_slot=2, limits_version=3, limits=more))
+    assert one.floor_changed and one.floors() == (("p", *CHARTER.floor(100_000, 80_000)),)
+    one.receive(
+        1_700_000, "a", answer(asked(one, 1_600_000), floor_slot=2, limits_version=2, limits=(("p", 1, 1),))
+    )
+    assert one.floor.limits_version == 3, "an older word of it"
 
 
 def test_a_store_is_judged_by_the_latest_mark_that_is_known_of_it() -> None:
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -177,7 +177,7 @@
     first.leave()
     first.close()
     fleet.run(4)
-    assert second.node is not None and second.node.holder.until > fleet.clock.now_us()
+    assert second.node is not None and second.node.holder.lease_until > fleet.clock.now_us()
     fleet.end()
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -50,13 +50,13 @@
 
 def test_what_stands_in_the_example_is_taken_and_what_binds_has_one_digest() -> None:
     one = load_fleet(str(ROOT / "deploy" / "fleet.example.toml"))
-    assert one.head == "head-1" and one.charter.keepers == ("head-1", "head-2", "head-3")
+    assert one.gateway == "head-1" and one.terms.replicas == ("head-1", "head-2", "head-3")
     table = {"name": "f", "head": "b", "listen": "127.0.0.1:1", "keepers": ["a"], "key": "k" * 16}
     peers = [{"name": "a", "address": "127.0.0.1:2"}]
     b = read_fleet({"fleet": table, "peer": peers})
     c = read_fleet({"fleet": table | {"head": "c"}, "peer": peers, "budgets": {"lease_ms": 4000}})
     d = read_fleet({"fleet": table, "peer": peers, "budgets": {"lease_ms": 5000}})
-    assert digest(b.charter) == digest(c.charter) != digest(d.charter)
+    assert digest(b.terms) == digest(c.terms) != digest(d.terms)
 
 
 def test_all_that_is_wrong_with_a_file_is_told_at_once(tmp_path: Path) -> None:
