--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -14,6 +14,7 @@
 
 from .fleet_terms import FleetTerms
 from .messages import HeldQuota, LeaseRequest, LeaseResponse, LeaseStatus, Message, QuotaDemand, QuotaOrders
+from .notices import Notice
 from .quota_ledger import Pair
 
 ASKS = 4  # in one lease
@@ -104,7 +105,7 @@
         self._until_told = -1
         self.floor_changed = self._frozen = False
         self._lapsed = True
-        self.notices: list[tuple[str, dict[str, str | int | float]]] = []
+        self.notices: list[Notice] = []
 
     # ---- what it may spend ----
 
@@ -227,7 +228,8 @@
         """Ask where it is due; ``keepers`` are those to ask, the likeliest first."""
         if not self._lapsed and now >= self.lease_until:
             self._lapsed = True
-            self.notices.append(("fell_to_floor", {"parts": len(self.allocations), "asked": self._number}))
+            fields = {"parts": len(self.allocations), "asked": self._number}
+            self.notices.append(Notice("fell_to_floor", fields))
         if now < self._ask_at or self.left or not keepers:
             return
         if self._waits is not None and now - self._waits >= PATIENCE_US:
@@ -331,7 +333,7 @@
         self._seen = max(self._seen, answer.session, answer.limits_version)
         if self._lapsed and now < self.lease_until:
             self._lapsed = False
-            self.notices.append(("lease_held", {"session": self.session, "leader": answer.leader}))
+            self.notices.append(Notice("lease_held", {"session": self.session, "leader": answer.leader}))
         if answer.term >= self.term:
             if answer.term > self.term:
                 for want in self._wants.values():
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -29,6 +29,7 @@
     SetLimits,
     SettleLimits,
 )
+from .notices import Notice, NoticeField
 from .quota_division import QuotaClaim, divide
 from .quota_ledger import Pair, QuotaLedger, plan_of
 
@@ -57,14 +58,6 @@
     closing: bool = False
 
 
-@dataclass(slots=True, frozen=True)
-class Note:
-    """Something that staff are told."""
-
-    event: str
-    fields: tuple[tuple[str, str | int | float], ...] = ()
-
-
 class LeaseManager:
     """The leader's books and duties in one term."""
 
@@ -98,15 +91,15 @@
         self._over: dict[str, int] = {}  # amounts that are given beyond their whole, and since when
         self._proposed: dict[str, int] = {}  # duties that have an entry on its way
         self._out: list[tuple[str, Message]] = []
-        self._notes: list[Note] = []
+        self._notices: list[Notice] = []
         self._retell_at = now
 
     def take_messages(self) -> list[tuple[str, Message]]:
         found, self._out = self._out, []
         return found
 
-    def take_notices(self) -> list[Note]:
-        found, self._notes = self._notes, []
+    def take_notices(self) -> list[Notice]:
+        found, self._notices = self._notices, []
         return found
 
     @property
@@ -432,5 +425,5 @@
             told["why"] = "told, and not yet in its book"
         return told
 
-    def _note(self, event: str, **fields: str | int | float) -> None:
-        self._notes.append(Note(event, tuple(fields.items())))
+    def _note(self, event: str, **fields: NoticeField) -> None:
+        self._notices.append(Notice(event, fields))
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -25,12 +25,11 @@
 from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
+from .notices import Notice, NoticeField
 from .quota_ledger import Pair
 from .replica import Replica, elsewhere
 from .store_fencing import KnownStore, StoreFence
 
-Notices = tuple[tuple[str, dict[str, Any]], ...]
-
 
 class PersistentState(msgspec.Struct):
     """All that a head keeps beside its log, written as one."""
@@ -80,7 +79,7 @@
     save: StoreWrite | None = None
     shares: QuotaUpdate | None = None
     sends: list[tuple[str, Message]] = field(default_factory=list)
-    notices: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+    notices: list[Notice] = field(default_factory=list)
 
 
 def amount_of(plan: str, volume: int) -> str:
@@ -129,7 +128,7 @@
         self._floor_kept = floor
         self._changed = self.holds_store  # the life counts before anything is said
         self._anew = False
-        self._notices: list[tuple[str, dict[str, Any]]] = []
+        self._notices: list[Notice] = []
         self._out: list[tuple[str, Message]] = []
         self._answers: dict[int, tuple[bool, str]] = {}  # what became of ours
         self._petitions = 0
@@ -365,13 +364,11 @@
                     self._answers[said.number] = said.done, said.why
                 else:
                     out.sends.append((to, said))
-            for event, fields in seat.notes:
-                self._note(event, **fields)
-            seat.notes.clear()
+            self._notices += seat.notices
+            seat.notices.clear()
         out.sends += self.holder.take_messages() + self.members.out() + self._out
         self._out = []
-        for event, fields in self.holder.notices:
-            self._note(event, **fields)
+        self._notices += self.holder.notices
         self.holder.notices.clear()
         out.notices, self._notices = self._notices, []
         return out
@@ -412,8 +409,8 @@
     def _say(self, to: str, message: Message) -> None:
         self._out.append((to, message))
 
-    def _note(self, event: str, **fields: Any) -> None:
-        self._notices.append((event, fields))
+    def _note(self, event: str, **fields: NoticeField) -> None:
+        self._notices.append(Notice(event, fields))
 
     # ---- what staff see ----
 
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -19,6 +19,7 @@
     OperatorCommand,
     OperatorCommandResult,
 )
+from .notices import Notice
 from .quota_ledger import QuotaLedger, plan_of
 
 RESEAT_US = 5_000_000  # without a word from a seat whose keeper has come back with another store
@@ -38,7 +39,7 @@
         self._later: dict[int, tuple[str, int]] = {}  # whose petition waits for which entry
         self._applicants: dict[str, str] = {}  # keepers with a store that has no seat
         self.heard: list[tuple[str, OperatorCommandResult]] = []  # what became of petitions, and for whom
-        self.notes: list[tuple[str, dict[str, Any]]] = []
+        self.notices: list[Notice] = []
 
     @property
     def seated(self) -> bool:
@@ -113,14 +114,14 @@
         raft = self.raft
         if not raft.serving:
             if self.office is not None:
-                self.notes.append(("leads_no_more", {"term": self.office.term}))
+                self.notices.append(Notice("leads_no_more", {"term": self.office.term}))
             self.office = None
         elif self.office is None or self.office.term != raft.term:
             fresh = now - self._born < self._charter.lease_with_drift_us or len(raft.seats) == 1
             self.office = LeaseManager(
                 self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh
             )
-            self.notes.append(("leads", {"term": raft.term}))
+            self.notices.append(Notice("leads", {"term": raft.term}))
 
     def _reseat(self, now: int) -> None:
         """A keeper that has come back with another store gets a seat for that, once the old one is away."""
@@ -137,14 +138,14 @@
                 and now - heard > RESEAT_US
                 and raft.reseat(now, set(raft.seats) - {olds[0]}) is not None
             ):
-                self.notes.append(("seat_taken_away", {"head": name, "store": store_of(olds[0])}))
+                self.notices.append(Notice("seat_taken_away", {"head": name, "store": store_of(olds[0])}))
 
     def take_out(self) -> list[tuple[str, Message]]:
         """What is to be said, once what is to be kept is written."""
         out: list[tuple[str, Message]] = [(name_of(seat), said) for seat, said in self.raft.take_out()]
         if self.office is not None:
             out += self.office.take_messages()
-            self.notes += [(note.event, dict(note.fields)) for note in self.office.take_notices()]
+            self.notices += self.office.take_notices()
         heard, self.heard = self.heard, []
         return out + list[tuple[str, Message]](heard)
 
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -33,6 +33,7 @@
 WANT_US = 100_000  # between two readings of what is asked for here
 AGAIN_US = 300_000  # until a place or a store that another process holds is asked for again
 SWEEP_US = 5_000_000
+ERROR_EVENTS = frozenset({"store_failed", "log_broken", "stores_are_old", "store_is_old", "name_taken"})
 LEAST_US = 1_000  # between two ticks
 STORE_AGAIN_US, STORE_AGAIN_MOST_US = 500_000, 8_000_000  # until a store that failed is asked for again
 
@@ -232,10 +233,10 @@
                 self.link.send(to, message)
 
     def _tell(self, out: StepOutput) -> None:
-        for event, fields in out.notices:
-            told = {key: value for key, value in fields.items() if value != ""}
-            loud = event in ("store_failed", "log_broken", "stores_are_old", "store_is_old", "name_taken")
-            (self._log.error if loud else self._log.info)(f"fleet_{event}", **told)
+        for notice in out.notices:
+            fields = {key: value for key, value in notice.fields.items() if value != ""}
+            write = self._log.error if notice.event in ERROR_EVENTS else self._log.info
+            write(f"fleet_{notice.event}", **fields)
 
     # ---- time ----
 
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -285,8 +285,8 @@
         if node is None:
             return
         out = call(node)
-        for event, _ in out.notices:
-            self.notices[event] += 1
+        for notice in out.notices:
+            self.notices[notice.event] += 1
         things: list[Callable[[], None]] = []
         if out.save is not None:
             # What is kept is what it was then.
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -131,7 +131,7 @@
                 cell.log[save.first - 1 :] = save.entries
         said = [(name, to, _pack(what)) for to, what in keeper.take_out()]
         said += [(name, to, _pack(what)) for to, what in cell.holder.take_messages()]
-        keeper.notes.clear()
+        keeper.notices.clear()
         cell.holder.notices.clear()
         cell.holder.take_quota_update()
         cell.holder.floor_changed = False
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -9,6 +9,7 @@
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.consensus import ELECTION_US, LogBroken, RaftNode, Role, Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.notices import Notice
 from gaugesail.coordination.replica import Replica
 
 SEATS = ("a#1", "b#1", "c#1")
@@ -210,7 +211,7 @@
     three.now += 3 * ELECTION_US
     raft.tick(three.now)
     seat.work(three.now)
-    assert seat.office is not None and ("leads", {"term": 1}) in seat.notes
+    assert seat.office is not None and Notice("leads", {"term": 1}) in seat.notices
     raft.propose(m.OpenSession("h", 5, "store"))
     seat.work(three.now)
     seat.petition("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
