--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -285,8 +285,8 @@
         if node is None:
             return
         out = call(node)
-        for event, _ in out.notices:
-            self.notices[event] += 1
+        for notice in out.notices:
+            self.notices[notice.event] += 1
         things: list[Callable[[], None]] = []
         if out.save is not None:
             # What is kept is what it was then.
@@ -420,7 +420,7 @@
     ) -> None:  # fmt: skip
         self.rng, self.now = random.Random(seed), 0
         names = [f"h{n}" for n in range(heads)]
-        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), most_heads=heads)
+        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), max_gateways=heads)
         self.limit, self.most_units = limit, most_units
         self.mounts = float(heads if mounts is None else mounts)
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
