--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -61,7 +61,7 @@
             config.kinds,
             log,
             self.transport.listed,
-            lambda news: self.engine.listed(news),
+            lambda news: self.engine.update_endpoints(news),
             config.settings.drain_grace_us if config.pushed else None,
         )
         self.needs_list = config.pushed
@@ -110,13 +110,13 @@
         """Go on with a large answer.  Where either side has gone meanwhile, the other ends with it."""
         ours, theirs = fds
         try:
-            brick = self.transport.adopt(theirs, told["brick"], self.engine)
+            brick = self.transport.adopt(theirs, told["brick"], self.engine.attempts)
         except OSError:
             reset(ours)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
         client.enter(told["client"], brick)
-        self.engine.adopt(brick.attempt)
+        self.engine.attempts.adopt_stream(brick.attempt)
         try:
             attach(self._reactor, ours, client)
         except OSError:
--- /dev/null
+++ b/gaugesail/core/activity.py
@@ -0,0 +1,26 @@
+"""What an engine writes down of its work: counters for the log, and the steps of requests for the trace."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from .ports import Clock, Logger
+from .trace import Step, Trace
+
+
+class Activity:
+    """The counters, the trace and the log of one engine."""
+
+    def __init__(self, clock: Clock, log: Logger) -> None:
+        self.counts: Counter[str] = Counter()
+        self.trace = Trace()
+        self.log = log
+        self._clock = clock
+
+    def note(self, subject: str, step: Step, detail: str = "") -> None:
+        """Enter a step of a request or a node in the trace."""
+        self.trace.note(self._clock.now_us(), subject, step, detail)
+
+    def fault(self, event: str, error: Exception) -> None:
+        """Log an exception that was contained."""
+        self.log.error(event, error=repr(error))
--- /dev/null
+++ b/gaugesail/core/attempts.py
@@ -0,0 +1,235 @@
+"""Attempts from their start to their one end, and what the node transport reports of them.
+
+At most one attempt of a request is in flight.  Whoever ends an attempt first decides its result.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from gaugesail.policy.actions import CancelAttempt, StartAttempt
+from gaugesail.policy.events import AttemptEnded, AttemptResult, HealthCheckEnded
+from gaugesail.policy.settings import NodeId
+
+from .activity import Activity
+from .deadlines import AttemptDeadline, DeadlineQueue
+from .final_answers import FinalAnswers
+from .policy_runner import PolicyRunner
+from .ports import Attempt, BodySink, BodySource, Clock, NodeTransport
+from .request_table import OpenRequest, RequestTable
+from .rules import Denial, RuleMonitor, deny_attempt, deny_first_byte
+from .trace import Step
+
+ANSWER_MARGIN_US = 4_000  # the last answer leaves this long before the client gives up
+
+
+def _deadline_us(entry: OpenRequest, action: StartAttempt, now_us: int) -> int:
+    """When an attempt that starts now has to end: by its own timeout, and in time for the answer."""
+    last_us = entry.deadline_us - ANSWER_MARGIN_US
+    return min(last_us, now_us + action.timeout_us) if action.timeout_us else last_us
+
+
+@dataclass(slots=True, eq=False)
+class Attempts:
+    """Starts, aborts and ends attempts; the listener that the node transport reports to."""
+
+    clock: Clock
+    transport: NodeTransport
+    table: RequestTable
+    deadlines: DeadlineQueue
+    policy: PolicyRunner
+    answers: FinalAnswers
+    rules: RuleMonitor
+    activity: Activity
+    in_maintenance: set[NodeId]
+    on_client_disconnected: Callable[[int], None]  # with the request's id
+
+    # ---- asked for by the policy ----
+
+    def start(self, action: StartAttempt) -> None:
+        """Make an attempt, or let the policy know at once that none may be made."""
+        entry = self.table.open.get(action.request_id)
+        now_us = self.clock.now_us()
+        deadline_us = 0 if entry is None else _deadline_us(entry, action, now_us)
+        denial = deny_attempt(entry, deadline_us, action.start_before_us, now_us)
+        if denial is not None:
+            self._deny(action, entry, denial)
+        elif entry is not None:
+            self._send(entry, self._new_attempt(entry, action, now_us, deadline_us))
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """End an attempt, unless it has ended or its answer is being passed on."""
+        attempt = self.table.attempts.get((action.request_id, action.attempt))
+        if attempt is not None and not attempt.answer_started:
+            self.abort(attempt, AttemptResult.CANCELLED)
+
+    def _new_attempt(
+        self, entry: OpenRequest, action: StartAttempt, now_us: int, deadline_us: int
+    ) -> Attempt:
+        request = entry.request
+        return Attempt(
+            action.request_id,
+            entry.attempts,
+            action.node_id,
+            request.shard,
+            request.client_request_id,
+            request.payload,
+            now_us,
+            deadline_us,
+            start_before_us=action.start_before_us,
+            client_disconnected=lambda: self._check_client(entry),
+        )
+
+    def _deny(self, action: StartAttempt, entry: OpenRequest | None, denial: Denial) -> None:
+        """The attempt that is not made counts as one, unless another is in flight."""
+        self.activity.counts["moot_send"] += 1
+        number = 0
+        client_request_id = ""
+        if entry is not None:
+            number = entry.attempts
+            client_request_id = entry.request.client_request_id
+            if entry.in_flight is None:
+                entry.attempts += 1
+        self._note_denial(client_request_id, denial)
+        self.policy.add(
+            AttemptEnded(
+                action.request_id, number, action.node_id, AttemptResult.NOT_STARTED, 0, entry is None
+            )
+        )
+
+    def _send(self, entry: OpenRequest, attempt: Attempt) -> None:
+        if entry.latest_result is not None:
+            self.activity.counts[f"again_after_{entry.latest_result.name.lower()}"] += 1
+        self.table.add_attempt(entry, attempt)
+        self.activity.counts["sent"] += 1
+        node = attempt.node_id.decode(errors="replace")
+        self.activity.note(attempt.client_request_id, Step.SENT, f"{attempt.number} to {node}")
+        self.deadlines.add(attempt.deadline_us, AttemptDeadline(attempt))
+        if attempt.node_id in self.in_maintenance:  # whatever the policy says: nothing new until it is back
+            self.attempt_ended(attempt, AttemptResult.NO_CONNECTION)
+            return
+        try:
+            self.transport.send(attempt, self)
+        except Exception as error:  # whatever the transport meets, the attempt must end
+            self.activity.fault("send_raised", error)
+            self.abort(attempt, AttemptResult.RESET)
+
+    # ---- ended by the engine ----
+
+    def deadline_reached(self, attempt: Attempt) -> None:
+        """Abort an attempt whose time is up, unless its answer is being passed on."""
+        if not (attempt.ended or attempt.answer_started):
+            self.abort(attempt, AttemptResult.TIMEOUT)
+
+    def abort(self, attempt: Attempt, result: AttemptResult) -> None:
+        """End an attempt: its connection is aborted before anything else may be sent.
+
+        Where its last byte was never written, say as its connection was late, it has not run and won't.
+        """
+        try:
+            if self.transport.abort(attempt) is False:
+                result = AttemptResult.NO_CONNECTION
+        except Exception as error:  # its result is owed all the same
+            self.activity.fault("abort_raised", error)
+        self.attempt_ended(attempt, result)
+
+    def cancel_unwritten(self, attempt: Attempt) -> None:
+        """End an attempt that is still being written; one that has been written goes on."""
+        try:
+            cancelled = self.transport.cancel_unwritten(attempt)
+        except Exception as error:  # then it goes on
+            self.activity.fault("withdraw_raised", error)
+            return
+        if cancelled:
+            self.attempt_ended(attempt, AttemptResult.NOT_STARTED)
+
+    def _check_client(self, entry: OpenRequest) -> bool:
+        if self.answers.client_disconnected(entry):
+            self.on_client_disconnected(entry.request_id)
+            return True
+        return False
+
+    # ---- reported by the node transport ----
+
+    def may_start(self, attempt: Attempt) -> bool:
+        """Whether the first byte of an attempt may leave; the transport asks right before it does."""
+        denial = deny_first_byte(attempt, self.clock.now_us())
+        if denial is None:
+            return True
+        self._note_denial(attempt.client_request_id, denial)
+        return False
+
+    def attempt_started(self, attempt: Attempt) -> None:
+        """The first byte of an attempt leaves."""
+        self.activity.note(attempt.client_request_id, Step.STARTED)
+        self.rules.attempt_started(attempt, self.clock.now_us())
+
+    def answer_started(self, attempt: Attempt, source: BodySource) -> BodySink | None:
+        """An answer is passed on from its first bytes: it is the final one, whatever happens to the rest.
+
+        From here on neither its deadline nor the policy ends it; its id stays in use until it ends.  None
+        where nobody receives it.
+        """
+        if attempt.ended or attempt.answer_started:
+            return None
+        attempt.answer_started = True
+        entry = self.table.open.get(attempt.request_id)
+        sink: BodySink | None = None
+        self.activity.note(attempt.client_request_id, Step.STREAMED)
+        if entry is not None:
+            sink = self.answers.start_stream(entry, source)
+        self._report(attempt, AttemptResult.SERVED, True)
+        return sink
+
+    def adopt_stream(self, attempt: Attempt) -> None:
+        """Go on with an answer that another process began; its id is in use until it ends."""
+        attempt.answer_started = True
+        self.table.reserve_id(attempt.client_request_id)
+
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: Any = None) -> None:
+        """The one end of an attempt.  A second report of it is dropped, and so are its late bytes."""
+        if attempt.ended:
+            return
+        attempt.ended = True
+        self.rules.attempt_ended(attempt)
+        self.activity.note(attempt.client_request_id, Step.ENDED, result.name.lower())
+        self.table.remove_attempt(attempt)
+        if attempt.answer_started:
+            self._stream_ended(attempt, result)
+            return
+        entry = self.table.open.get(attempt.request_id)
+        request_finished = entry is None
+        if entry is None:
+            self.table.release_id(attempt.client_request_id)
+        else:
+            entry.in_flight = None
+            entry.latest_result = result
+            if result is AttemptResult.SERVED:
+                request_finished = True
+                self.answers.serve(entry, answer)
+        attempt.payload = None  # the deadline queue may hold the attempt for a while
+        self._report(attempt, result, request_finished)
+
+    def health_check_ended(self, node_id: NodeId, result: AttemptResult, elapsed_us: int) -> None:
+        """The one end of a health check."""
+        self.policy.add(HealthCheckEnded(node_id, result, elapsed_us))
+
+    def _stream_ended(self, attempt: Attempt, result: AttemptResult) -> None:
+        self.table.release_id(attempt.client_request_id)
+        counters = {AttemptResult.SERVED: "streamed", AttemptResult.NOT_STARTED: "stream_moved"}
+        self.activity.counts[counters.get(result, "stream_broken")] += 1
+
+    def _report(self, attempt: Attempt, result: AttemptResult, request_finished: bool) -> None:
+        self.activity.counts[f"attempt_{result.name.lower()}"] += 1
+        elapsed_us = max(0, self.clock.now_us() - attempt.sent_us)
+        self.policy.add(
+            AttemptEnded(
+                attempt.request_id, attempt.number, attempt.node_id, result, elapsed_us, request_finished
+            )
+        )
+
+    def _note_denial(self, client_request_id: str, denial: Denial) -> None:
+        self.activity.counts[f"denied_{denial.value}"] += 1
+        self.activity.note(client_request_id, Step.DENIED, denial.value)
--- /dev/null
+++ b/gaugesail/core/final_answers.py
@@ -0,0 +1,78 @@
+"""The one final answer of each request; an exception of the clients' side stays with its one client."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import Enum
+from typing import Any, TypeVar
+
+from .activity import Activity
+from .ports import BodySink, BodySource, FailureReason
+from .request_table import OpenRequest, RequestTable
+from .trace import Step
+
+_Result = TypeVar("_Result")
+
+
+class AnswerKind(Enum):
+    """How a request was answered, as the trace shows it."""
+
+    SERVED = "served"
+    STREAMED = "begins"
+    REJECTED = "refused"
+    FAILED = "failed"
+
+
+class FinalAnswers:
+    """Closes a request and delivers its answer, in this order, so that it never has a second one."""
+
+    def __init__(self, table: RequestTable, activity: Activity) -> None:
+        self._table = table
+        self._activity = activity
+
+    def serve(self, entry: OpenRequest, answer: Any) -> None:
+        """Deliver a complete answer; what it is made of is between the wires."""
+        reply = entry.reply
+        self._close(entry, "served")
+        self._deliver(entry, AnswerKind.SERVED, lambda: reply.send_answer(answer))
+
+    def start_stream(self, entry: OpenRequest, source: BodySource) -> BodySink | None:
+        """Begin to deliver an answer that is passed on while it comes; None where its client is gone."""
+        reply = entry.reply
+        self._close(entry, "served")
+        return self._deliver(entry, AnswerKind.STREAMED, lambda: reply.start_stream(source))
+
+    def reject(self, request_id: int, retry_after_us: int) -> None:
+        """Reject a request that is still open; the client may come back after ``retry_after_us``."""
+        if (entry := self._table.open.get(request_id)) is not None:
+            reply = entry.reply
+            self._close(entry, "refused")
+            self._deliver(entry, AnswerKind.REJECTED, lambda: reply.reject(retry_after_us))
+
+    def fail(self, request_id: int, reason: FailureReason) -> None:
+        """Fail a request that is still open."""
+        if (entry := self._table.open.get(request_id)) is not None:
+            reply = entry.reply
+            self._close(entry, "failed")
+            self._deliver(entry, AnswerKind.FAILED, lambda: reply.fail(reason))
+
+    def client_disconnected(self, entry: OpenRequest) -> bool:
+        """Whether the client of an open request has gone, though its end may not have been read yet."""
+        reply = entry.reply
+        return entry.request_id in self._table.open and bool(self._call(lambda: reply.client_disconnected()))
+
+    def _close(self, entry: OpenRequest, counter: str) -> None:
+        self._table.close(entry)
+        self._activity.counts[counter] += 1
+
+    def _deliver(self, entry: OpenRequest, kind: AnswerKind, call: Callable[[], _Result]) -> _Result | None:
+        self._activity.note(entry.request.client_request_id, Step.ANSWERED, kind.value)
+        return self._call(call)
+
+    def _call(self, call: Callable[[], _Result]) -> _Result | None:
+        try:
+            return call()
+        except Exception as error:
+            self._activity.fault("reply_raised", error)
+            self._activity.counts["reply_raised"] += 1
+            return None
--- a/gaugesail/door.py
+++ b/gaugesail/door.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory
 
 from .core.engine import Engine
-from .core.ports import Call, Clock
+from .core.ports import Clock, DelayedCall
 
 FIRST_US = 500_000  # until then connections end with their answers alone: what crosses a close fails
 LAST_US = 1_800_000  # by then all idle ones are closed: what came before is over 2 s old at 4 s
@@ -34,7 +34,7 @@
         self._clock, self._idle, self._last_us = clock, idle, last_us  # the longest idle first
         self.on = False
         self._since = 0
-        self._step: Call | None = None
+        self._step: DelayedCall | None = None
 
     def set(self, on: bool) -> None:
         if on and not self.on:
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -22,7 +22,7 @@
 from gaugesail.policy.settings import Settings
 
 from ..core.engine import Engine
-from ..core.ports import Call, Clock, Logger
+from ..core.ports import Clock, DelayedCall, Logger
 from ..http.discovery import BadList, split_address
 from .link import FleetReactor, Link
 from .settings import FleetSettings, digest
@@ -51,7 +51,7 @@
         self._store: FleetStore | None = None
         self._engine: Engine | None = None
         self._terms: Settings | None = None
-        self._tick: Call | None = None
+        self._tick: DelayedCall | None = None
         self._tick_at = 0
         self._closed = self._waiting = self._running = False
         self._store_again_us, self._jitter = STORE_AGAIN_US, random.SystemRandom()
@@ -223,7 +223,7 @@
                 return  # said by the next tick, without what this step was for
         if out.shares is not None:
             assert self._engine is not None
-            self._engine.share(shares_of(out.shares))
+            self._engine.change_quota(shares_of(out.shares))
         for to, message in out.sends:
             if to == self._settings.head:
                 self._clock.call_later(0, lambda m=message: self._heard(self._settings.head, self.process, m))  # type: ignore[misc]
@@ -261,7 +261,7 @@
         worth = {plan.name: max(1, round(plan.priority_weight * 1000)) for plan in self._terms.plans}
         asked = {
             amount_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
-            for plan, volume, units, spent, saved in self._engine.wants()
+            for plan, volume, units, spent, saved in self._engine.take_quota_demand()
         }
         self._step(lambda node, now: node.want(now, asked))
         self._clock.call_later(WANT_US, self._wants)
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -131,7 +131,7 @@
         self._port: Any = None
         self._links: list[Link] = []
         self._asked: Deferred[Inheritance | None] | None = None
-        self._late: ports.Call | None = None
+        self._late: ports.DelayedCall | None = None
         self._closed = False
 
     def _path(self, name: str) -> str:
--- a/gaugesail/http/bricks.py
+++ b/gaugesail/http/bricks.py
@@ -15,7 +15,17 @@
 from gaugesail.policy.settings import NodeId
 
 from ..buffers import Body, BufferPool, PoolEmpty
-from ..core.ports import Attempt, AttemptSink, Call, Clock, Logger, Order, Reactor, Sink, Source
+from ..core.ports import (
+    Attempt,
+    AttemptListener,
+    BodySink,
+    BodySource,
+    ClientRequest,
+    Clock,
+    DelayedCall,
+    Logger,
+    Reactor,
+)
 from ..net import Connection, abort, attach, dial, send_now
 from .parser import WHOLE_BODY, BadMessage, Data, Head, Parser
 
@@ -46,7 +56,7 @@
 class _Job:
     """An attempt, a large request that is written while it comes, or a probe, on its way to a brick."""
 
-    sink: AttemptSink | None
+    sink: AttemptListener | None
     node: NodeId
     since_us: int
     deadline_us: int
@@ -56,7 +66,7 @@
 
     @property
     def over(self) -> bool:
-        return self.done or (self.attempt is not None and self.attempt.done)
+        return self.done or (self.attempt is not None and self.attempt.ended)
 
 
 class Staged:
@@ -66,7 +76,7 @@
     It passes the brick's back-pressure on to the client.
     """
 
-    def __init__(self, pool: BrickPool, exchange: Any, timeout_us: int, source: Source) -> None:
+    def __init__(self, pool: BrickPool, exchange: Any, timeout_us: int, source: BodySource) -> None:
         self._pool, self._exchange, self._timeout_us, self._source = pool, exchange, timeout_us, source
         self._connection: BrickConnection | None = None
         self._held = b""  # the end of what has come
@@ -83,7 +93,7 @@
         connection.stage(job, head, self)
         first = body.read()
         body.release()
-        self.more(first)
+        self.write(first)
         if self._whole and self._attempt is not None:
             self._release(connection, self._attempt)
         elif not (self._paused or self._whole):
@@ -106,7 +116,7 @@
 
     # -- the client's side --
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         if self.state != "coming" or not data:
             return
         if self._connection is None:
@@ -117,13 +127,13 @@
             self._connection.link.write(self._held + data[:-1])
             self._held = data[-1:]
 
-    def done(self) -> None:
+    def finish(self) -> None:
         """It has come whole.  Its end is held until it is sent."""
         self._whole = True
         if self._source.length is None:
             self._held = b"0\r\n\r\n"
 
-    def broke(self) -> None:
+    def fail(self) -> None:
         """The client left, or the request has its answer: without its end it never ran."""
         if self.state != "coming":
             return
@@ -157,10 +167,10 @@
 
     def _release(self, connection: BrickConnection, job: _Job) -> None:
         if job.over:
-            self.broke()
+            self.fail()
             return
         if not _may_start(job):
-            self.broke()
+            self.fail()
             self._pool.finish(job, AttemptResult.NOT_STARTED)
             return
         self.state = "sent"
@@ -179,7 +189,7 @@
     busy: set[BrickConnection] = field(default_factory=set)
     waiting: deque[_Job] = field(default_factory=deque)
     dials: set[Deferred[Any]] = field(default_factory=set)
-    rest: Call | None = None  # until an idle connection has rested
+    rest: DelayedCall | None = None  # until an idle connection has rested
     epoch: int = 0  # goes up when the process behind the address is another
 
     @property
@@ -230,7 +240,7 @@
         self._job: _Job | None = None
         self._head: Head | None = None
         self._body: Body | None = None
-        self._sink: Sink | None = None  # where an answer goes that is being passed on
+        self._sink: BodySink | None = None  # where an answer goes that is being passed on
         self.written = self._paused = self.lost = False
         self._interim = 0
         self._first_us = self._heard_us = 0  # when the first and the latest byte of the answer came
@@ -341,7 +351,7 @@
     def _more(self, data: bytes) -> None:
         head = self._head
         if self._sink is not None:
-            self._sink.more(data)
+            self._sink.write(data)
             return
         if head is None or head.status != 200:
             return
@@ -360,12 +370,12 @@
         self._body, self.length = None, head.length
         sink = None
         if job is not None and job.attempt is not None and job.sink is not None:
-            sink = job.sink.attempt_began(job.attempt, self)
+            sink = job.sink.answer_started(job.attempt, self)
         if sink is None:  # nobody waits for it any more
             self._spoilt(AttemptResult.CANCELLED)
             return
         self._sink = sink
-        sink.more(first)
+        sink.write(first)
 
     def pause(self) -> None:
         """The client reads no faster: neither do we."""
@@ -384,7 +394,7 @@
         head, job = self._head, self._job
         assert head is not None and job is not None and job.attempt is not None
         told = {
-            "node": job.node.decode("latin-1"), "name": job.attempt.name, "length": head.length,
+            "node": job.node.decode("latin-1"), "name": job.attempt.client_request_id, "length": head.length,
             "keep": head.keep_alive, "ends": head.until_close, "parser": self._parser.state,
         }  # fmt: skip
         self._job = self._sink = None
@@ -393,10 +403,10 @@
         self._pool.finish(job, AttemptResult.NOT_STARTED)
         return told
 
-    def enter(self, told: dict[str, Any], attempt: Attempt, sink: AttemptSink) -> None:
+    def enter(self, told: dict[str, Any], attempt: Attempt, sink: AttemptListener) -> None:
         """Go on where another process left."""
         now = self._pool.clock.now_us()
-        self._job = _Job(sink, attempt.node, now, now, attempt)
+        self._job = _Job(sink, attempt.node_id, now, now, attempt)
         attempt.connection = self
         self.written, self._heard_us = True, now
         self.length, ends = told["length"], told["ends"] is True
@@ -407,7 +417,7 @@
     def attempt(self) -> Attempt | None:
         return self._job.attempt if self._job is not None else None
 
-    def goes_to(self, sink: Sink) -> None:
+    def goes_to(self, sink: BodySink) -> None:
         self._sink = sink
         self._heard_us = self._pool.clock.now_us()
         self.dataReceived(b"")  # what was left unread may be whole
@@ -435,7 +445,7 @@
         else:
             self.abort()
         if sink is not None:
-            sink.done()
+            sink.finish()
         self._pool.finish(job, _result(head), answer)
 
     def _spoilt(self, result: AttemptResult) -> None:
@@ -443,7 +453,7 @@
         job, sink = self._job, self._sink
         self.abort()
         if sink is not None:
-            sink.broke()
+            sink.fail()
         if job is not None:
             self._pool.finish(job, result)
 
@@ -466,7 +476,7 @@
         self._drop()
         self._pool.ended(self)
         if sink is not None:
-            sink.broke()
+            sink.fail()
         if job is not None and self._used and not self._heard_us:
             stale = self._pool.clock.now_us() - self._started_us < STALE_US
             self._pool.idle_book.ended(self._idled_us, stale)
@@ -564,7 +574,7 @@
             if not line.ready or changed:
                 self._stop(node)
 
-    def maintain(self, node: NodeId, on: bool) -> None:
+    def set_maintenance(self, node: NodeId, on: bool) -> None:
         """Out of use whatever the list says, or back.  What is out may finish; what waits for it ends."""
         (self._away.add if on else self._away.discard)(node)
         self._stop(node)
@@ -592,21 +602,21 @@
 
     # ---- attempts ----
 
-    def send(self, attempt: Attempt, sink: AttemptSink) -> None:
+    def send(self, attempt: Attempt, sink: AttemptListener) -> None:
         now = self.clock.now_us()
-        job = _Job(sink, attempt.node, now, attempt.deadline_us, attempt)
-        line = self._usable(attempt.node)
+        job = _Job(sink, attempt.node_id, now, attempt.deadline_us, attempt)
+        line = self._usable(attempt.node_id)
         if line is None:
             self.finish(job, AttemptResult.NO_CONNECTION)
         elif attempt.shard >= 0 and line.shard != attempt.shard:
             self.finish(job, AttemptResult.NOT_STARTED)  # the brick would turn it away unrun
         elif (staged := attempt.payload.staged) is None:
             self._place(job)
-        elif staged.job is None or staged.job.node != attempt.node or not staged.send(job):
+        elif staged.job is None or staged.job.node != attempt.node_id or not staged.send(job):
             # Its body is with another brick, or gone with a connection: it can't be written there again.
             self.finish(job, AttemptResult.NOT_STARTED)
 
-    def stage(self, node: NodeId, order: Order, source: Source) -> Sink | None:
+    def stage_upload(self, node: NodeId, order: ClientRequest, source: BodySource) -> BodySink | None:
         """Write a large request as it comes, short of its end; its client waits for the connection."""
         if self._usable(node) is None:
             return None
@@ -623,21 +633,23 @@
         if isinstance(connection, BrickConnection):
             connection.abort()
             return connection.written
-        brick = self._bricks.get(attempt.node)
+        brick = self._bricks.get(attempt.node_id)
         if brick is not None:
             brick.waiting = deque(job for job in brick.waiting if job.attempt is not attempt)
         return False
 
-    def withdraw(self, attempt: Attempt) -> bool:
+    def cancel_unwritten(self, attempt: Attempt) -> bool:
         connection = attempt.connection
         return isinstance(connection, BrickConnection) and not connection.written and not self.abort(attempt)
 
-    def adopt(self, descriptor: int, told: dict[str, Any], sink: AttemptSink) -> BrickConnection:
+    def adopt(self, descriptor: int, told: dict[str, Any], sink: AttemptListener) -> BrickConnection:
         """A connection with a large answer on it, which another process of this head began."""
         node, now = str(told["node"]).encode("latin-1"), self.clock.now_us()
         brick = self._bricks.setdefault(node, _Brick(node))
         connection = BrickConnection(self, brick, brick.epoch)
-        connection.enter(told, Attempt(0, 0, node, -1, str(told["name"]), None, now, 0, begun=True), sink)
+        connection.enter(
+            told, Attempt(0, 0, node, -1, str(told["name"]), None, now, 0, answer_started=True), sink
+        )
         brick.busy.add(connection)
         try:
             attach(self._reactor, descriptor, connection)
@@ -646,7 +658,7 @@
             raise
         return connection
 
-    def probe(self, node: NodeId, sink: AttemptSink) -> None:
+    def check_health(self, node: NodeId, sink: AttemptListener) -> None:
         now = self.clock.now_us()
         job = _Job(sink, node, now, now + PROBE_US)
         if self._usable(node) is None:
@@ -655,7 +667,7 @@
         self.clock.call_later(PROBE_US, lambda: self.finish(job, AttemptResult.TIMEOUT))
         self._place(job)
 
-    def close_idle(self, node: NodeId) -> None:
+    def close_idle_connections(self, node: NodeId) -> None:
         if (brick := self._bricks.get(node)) is not None:
             for connection in list(brick.idle):
                 connection.abort()
@@ -735,7 +747,7 @@
             job.attempt.connection = None
             job.sink.attempt_ended(job.attempt, result, answer)
         else:
-            job.sink.probe_ended(job.node, result, self.clock.now_us() - job.since_us)
+            job.sink.health_check_ended(job.node, result, self.clock.now_us() - job.since_us)
 
     # ---- connections ----
 
--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -13,7 +13,7 @@
 
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
-from ..core.ports import Call, Clock, Logger, Reactor
+from ..core.ports import Clock, DelayedCall, Logger, Reactor
 from ..net import Connection, dial, unread
 from .bricks import Line
 from .parser import BadMessage, Data, Head, Parser
@@ -196,8 +196,8 @@
         self._dials: set[Deferred[Any]] = set()
         self._watching: _Call | None = None
         self._wanted = False  # the module wants a watch, though it may be between two
-        self._check: Call | None = None
-        self._retry: Call | None = None  # of a pushed list's watch
+        self._check: DelayedCall | None = None
+        self._retry: DelayedCall | None = None  # of a pushed list's watch
         self._closed = False
 
     @property
@@ -259,7 +259,7 @@
         for call in list(self._calls):
             self._drop(call)
         for _ in range(fetches):
-            self.fetch()
+            self.poll()
         self.watch(self._wanted)
 
     def _drop(self, call: _Call) -> None:
@@ -271,7 +271,7 @@
         if call.transport is not None:
             call.link.abortConnection()
 
-    def fetch(self) -> None:
+    def poll(self) -> None:
         self._call(PATH, False)
 
     def _call(self, target: str, follow: bool) -> _Call:
--- a/gaugesail/http/front.py
+++ b/gaugesail/http/front.py
@@ -15,7 +15,7 @@
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.engine import Engine
-from ..core.ports import Clock, Logger, Order, Sink, Source
+from ..core.ports import BodySink, BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..door import CloseReason, Door
 from ..net import Connection, Emptied, unread, waited_us
 from .bricks import READ_BYTES
@@ -83,7 +83,7 @@
         """The request has its answer: what is held of it goes, and what has not run never will."""
         self.body.release()
         if self.staged is not None:
-            self.staged.broke()
+            self.staged.fail()
 
 
 def passed_on(headers: dict[str, str]) -> tuple[str, ...]:
@@ -116,7 +116,7 @@
         self._plans = {plan.name: n for n, plan in enumerate(settings.plans)}
         self._deadlines = [spec.deadline_us for spec in settings.classes]
 
-    def read(self, head: Head, body: Body) -> Order:
+    def read(self, head: Head, body: Body) -> ClientRequest:
         """The order; BadMessage names the header that is missing or cannot be read."""
         headers = head.headers
         name = headers.get("request-id", "")
@@ -146,7 +146,7 @@
             raise BadMessage("units or hosts are beyond the settings'")
         if int(shard) < -1 or (self._set.shard_count and int(shard) >= self._set.shard_count):
             raise BadMessage("there is no such shard")
-        return Order(
+        return ClientRequest(
             name,
             self._set,
             kind,
@@ -174,9 +174,9 @@
         self._front = front
         self._parser = Parser(answers=False)
         self._head: Head | None = None
-        self._order: Order | None = None  # what the head asks for; the request in hand's until its answer
-        self._up: Sink | None = None  # where a large body goes
-        self._source: Source | None = None  # where a large answer comes from
+        self._order: ClientRequest | None = None  # the one that is being received, or is owed its answer
+        self._up: BodySink | None = None  # where a large body goes
+        self._source: BodySource | None = None  # where a large answer comes from
         self._chunked = False
         self._ticket: int | None = None  # of the request in hand; 0 where the engine took none, or is done
         self._keep, self._old = True, False
@@ -221,7 +221,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.lost = True
         if self._ticket:
-            self._front.engine.client_gone(self._ticket)
+            self._front.engine.client_disconnected(self._ticket)
         self._ticket = None
         if self._source is not None:
             self._source.stop()
@@ -362,13 +362,13 @@
         order = self._order
         self._got += len(data)
         if self._up is not None:
-            self._up.more(data)
+            self._up.write(data)
         elif order is not None and not self._answered:
             order.payload.body.append(data)
             if self._got > WHOLE_BODY and self._head is not None:
                 # Too large to hold: it is written to its brick as it comes.
                 self.length = self._head.length
-                self._up = self._front.engine.stage(order, self)
+                self._up = self._front.engine.stage_upload(order, self)
                 if self._up is None:
                     self.stop()
 
@@ -407,10 +407,10 @@
             self.answer(200 if ready else 503, b"" if head.method == "HEAD" else text)
             return
         if up is not None:
-            up.done()
+            up.finish()
             self.resume()  # it has come whole: from here on nobody pauses it, and its client's end is seen
         self._ticket = 0
-        self._ticket = self._front.engine.take(order, ClientReply(self), self._came())
+        self._ticket = self._front.engine.submit(order, ClientReply(self), self._came())
 
     # -- answers --
 
@@ -464,7 +464,7 @@
             self._read()
             self._hold()
 
-    def begins(self, source: Source) -> Sink | None:
+    def begins(self, source: BodySource) -> BodySink | None:
         """An answer that is passed on as it comes.  Until its end the connection takes nothing else."""
         if self.lost:
             return None
@@ -521,18 +521,18 @@
         if self._source is not None:
             self._source.resume()
 
-    def enter(self, told: dict[str, Any], source: Source) -> None:
+    def enter(self, told: dict[str, Any], source: BodySource) -> None:
         """Go on with an answer where another process left it."""
         self._ticket, self._source, self._chunked = 0, source, told["chunked"] is True
         self._keep, self._old, self.asked = told["keep"] is True, told["old"] is True, int(told["asked"])
         self._parser.state = told["parser"]
         self.unread = READ_BYTES
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         if not self.lost and data:
             self.link.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
 
-    def done(self) -> None:
+    def finish(self) -> None:
         self._source = None
         if self.lost:
             return
@@ -541,7 +541,7 @@
         self._front.used(self)
         self._free(self._keep and not self._front.closing, False)
 
-    def broke(self) -> None:
+    def fail(self) -> None:
         """The answer can't be finished: a reset tells the client that it is not whole."""
         self._source = None
         if not self.lost:
@@ -628,27 +628,27 @@
             raise RuntimeError("a second final answer")
         return connection
 
-    def begins(self, source: Source) -> Sink | None:
+    def start_stream(self, source: BodySource) -> BodySink | None:
         connection = self._take()
         try:
             return connection.begins(source)
         except Exception:  # half an answer may be written: only the end of the connection is safe
-            connection.broke()
+            connection.fail()
             raise
 
-    def served(self, answer: Any) -> None:
+    def send_answer(self, answer: Any) -> None:
         self._take().answer(200, answer)
 
-    def refused(self, hold_off_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         connection = self._take()
-        connection.answer(503, b"refused", hold_off_us=hold_off_us or connection._front.hold_off_us)
+        connection.answer(503, b"refused", hold_off_us=retry_after_us or connection._front.hold_off_us)
 
-    def left(self) -> bool:
+    def client_disconnected(self) -> bool:
         return self._connection is not None and self._connection.left
 
-    def failed(self, reason: str) -> None:
-        status = {"out of time": 504, "id in use": 409}.get(reason, 500)
-        self._take().answer(status, reason.encode())
+    def fail(self, reason: FailureReason) -> None:
+        status = {FailureReason.OUT_OF_TIME: 504, FailureReason.ID_IN_USE: 409}.get(reason, 500)
+        self._take().answer(status, reason.value.encode())
 
 
 class ClientFront(Door):
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -34,9 +34,9 @@
     def watch(self, on: bool) -> None:
         pass  # a reload is told in any case
 
-    def fetch(self) -> None:
+    def poll(self) -> None:
         self._head.clock.call_later(
-            0, lambda: self._head.engine.listed(self._head.listing(EndpointListKind.FULL))
+            0, lambda: self._head.engine.update_endpoints(self._head.listing(EndpointListKind.FULL))
         )
 
     def close(self) -> None:
@@ -102,4 +102,4 @@
         self._operator = self.front.operator = operator
         self.retune(operator.settings)
         self._log.info("reloaded", nodes=len(operator.nodes))
-        self.engine.listed(self.listing(EndpointListKind.FULL))
+        self.engine.update_endpoints(self.listing(EndpointListKind.FULL))
--- a/gaugesail/iscsi/initiator.py
+++ b/gaugesail/iscsi/initiator.py
@@ -14,7 +14,16 @@
 from gaugesail.policy.settings import NodeId
 
 from ..buffers import Body, BufferPool, PoolEmpty
-from ..core.ports import Attempt, AttemptSink, Call, Clock, Logger, Order, Reactor, Source
+from ..core.ports import (
+    Attempt,
+    AttemptListener,
+    BodySource,
+    ClientRequest,
+    Clock,
+    DelayedCall,
+    Logger,
+    Reactor,
+)
 from ..net import Connection, abort, dial, send_now
 from .operator import NodeLine
 from .pdu import (
@@ -44,7 +53,7 @@
 class _Job:
     """A command on its way: an attempt, or a probe (NOP-Out) where there is none."""
 
-    sink: AttemptSink
+    sink: AttemptListener
     node: NodeId
     since_us: int
     attempt: Attempt | None = None
@@ -287,7 +296,7 @@
     node: NodeId
     session: NodeSession | None = None
     dial: Deferred[Any] | None = None
-    login: Call | None = None
+    login: DelayedCall | None = None
     waiting: deque[_Job] = field(default_factory=deque)
 
 
@@ -309,7 +318,7 @@
         self._books: dict[NodeId, _Book] = {}
         self._sessions: dict[NodeSession, None] = {}
         self._away: set[NodeId] = set()  # in maintenance
-        self._look: Call | None = None
+        self._look: DelayedCall | None = None
 
     @property
     def connections(self) -> int:
@@ -327,7 +336,7 @@
             if not same or now is None or now.node.state is not EndpointState.READY:
                 self._stop(node)
 
-    def maintain(self, node: NodeId, on: bool) -> None:
+    def set_maintenance(self, node: NodeId, on: bool) -> None:
         """Out of use whatever the file says, or back.  What is in transfer finishes; what waits ends."""
         (self._away.add if on else self._away.discard)(node)
         self._stop(node)
@@ -351,9 +360,9 @@
 
     # ---- attempts ----
 
-    def send(self, attempt: Attempt, sink: AttemptSink) -> None:
-        job = _Job(sink, attempt.node, self.clock.now_us(), attempt, attempt.payload)
-        line = self._usable(attempt.node)
+    def send(self, attempt: Attempt, sink: AttemptListener) -> None:
+        job = _Job(sink, attempt.node_id, self.clock.now_us(), attempt, attempt.payload)
+        line = self._usable(attempt.node_id)
         if line is None:
             self.finish(job, AttemptResult.NO_CONNECTION)
         elif attempt.shard >= 0 and line.node.shard != attempt.shard:
@@ -361,7 +370,7 @@
         else:
             self._queue(job)
 
-    def probe(self, node: NodeId, sink: AttemptSink) -> None:
+    def check_health(self, node: NodeId, sink: AttemptListener) -> None:
         job = _Job(sink, node, self.clock.now_us())
         if self._usable(node) is None:
             self.finish(job, AttemptResult.NO_CONNECTION)
@@ -371,7 +380,7 @@
 
     def abort(self, attempt: Attempt) -> bool:
         job, attempt.connection = attempt.connection, None
-        book = self._books.get(attempt.node)
+        book = self._books.get(attempt.node_id)
         if book is not None:
             book.waiting = deque(item for item in book.waiting if item.attempt is not attempt)
         if isinstance(job, _Job):
@@ -385,14 +394,14 @@
             return True
         return False
 
-    def withdraw(self, attempt: Attempt) -> bool:
+    def cancel_unwritten(self, attempt: Attempt) -> bool:
         job = attempt.connection
         return isinstance(job, _Job) and job.sent < len(job.data) and self.abort(attempt)
 
-    def stage(self, node: NodeId, order: Order, source: Source) -> None:
+    def stage_upload(self, node: NodeId, order: ClientRequest, source: BodySource) -> None:
         """A command's data is bounded and comes whole before it is taken."""
 
-    def close_idle(self, node: NodeId) -> None:
+    def close_idle_connections(self, node: NodeId) -> None:
         """Sessions are few and cost the node little: one a node is kept."""
 
     def _queue(self, job: _Job) -> None:
@@ -431,7 +440,7 @@
             job.attempt.connection = None
             job.sink.attempt_ended(job.attempt, result, answer)
         else:
-            job.sink.probe_ended(job.node, result, self.clock.now_us() - job.since_us)
+            job.sink.health_check_ended(job.node, result, self.clock.now_us() - job.since_us)
 
     @staticmethod
     def _release(job: _Job) -> None:
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -14,7 +14,7 @@
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.engine import Engine
-from ..core.ports import Clock, Logger, Order, Source
+from ..core.ports import BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..door import Door
 from ..net import Connection, unread
 from .operator import Extent, Operator, Unit
@@ -93,21 +93,21 @@
         self.r2t_sn = self.r2t_end = self.data_sn = 0
         self.write = self.done = False
 
-    def begins(self, source: Source) -> None:
+    def start_stream(self, source: BodySource) -> None:
         """Transfers are bounded, and nodes' answers whole: what comes bit by bit is none of theirs."""
         self.connection.check(self, HARDWARE, NODE_FAILED)
 
-    def served(self, answer: Any) -> None:
+    def send_answer(self, answer: Any) -> None:
         self.connection.end(self, Status.GOOD, b"" if self.write else answer)
 
-    def refused(self, hold_off_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         self.connection.end(self, Status.BUSY)
 
-    def left(self) -> bool:
+    def client_disconnected(self) -> bool:
         return self.connection.left or self.done
 
-    def failed(self, reason: str) -> None:
-        code = TIMED_OUT if reason == "out of time" else NODE_FAILED
+    def fail(self, reason: FailureReason) -> None:
+        code = TIMED_OUT if reason is FailureReason.OUT_OF_TIME else NODE_FAILED
         self.connection.check(self, ABORTED if code is TIMED_OUT else HARDWARE, code)
 
 
@@ -448,7 +448,7 @@
         blocks = task.length // front.operator.units[lun_number(task.lun)].block_size
         kind = front.operator.write_class if task.write else front.operator.read_class
         transfer = Transfer(task.write, lun_number(task.lun), task.lba, blocks, task.length, task.body)
-        order = Order(
+        order = ClientRequest(
             front.next_name(),
             front.settings,
             kind,
@@ -461,7 +461,7 @@
             extent.volume,
             extent.hosts,
         )
-        task.ticket = front.engine.take(order, task, task.since)
+        task.ticket = front.engine.submit(order, task, task.since)
 
     # ---- ends of tasks ----
 
@@ -472,7 +472,7 @@
             if task.body is not None:
                 task.body.release()
             if task.ticket:
-                self._front.engine.client_gone(task.ticket)
+                self._front.engine.client_disconnected(task.ticket)
 
     def check(self, task: Task, key: int, code: tuple[int, int]) -> None:
         self.end(task, Status.CHECK, sense(key, *code))
--- a/gaugesail/lab/storm.py
+++ b/gaugesail/lab/storm.py
@@ -164,7 +164,7 @@
         if self.storm.baseline:
             read = replace(read, settings=replace(read.settings, recovery_queue=False))
         head = Head(self.reactor, read, make_logger(self.log), clock)
-        gateway: Any = head.engine._gateway
+        gateway: Any = head.engine.policy.gateway
         handle = gateway.handle
 
         def timed(now: int, events: Any) -> Any:
--- a/gaugesail/listening.py
+++ b/gaugesail/listening.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .core.ports import Call, Clock
+from .core.ports import Clock, DelayedCall
 
 SHORTAGES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 AGAIN_US = 20_000  # after a shortage, until the next accept
@@ -44,7 +44,7 @@
 
     def __init__(self, port: Any, clock: Clock, room: Callable[[], int], wanted: Callable[[], bool]) -> None:
         self._port, self._clock, self._room, self._wanted = port, clock, room, wanted
-        self._again: Call | None = None
+        self._again: DelayedCall | None = None
         self._socket: _PatientSocket | None = None
         if isinstance(getattr(port, "socket", None), socket.socket):
             self._socket = port.socket = _PatientSocket(fileno=port.socket.detach())
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -85,7 +85,7 @@
     A connection may wait to be accepted, and this process may have stood still.
     """
     connection = getattr(link, "socket", None)
-    if not clock.runs_with_kernel or not isinstance(connection, socket.socket):
+    if not clock.matches_kernel_clock or not isinstance(connection, socket.socket):
         return 0  # in memory
     try:
         told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
--- a/gaugesail/operations.py
+++ b/gaugesail/operations.py
@@ -64,14 +64,14 @@
             if call.on != self._front.drain.on:
                 self._front.drain.set(call.on)
                 self._log.info("drained" if call.on else "taking_clients")
-        elif call.on != (call.node in self._engine.away):
-            self._engine.maintain(call.node, call.on)
+        elif call.on != (call.node in self._engine.in_maintenance):
+            self._engine.set_maintenance(call.node, call.on)
             event = "maintenance_begins" if call.on else "maintenance_ends"
             self._log.info(event, node=call.node.decode(errors="replace"))
 
     def _state(self, call: Call) -> State:
         """What is asked for once this call is carried out too."""
-        away, drained = frozenset(self._engine.away), self._front.drain.on
+        away, drained = frozenset(self._engine.in_maintenance), self._front.drain.on
         if call.node is None:
             return State(away, call.on)
         return State(away | {call.node} if call.on else away - {call.node}, drained)
@@ -93,7 +93,7 @@
     def _keep(self) -> None:
         """Write down what is in force; where that fails it is done later, as it was promised already."""
         try:
-            self._file.write(State(frozenset(self._engine.away), self._front.drain.on))
+            self._file.write(State(frozenset(self._engine.in_maintenance), self._front.drain.on))
             self._unwritten = False
         except OSError as error:
             self._unwritten = True
@@ -102,7 +102,7 @@
     def trace(self, subject: str | None) -> str:
         """The latest steps, or all that is known of one request or node; a line each."""
         trace = self._engine.trace
-        entries = trace.latest(TRACE_SHOWN) if subject is None else trace.of(subject)
+        entries = trace.latest(TRACE_SHOWN) if subject is None else trace.steps_of(subject)
         return "\n".join(map(str, entries)) or "nothing is known"
 
     def drain(self, on: bool) -> None:
@@ -110,7 +110,7 @@
 
     def maintain(self, node: NodeId, on: bool) -> bool:
         """False for an id that no list has ever named."""
-        if self._ready and not self._engine.has_seen(node):
+        if self._ready and not self._engine.has_listed(node):
             return False
         self._ask(Call(node, on))
         return True
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -17,7 +17,7 @@
 from .buffers import BUFFER_BYTES, BufferPool
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
-from .core.retune import BOTH_US, between
+from .core.settings_transition import TRANSITION_US, transition_settings
 from .door import MOVED_LAST_US
 from .handover import Handover, Inheritance, adopt
 from .http.management import ACCEPTS, MOST_CALLS, ManagementFront
@@ -146,7 +146,7 @@
                 self._port.stopReading()
         else:
             self._port = adopt(self._reactor, inherited.fd, self.front)
-            self.engine.recall([str(node).encode() for node in inherited.known.get("seen", [])])
+            self.engine.restore_listed_nodes([str(node).encode() for node in inherited.known.get("seen", [])])
         self.address = (host, self._port.getHost().port)
         self.front.port = self._port
         front = self.front
@@ -200,12 +200,14 @@
     def bequeath(self) -> tuple[int, dict[str, Any]] | None:
         if self._stopping or not self.front.accepting:
             return None
-        return self._port.fileno(), {"seen": [node.decode(errors="replace") for node in self.engine.seen]}
+        return self._port.fileno(), {
+            "seen": [node.decode(errors="replace") for node in self.engine.listed_nodes]
+        }
 
     def beside(self, on: bool) -> None:
         """Both count as one head: each has half of what is limited."""
         self._log.info("process_beside" if on else "process_alone")
-        self.engine.overlap(on)
+        self.engine.set_sibling_process(on)
         self.buffers.trim(self._most_buffers // 2 if on else self._most_buffers)
         self.limit(2 if on else 1)
 
@@ -257,11 +259,13 @@
         if settings == self._wanted:
             return
         self._wanted = settings
-        self._use(between(self.engine.settings, settings))
-        self.clock.call_later(BOTH_US, lambda: self._use(settings) if settings is self._wanted else None)
+        self._use(transition_settings(self.engine.settings, settings))
+        self.clock.call_later(
+            TRANSITION_US, lambda: self._use(settings) if settings is self._wanted else None
+        )
 
     def _use(self, settings: Settings) -> None:
-        self.engine.retune(settings)
+        self.engine.change_settings(settings)
         self.front.retune(settings)
         if self.companion is not None:
             self.companion.retune(settings)
@@ -287,7 +291,7 @@
 
     def _end(self) -> None:
         self.front.end()
-        self.engine.end_all()
+        self.engine.fail_all()
         self.clock.call_later(LAST_US, self._last)
 
     def _last(self) -> None:
@@ -361,17 +365,17 @@
             self.pass_on()
         self._sweeps += 1
         if self._sweeps % REPORT_EVERY == 0:
-            counts = self.engine.counts + self.engine.refusals + self.engine.rules.broken
+            counts = self.engine.counts + self.engine.rejections + self.engine.rules.violations
             fresh = dict(counts - self._reported)
             self._reported = Counter(counts)
             self._log.info(
                 "counts",
                 open=self.engine.open_requests,
-                out=self.engine.attempts_out,
+                out=self.engine.attempts_in_flight,
                 clients=self.front.connections,
                 nodes=self.transport.connections,
                 buffers=self.buffers.out,
-                maintenance=len(self.engine.away),
+                maintenance=len(self.engine.in_maintenance),
                 lines_dropped=self._log.dropped,
                 **fresh,
             )
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -9,7 +9,7 @@
 
 from gaugesail.core.clock import ReactorClock
 from gaugesail.core.engine import Engine
-from gaugesail.core.ports import Attempt, Order
+from gaugesail.core.ports import Attempt, ClientRequest, FailureReason
 from gaugesail.logs import make_logger
 from gaugesail.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, StartAttempt, WriteLog
 from gaugesail.policy.events import (
@@ -43,7 +43,7 @@
         transport: Any = self
         self.engine = Engine(SETTINGS, 1, self.clock, transport, transport, make_logger(io.StringIO()), 4)
         gateway: Any = self
-        self.engine._gateway = gateway
+        self.engine.policy.gateway = gateway
         self.engine.start(EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 0),)))
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
@@ -59,28 +59,28 @@
     def abort(self, attempt: Attempt) -> None:
         self.aborted.append(attempt)
 
-    def withdraw(self, attempt: Attempt) -> bool:
+    def cancel_unwritten(self, attempt: Attempt) -> bool:
         return self.unwritten
 
-    def begins(self, source: Any) -> Any:
+    def start_stream(self, source: Any) -> Any:
         self.answers.append(("begins", source))
         return self
 
-    def served(self, answer: Any) -> None:
+    def send_answer(self, answer: Any) -> None:
         self.answers.append(("served", answer))
 
-    def refused(self, hold_off_us: int) -> None:
-        self.answers.append(("refused", hold_off_us))
+    def reject(self, retry_after_us: int) -> None:
+        self.answers.append(("refused", retry_after_us))
 
-    def failed(self, reason: str) -> None:
-        self.answers.append(("failed", reason))
+    def fail(self, reason: FailureReason) -> None:
+        self.answers.append(("failed", reason.value))
 
-    def left(self) -> bool:
+    def client_disconnected(self) -> bool:
         return self.gone
 
     def take(self, *actions: Action, name: str = "a") -> int:
         self.script[RequestReceived] = list(actions)
-        ticket = self.engine.take(Order(name, SETTINGS, 0, 1_000_000, "payload"), self)
+        ticket = self.engine.submit(ClientRequest(name, SETTINGS, 0, 1_000_000, "payload"), self)
         self.reactor.advance(0)
         return ticket
 
@@ -100,7 +100,7 @@
     rig.take(StartAttempt(1, NODE))
     for _ in range(2):
         rig.script[AttemptEnded] = [StartAttempt(1, NODE)]
-        rig.engine.attempt_ended(rig.sent[-1], AttemptResult.ERROR)
+        rig.engine.attempts.attempt_ended(rig.sent[-1], AttemptResult.ERROR)
         rig.reactor.advance(0)
     assert len(rig.sent) == 2
     rig.reactor.advance(0)
@@ -118,8 +118,8 @@
     rig = Rig()
     rig.take(StartAttempt(1, NODE))
     rig.script[AttemptEnded] = [FailRequest(1), RejectRequest(1)]
-    rig.engine.attempt_ended(rig.sent[0], AttemptResult.SERVED, b"x")
-    rig.engine.attempt_ended(rig.sent[0], AttemptResult.RESET)
+    rig.engine.attempts.attempt_ended(rig.sent[0], AttemptResult.SERVED, b"x")
+    rig.engine.attempts.attempt_ended(rig.sent[0], AttemptResult.RESET)
     rig.reactor.advance(2)
     assert rig.answers == [("served", b"x")] and rig.outcomes() == [AttemptResult.SERVED]
 
@@ -154,17 +154,17 @@
     rig = Rig()
     ticket = rig.take(StartAttempt(1, NODE))
     rig.unwritten = unwritten
-    rig.engine.client_gone(ticket)
+    rig.engine.client_disconnected(ticket)
     rig.reactor.advance(0)
     assert rig.outcomes() == ([AttemptResult.NOT_STARTED] if unwritten else [])
-    assert rig.engine.attempts_out == (0 if unwritten else 1)
+    assert rig.engine.attempts_in_flight == (0 if unwritten else 1)
 
 
 def test_a_request_that_ends_before_the_module_has_it_is_never_told() -> None:
     rig = Rig()
     rig.script[RequestReceived] = [StartAttempt(1, NODE)]
-    ticket = rig.engine.take(Order("a", SETTINGS, 0, 1_000_000, "payload"), rig)
-    rig.engine.client_gone(ticket)
+    ticket = rig.engine.submit(ClientRequest("a", SETTINGS, 0, 1_000_000, "payload"), rig)
+    rig.engine.client_disconnected(ticket)
     rig.reactor.advance(0.01)
     assert not rig.sent and not any(isinstance(event, RequestReceived) for event in rig.events)
 
@@ -187,7 +187,7 @@
 
 def test_a_front_that_raises_harms_nobody_else() -> None:
     rig = Rig()
-    rig.refused = None  # type: ignore[method-assign, assignment]
+    rig.reject = None  # type: ignore[method-assign, assignment]
     rig.take(RejectRequest(1))
     rig.take(FailRequest(2), name="b")
     assert rig.answers == [("failed", "failed")] and rig.engine.idle
@@ -207,7 +207,7 @@
     seen: list[int] = []
     rig.handle = lambda now, events: (seen.append(len(events)), [])[1]  # type: ignore[method-assign, func-returns-value]
     for n in range(3):
-        rig.engine.take(Order(str(n), SETTINGS, 0, 1_000_000, None), rig)
+        rig.engine.submit(ClientRequest(str(n), SETTINGS, 0, 1_000_000, None), rig)
     rig.reactor.advance(0)
     assert seen == [3] and len(rig.events) == before
 
@@ -216,6 +216,6 @@
 def test_a_request_without_time_is_answered_and_not_sent(left: int) -> None:
     rig = Rig()
     rig.script[RequestReceived] = [StartAttempt(1, NODE)]
-    rig.engine.take(Order("a", SETTINGS, 0, left, None), rig)
+    rig.engine.submit(ClientRequest("a", SETTINGS, 0, left, None), rig)
     rig.reactor.advance(0.01)
     assert not rig.sent and rig.answers == [("failed", "out of time")]
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -10,7 +10,7 @@
 import pytest
 
 from gaugesail import net
-from gaugesail.core.engine import _DEADLINE
+from gaugesail.core.deadlines import RequestDeadline
 from gaugesail.http import bricks
 from gaugesail.http.front import ClientConnection
 
@@ -312,7 +312,9 @@
         rig.turn(2)
         with_its_end(rig, client, way)
         rig.turn()
-        engine._at(rig.clock.now_us() + 1, _DEADLINE, 0)  # as of a request that has its answer
+        engine._deadlines.add(
+            rig.clock.now_us() + 1, RequestDeadline(0)
+        )  # as of a request that has its answer
         rig.leap(0.001)
         rig.pass_time(0.3)
         assert not rig.bricks[0].saw("left")
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -45,7 +45,7 @@
 
 
 def latest(rig: Turned) -> Turned:
-    rig.head.engine._gateway.rng = LatestDraw()
+    rig.head.engine.policy.gateway.rng = LatestDraw()
     return rig
 
 
@@ -311,7 +311,7 @@
 def test_a_full_list_that_the_watch_overtook() -> None:
     with turned() as rig:
         old = json.dumps(rig.listing()).encode()
-        rig.head.discovery.fetch()
+        rig.head.discovery.poll()
         call = rig.watched()
         rig.watch.send(rig.drain(rig.bricks[0], 2))
         rig.turn(3)
@@ -322,7 +322,7 @@
 
 def test_changes_that_a_full_list_overtook() -> None:
     with turned() as rig:
-        rig.head.discovery.fetch()
+        rig.head.discovery.poll()
         call = rig.watched()
         before = rig.told(False, rig.bricks, 2)
         rig.bricks[0].phase = "Terminating"
@@ -337,7 +337,7 @@
 def test_a_full_list_that_never_comes_leaves_the_watch_alone() -> None:
     with turned() as rig:
         latest(rig)
-        rig.head.discovery.fetch()
+        rig.head.discovery.poll()
         call = rig.watched()
         rig.pass_time(8.0)
         assert call.gone() and not rig.watch.gone()
@@ -503,7 +503,7 @@
         self.log = io.StringIO()
         self.head = Head(self.head_reactor, configuration.read(self.config, {}), make_logger(self.log), clock)
         if seed % 2:
-            self.head.engine._gateway.rng = LatestDraw()
+            self.head.engine.policy.gateway.rng = LatestDraw()
         self.head.start()
 
     def buildProtocol(self, address: Any) -> Caller:
--- a/tests/http/test_node_connections.py
+++ b/tests/http/test_node_connections.py
@@ -25,7 +25,7 @@
 
 
 def out(rig: Turned) -> Attempt:
-    (attempt,) = rig.head.engine._out.values()
+    (attempt,) = rig.head.engine._table.attempts.values()
     return attempt
 
 
@@ -45,7 +45,7 @@
         client = rig.client()
         client.send(rig.ask("a"))
         end = rig.bricks[0].request("a")
-        rig.head.engine._abort(out(rig), AttemptResult.TIMEOUT)
+        rig.head.engine.attempts.abort(out(rig), AttemptResult.TIMEOUT)
         assert end.gone(), "its connection is still open when the call returns"
 
 
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -238,7 +238,7 @@
         connection.dataReceived(data[start:end])
     for _ in range(3):
         connection.answer(200, b"")
-    taken = [(call.args[0].name, call.args[2]) for call in front.engine.take.call_args_list]
+    taken = [(call.args[0].client_request_id, call.args[2]) for call in front.engine.submit.call_args_list]
     assert taken == [("a", 0), ("b", 2_000_000), ("c", 3_000_000)]
 
 
--- a/tests/iscsi/test_target_and_initiator.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -206,7 +206,7 @@
         way(rig, client)
         rig.pass_time(0.05)
         assert any(words[0] == "abort" for words in rig.node.inbox)
-        assert rig.head.engine.attempts_out == 0
+        assert rig.head.engine.attempts_in_flight == 0
 
 
 @CANCELS
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -12,8 +12,8 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from gaugesail import config
-from gaugesail.core.engine import MOST_IDS
-from gaugesail.core.retune import between
+from gaugesail.core.listed_nodes import MAX_LISTED_NODES
+from gaugesail.core.settings_transition import transition_settings
 from gaugesail.handover import Handover, Link
 from gaugesail.operations import NotYet, Operations
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
@@ -44,7 +44,7 @@
 def test_what_cannot_be_written_down_is_told_no_and_not_done() -> None:
     asks = OUT.replace("200", "503 *down*")
     serves = "send c1 request a\nexpect b1 request a\nsend b1 answer a 200 hello\nexpect c1 200 hello"
-    assert not play(asks + serves, TMPDIR="/nowhere").head.engine.away
+    assert not play(asks + serves, TMPDIR="/nowhere").head.engine.in_maintenance
 
 
 def test_a_file_that_cannot_be_read_is_said_and_keeps_no_head_from_starting(tmp_path: Path) -> None:
@@ -64,9 +64,15 @@
 
 def test_ids_ever_listed_are_known_and_bounded() -> None:
     engine = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head.engine
-    for n in range(MOST_IDS + 10):
-        engine.listed(EndpointList(EndpointListKind.CHANGES, (Endpoint(b"s-%d" % n, 0, EndpointState.GONE),)))
-    assert engine.has_seen(b"s-11") and not engine.has_seen(b"s-1") and len(engine._seen) == MOST_IDS
+    for n in range(MAX_LISTED_NODES + 10):
+        engine.update_endpoints(
+            EndpointList(EndpointListKind.CHANGES, (Endpoint(b"s-%d" % n, 0, EndpointState.GONE),))
+        )
+    assert (
+        engine.has_listed(b"s-11")
+        and not engine.has_listed(b"s-1")
+        and len(engine._listed) == MAX_LISTED_NODES
+    )
 
 
 REPLACED = "brick b1\nclient c1\nclient c2\nsend c1 get /_health\nexpect c1 200\nsend daemon replace\n"
@@ -173,7 +179,7 @@
         "write", 9, 20, idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.SHARD
     )
     new = Settings((changed, RequestClass("seal", 1, 2)), (Plan("b", 7.0),), max_attempts=2)
-    both = between(old, new)
+    both = transition_settings(old, new)
     assert [spec.name for spec in both.classes] == ["write", "seal", "read"]
     assert both.classes[0] == RequestClass(
         "write", 9, 50, idempotency=Idempotency.NOT_IDEMPOTENT, deduplication_scope=DeduplicationScope.SHARD
@@ -186,15 +192,15 @@
     old, new = play(text, TMPDIR=str(tmp_path)).heads
     assert old.operations.maintain(b"b1", True) and new.operations.maintain(b"b2", True)
     old._reactor.run_until(lambda: False, 0.1)
-    assert old.engine.away == new.engine.away == {b"b1", b"b2"}
+    assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b1", b"b2"}
     assert StateFile(str(tmp_path), ("127.0.0.1", 9000)).read().away == {b"b1", b"b2"}
     new.operations.maintain(b"b1", False)
     old._reactor.run_until(lambda: False, 0.1)
-    assert old.engine.away == new.engine.away == {b"b2"}
+    assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b2"}
 
 
 def test_before_it_knows_what_was_asked_a_process_takes_no_call(tmp_path: Path) -> None:
-    engine, front = Mock(away=set()), Mock()
+    engine, front = Mock(in_maintenance=set()), Mock()
     operations = Operations(engine, front, StateFile(str(tmp_path), ("", 1)), Mock(), Mock())
     for call in (lambda: operations.drain(True), lambda: operations.maintain(b"b1", True)):
         with pytest.raises(NotYet):
--- a/tests/process/test_persistent_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -113,7 +113,7 @@
     links = len(first._handover._links), len(second._handover._links)
     assert links == (1, 1)
     first.operations.maintain(b"b1", True)
-    assert world.until(lambda: b"b1" in second.engine.away, 1.0)
+    assert world.until(lambda: b"b1" in second.engine.in_maintenance, 1.0)
     world.until(lambda: False, 0.5)
     assert (len(first._handover._links), len(second._handover._links)) == links
     failing[0] = False
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gaugesail.core.engine import Engine
+from gaugesail.core.final_answers import FinalAnswers
 from gaugesail.door import Door
 from gaugesail.http.front import ClientConnection
 from gaugesail.policy.gateway import Gateway
@@ -38,7 +38,11 @@
 
     def sends_alone(gateway: Gateway, now_us: int, events: Any) -> Any:
         made = handle(gateway, now_us, events)
-        return [action for action in made if type(action).__name__ in ("Send", "WatchList", "FetchList")]
+        return [
+            action
+            for action in made
+            if type(action).__name__ in ("StartAttempt", "WatchEndpoints", "PollEndpoints")
+        ]
 
     monkeypatch.setattr(Gateway, "handle", sends_alone)
 
@@ -50,7 +54,7 @@
 
 @pytest.mark.usefixtures("silent_module")
 def test_a_request_that_has_no_answer_when_its_time_is_up_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Engine, "_fail", nothing)
+    monkeypatch.setattr(FinalAnswers, "fail", nothing)
     found(ASKED, r"c1: request a: no answer in its time")
     found(ASKED + "wait 3.04\nexpect c1 nothing\nwait 0.02\nexpect c1 nothing", r"before line 8: .*no answer")
     play("brick b1\nclient c1\nunanswered c1 a\n" + "\n".join(ASKED.splitlines()[2:]))
@@ -147,7 +151,7 @@
 def test_a_command_without_its_status_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     text = "daemon iscsi\nnode n1\ninitiator i1\nsend i1 login\nexpect i1 login\nsend i1 read tag=1\n"
     play(text + "expect n1 login")
-    monkeypatch.setattr(Engine, "_tell", nothing)
+    monkeypatch.setattr(FinalAnswers, "_deliver", nothing)
     found(text + "expect n1 login", "i1: request 1: no answer in its time")
 
 
