--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -23,7 +23,7 @@
 from gaugesail.policy.settings import Settings
 
 from ..core.engine import Engine
-from ..core.ports import Call, Clock, Logger
+from ..core.ports import Clock, DelayedCall, Logger
 from ..http.discovery import BadList, split_address
 from .link import FleetReactor, Link
 from .settings import FleetSettings, digest
@@ -53,7 +53,7 @@
         self._store: FleetStore | None = None
         self._engine: Engine | None = None
         self._terms: Settings | None = None
-        self._tick: Call | None = None
+        self._tick: DelayedCall | None = None
         self._tick_at = 0
         self._closed = self._waiting = self._running = False
         self._store_again_us, self._jitter = STORE_AGAIN_US, random.SystemRandom()
@@ -225,7 +225,7 @@
                 return  # said by the next tick, without what this step was for
         if out.shares is not None:
             assert self._engine is not None
-            self._engine.share(shares_of(out.shares))
+            self._engine.change_quota(shares_of(out.shares))
         for to, message in out.sends:
             if to == self._settings.gateway:
                 self._clock.call_later(0, partial(self._heard, to, self.process, message))
@@ -263,7 +263,7 @@
         worth = {plan.name: max(1, round(plan.priority_weight * 1000)) for plan in self._terms.plans}
         asked = {
             amount_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
-            for plan, volume, units, spent, saved in self._engine.wants()
+            for plan, volume, units, spent, saved in self._engine.take_quota_demand()
         }
         self._step(lambda node, now: node.want(now, asked))
         self._clock.call_later(WANT_US, self._wants)
