--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -18,6 +18,7 @@
 from .core.clock import ReactorClock, boot_ns, use_monotonic_time
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
+from .handover import Takeover
 from .http.bricks import BrickConnection, BrickPool
 from .http.discovery import DiscoveryClient
 from .http.front import ClientConnection, ClientFront
@@ -76,7 +77,7 @@
             limits.client_overflow,
             self._finished,
         )
-        self.operations = Operations(self.engine, self.front, self._state, self._handover.tell, log)
+        self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def known(self, told: dict[str, Any]) -> EndpointList:
         # Another service may count its revisions from anywhere: the process before must have used the same.
@@ -84,41 +85,41 @@
         news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
         return news
 
-    def bequeath(self) -> tuple[int, dict[str, Any]] | None:
-        legacy = super().bequeath()
-        if legacy is not None:
-            legacy[1].update(discovery=self.discovery.host, list=self.discovery.latest)
-        return legacy
+    def offer_takeover(self) -> Takeover | None:
+        takeover = super().offer_takeover()
+        if takeover is not None:
+            takeover.state.update(discovery=self.discovery.host, list=self.discovery.latest)
+        return takeover
 
     @property
     def passing_answers(self) -> bool:
         return bool(self.front.streams)
 
-    def pass_on(self) -> None:
+    def hand_over_answers(self) -> None:
         for client in self.front.streams:
             client.move(self._moved)
 
     def _moved(self, client: ClientConnection, brick: BrickConnection) -> None:
-        if self._handover.next is None:
+        if self._handover.successor is None:
             client.stay()
             return
         told = {"client": client.leave(), "brick": brick.leave()}
-        self._handover.pass_on([detach(client.link), detach(brick.link)], told)
+        self._handover.hand_over_answer([detach(client.link), detach(brick.link)], told)
         self.front.closed(client)
 
-    def take(self, fds: list[int], told: dict[str, Any]) -> None:
+    def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
         """Go on with a large answer.  Where either side has gone meanwhile, the other ends with it."""
-        ours, theirs = fds
+        client_descriptor, node_descriptor = descriptors
         try:
-            brick = self.transport.adopt(theirs, told["brick"], self.engine.attempts)
+            brick = self.transport.adopt(node_descriptor, state["brick"], self.engine.attempts)
         except OSError:
-            reset(ours)  # an end in order could pass for the answer's own
+            reset(client_descriptor)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
-        client.enter(told["client"], brick)
+        client.enter(state["client"], brick)
         self.engine.attempts.adopt_stream(brick.attempt)
         try:
-            attach(self._reactor, ours, client)
+            attach(self._reactor, client_descriptor, client)
         except OSError:
             brick.stop()
             return
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -1,16 +1,16 @@
-"""Replacing a running process: the next one of the same head is handed the clients' address.
+"""Replacing a running process: its successor is handed the listening socket of the clients' address.
 
-The listening socket itself is passed (SCM_RIGHTS) over a Unix socket in the folder that both share, so that
-both have one accept queue and the end of the first resets nothing.  What is said is JSON, a line each: the
-first process says what the next is to know, the next says when it serves, and both tell what operators ask.
+The socket itself is passed (SCM_RIGHTS) over a Unix socket in the folder that both processes share, so that
+both have one accept queue and the end of the first resets nothing.  The predecessor says what its successor
+is to know, the successor says when it serves, and both tell each other what operators ask.
 """
 
 from __future__ import annotations
 
-import json
 import os
 import socket
 from collections import deque
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, Protocol
@@ -24,95 +24,142 @@
 
 from .core import ports
 from .core.ports import Clock, Logger
+from .handover_messages import (
+    VERSION,
+    AnswerOffer,
+    CallMade,
+    ClientCount,
+    DescriptorsTaken,
+    HandoverMessage,
+    MalformedMessage,
+    SuccessorServing,
+    TakeoverOffer,
+    decode,
+    encode,
+)
 from .net import Connection
-from .state import Call
+from .state import OperatorCall
 
-VERSION = 1
-SILENT_US = 4_000_000  # how long the running process may take to hand over
-MOST_BYTES = 4 * 1024 * 1024  # of one line
-LONGEST_PATH = 100  # a Unix socket's address holds 108 bytes
+REPLY_TIMEOUT_US = 4_000_000  # how long the running process may take to hand over
+MAX_LINE_BYTES = 4 * 1024 * 1024
+MAX_SOCKET_PATH_BYTES = 100  # a Unix socket's address holds 108 bytes
+DESCRIPTORS_OF_AN_ANSWER = 2  # its client's and its node's
 
 
 @dataclass(slots=True, frozen=True)
-class Inheritance:
-    """What the running process hands to the next."""
+class Takeover:
+    """What the running process hands to its successor."""
 
-    fd: int
-    known: dict[str, Any]
+    descriptor: int  # of the listening socket
+    state: dict[str, Any]
 
 
 class Owner(Protocol):
-    """The head, as its handover sees it."""
+    """The gateway's process, as its handover sees it."""
 
-    def bequeath(self) -> tuple[int, dict[str, Any]] | None: ...
-    def beside(self, on: bool) -> None: ...
-    def superseded(self, on: bool) -> None: ...
-    def follow(self, call: Call) -> None: ...
-    def others(self, clients: int) -> None: ...
-    def take(self, fds: list[int], told: dict[str, Any]) -> None: ...
+    def offer_takeover(self) -> Takeover | None:
+        """What a successor gets; None where this process has nothing to hand over."""
+        ...
+
+    def sibling_process(self, present: bool) -> None:
+        """Another process of this gateway runs beside this one, or no longer."""
+        ...
+
+    def replaced(self, on: bool) -> None:
+        """The successor serves in place of this process, or has died and this one serves again."""
+        ...
+
+    def follow(self, call: OperatorCall) -> None:
+        """An operator has called the other process."""
+        ...
+
+    def predecessor_clients(self, clients: int) -> None:
+        """How many clients the predecessor still holds."""
+        ...
+
+    def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
+        """Go on with a streamed answer of the predecessor."""
+        ...
 
 
 @implementer(IFileDescriptorReceiver)
-class Link(Connection):
-    """Between two processes of one head; it lasts as long as both do."""
+class HandoverConnection(Connection):
+    """A connection between two processes of one gateway; it lasts as long as both do."""
 
-    def __init__(self, handover: Handover, heir: bool) -> None:
-        self._handover, self.heir = handover, heir  # heir: this process is the next one
-        self._text = bytearray()
-        self.fds: deque[int] = deque()  # came, and nobody has taken them yet
-        self.passed: deque[int] = deque()  # ours, until the other has them
-        self.serves = False  # the other has said that it serves
+    def __init__(self, handover: Handover, is_successor: bool) -> None:
+        self._handover = handover
+        self.is_successor = is_successor  # this process is the next one
+        self.successor_serves = False  # the other process has said that it serves
+        self.received: deque[int] = deque()  # descriptors that came and nobody has taken yet
+        self.unconfirmed: deque[int] = deque()  # descriptors of ours, until the other process has them
+        self._buffer = bytearray()
 
     def connectionMade(self) -> None:
-        self._handover.linked(self)
+        self._handover.connected(self)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        self.fds.append(descriptor)
-
-    def pass_on(self, fds: list[int], **what: Any) -> None:
-        """Hand descriptors over; the line says what they are, and ours are closed when the other has them."""
-        for fd in fds:
-            self.link.sendFileDescriptor(fd)
-        self.passed += fds
-        self.say(**what)
+        self.received.append(descriptor)
+
+    def take_descriptors(self, count: int) -> list[int]:
+        """Descriptors that came with the latest message.  MalformedMessage where there are too few."""
+        if len(self.received) < count:
+            raise MalformedMessage(f"{count} descriptors are needed, {len(self.received)} came")
+        return [self.received.popleft() for _ in range(count)]
+
+    def hand_over(self, descriptors: Sequence[int], message: HandoverMessage) -> None:
+        """Send descriptors and what they are; ours are closed once the other process has them."""
+        for descriptor in descriptors:
+            self.link.sendFileDescriptor(descriptor)
+        self.unconfirmed += descriptors
+        self.send(message)
+
+    def confirm(self, count: int) -> None:
+        """The other process has so many of our descriptors.  MalformedMessage where there are fewer."""
+        if len(self.unconfirmed) < count:
+            raise MalformedMessage(f"{count} descriptors are confirmed, {len(self.unconfirmed)} were sent")
+        for _ in range(count):
+            os.close(self.unconfirmed.popleft())
+
+    def send(self, message: HandoverMessage) -> None:
+        """Send a message without descriptors."""
+        self.link.write(encode(message))
 
     def dataReceived(self, data: bytes) -> None:
-        self._text += data
-        while (end := self._text.find(b"\n")) >= 0:
-            line = bytes(self._text[:end])
-            del self._text[: end + 1]
+        self._buffer += data
+        while (end := self._buffer.find(b"\n")) >= 0:
+            line = bytes(self._buffer[:end])
+            del self._buffer[: end + 1]
             try:
-                self._handover.heard(self, json.loads(line))
+                self._handover.received(self, decode(line))
             except (ValueError, LookupError, TypeError, AttributeError) as error:
-                self._handover.log.error("peer_malformed", error=repr(error))
+                # A message may be well-formed and its state not: the owner finds that only as it uses it.
+                self._handover.log.error("handover_message_malformed", error=repr(error))
                 self.link.abortConnection()
                 return
-        if len(self._text) > MOST_BYTES:
+        if len(self._buffer) > MAX_LINE_BYTES:
             self.link.abortConnection()
 
-    def say(self, **what: Any) -> None:
-        self.link.write(json.dumps(what).encode() + b"\n")
-
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        for fd in (*self.fds, *self.passed):
-            os.close(fd)
-        self.fds.clear()
-        self.passed.clear()
-        self._handover.unlinked(self)
+        for descriptor in (*self.received, *self.unconfirmed):
+            os.close(descriptor)
+        self.received.clear()
+        self.unconfirmed.clear()
+        self._handover.disconnected(self)
 
 
-class _Links(Factory):
+class _ConnectionFactory(Factory):
     noisy = False
 
-    def __init__(self, handover: Handover, heir: bool) -> None:
-        self._handover, self._heir = handover, heir
+    def __init__(self, handover: Handover, is_successor: bool) -> None:
+        self._handover = handover
+        self._is_successor = is_successor
 
-    def buildProtocol(self, addr: Any) -> Link:
-        return Link(self._handover, self._heir)
+    def buildProtocol(self, addr: Any) -> HandoverConnection:
+        return HandoverConnection(self._handover, self._is_successor)
 
 
 class Handover:
-    """The Unix socket of one process, and its links to the one before and the one after."""
+    """The Unix socket of one process, and its connections to its predecessor and its successor."""
 
     def __init__(
         self,
@@ -123,175 +170,207 @@
         listen: tuple[str, int],
         owner: Owner,
     ) -> None:
-        self._reactor, self._clock, self.log, self._owner = reactor, clock, log, owner
+        self._reactor = reactor
+        self._clock = clock
+        self.log = log
+        self._owner = owner
         self._folder = Path(folder) if folder else None
-        self._base = f"gaugesail-{listen[0]}-{listen[1]}"
-        self._name = f"{self._base}.{os.urandom(6).hex()}.sock"
-        self._folder_fd: int | None = None
+        self._base_name = f"gaugesail-{listen[0]}-{listen[1]}"
+        # Each process has a socket of its own name, with a link to the latest: an ending one removes its own.
+        self._socket_name = f"{self._base_name}.{os.urandom(6).hex()}.sock"
+        self._folder_descriptor: int | None = None
         self._port: Any = None
-        self._links: list[Link] = []
-        self._asked: Deferred[Inheritance | None] | None = None
-        self._late: ports.DelayedCall | None = None
+        self._connections: list[HandoverConnection] = []
+        self._requested: Deferred[Takeover | None] | None = None
+        self._timeout: ports.DelayedCall | None = None
         self._closed = False
 
+    @property
+    def _link_name(self) -> str:
+        return f"{self._base_name}.sock"
+
     def _path(self, name: str) -> str:
+        """A path of the folder that is short enough for a Unix socket's address."""
         assert self._folder is not None
         path = str(self._folder / name)
-        if len(path.encode()) <= LONGEST_PATH:
+        if len(path.encode()) <= MAX_SOCKET_PATH_BYTES:
             return path
-        if self._folder_fd is None:
-            self._folder_fd = os.open(self._folder, os.O_PATH | os.O_DIRECTORY)
-        return f"/proc/self/fd/{self._folder_fd}/{name}"
+        if self._folder_descriptor is None:
+            self._folder_descriptor = os.open(self._folder, os.O_PATH | os.O_DIRECTORY)
+        return f"/proc/self/fd/{self._folder_descriptor}/{name}"
 
-    # ---- the next process ----
+    # ---- as the successor ----
 
-    def ask(self) -> Deferred[Inheritance | None]:
-        """Ask the running process for its address; None where there is none that answers."""
-        if self._folder is None or not os.path.lexists(self._folder / f"{self._base}.sock"):
+    def request_takeover(self) -> Deferred[Takeover | None]:
+        """Ask the running process for its listening socket; None where no process answers."""
+        if self._folder is None or not os.path.lexists(self._folder / self._link_name):
             return succeed(None)
-        asked: Deferred[Inheritance | None] = Deferred()
-        self._asked = asked
-        self._late = self._clock.call_later(SILENT_US, lambda: self._answer(None, "silent"))
+        requested: Deferred[Takeover | None] = Deferred()
+        self._requested = requested
+        self._timeout = self._clock.call_later(REPLY_TIMEOUT_US, lambda: self._no_takeover("silent"))
         try:
             endpoint: Any = UNIXClientEndpoint
-            made = endpoint(self._reactor, self._path(f"{self._base}.sock")).connect(_Links(self, True))
+            address = self._path(self._link_name)
+            connected = endpoint(self._reactor, address).connect(_ConnectionFactory(self, True))
         except OSError as error:
-            self._answer(None, repr(error))
-            return asked
-        made.addErrback(lambda failure: self._answer(None, repr(failure.value)))
-        return asked
-
-    def _answer(self, found: Inheritance | None, why: str = "") -> None:
-        asked, self._asked = self._asked, None
-        if asked is None:
+            self._no_takeover(repr(error))
+            return requested
+        connected.addErrback(lambda failure: self._no_takeover(repr(failure.value)))
+        return requested
+
+    def _no_takeover(self, why: str) -> None:
+        """No process hands its listening socket over; nothing where the request has its answer already."""
+        if (requested := self._take_request()) is None:
             return
-        if self._late is not None and self._late.active():
-            self._late.cancel()
-        if found is None:
-            self.log.info("no_process_before", why=why)
-            for link in list(self._links):
-                link.link.abortConnection()
-        asked.callback(found)
-
-    def serving(self) -> None:
-        """This process serves: the one before hears of it, and the one after finds us."""
-        for link in self._links:
-            if link.heir:
-                link.say(serving=True)
+        self.log.info("no_predecessor", why=why)
+        for connection in list(self._connections):
+            connection.link.abortConnection()
+        requested.callback(None)
+
+    def _take_request(self) -> Deferred[Takeover | None] | None:
+        """The request that waits for an answer, which it now gets; None where none waits."""
+        requested, self._requested = self._requested, None
+        if requested is not None and self._timeout is not None and self._timeout.active():
+            self._timeout.cancel()
+        return requested
+
+    def announce_serving(self) -> None:
+        """This process serves: its predecessor hears of it, and its successor will find it."""
+        for connection in self._connections:
+            if connection.is_successor:
+                connection.send(SuccessorServing())
         if self._folder is None or self._closed:
             return
-        # Whatever is wrong with the folder keeps nobody from serving; only the next process can't take over.
+        # Whatever is wrong with the folder keeps nobody from serving; only a successor can't take over.
         try:
-            self._port = self._reactor.listenUNIX(self._path(self._name), _Links(self, False), mode=0o600)
-            latest, fresh = self._folder / f"{self._base}.sock", self._folder / f"{self._name}.link"
-            fresh.symlink_to(self._name)
-            stale = self._folder / os.readlink(latest) if latest.is_symlink() else None
-            fresh.replace(latest)
-            if stale is not None and not self._links:  # of a process that was killed
-                stale.unlink(missing_ok=True)
+            self._listen(self._folder)
         except Exception as error:  # Twisted raises errors of its own for what the system refuses
-            self.log.warning("no_handover", error=repr(error))
-
-    # ---- both ----
+            self.log.warning("handover_unavailable", error=repr(error))
+
+    def _listen(self, folder: Path) -> None:
+        """Listen at a name of our own, and point the link that successors follow to it."""
+        factory = _ConnectionFactory(self, False)
+        self._port = self._reactor.listenUNIX(self._path(self._socket_name), factory, mode=0o600)
+        link = folder / self._link_name
+        fresh = folder / f"{self._socket_name}.link"
+        fresh.symlink_to(self._socket_name)
+        previous = folder / os.readlink(link) if link.is_symlink() else None
+        fresh.replace(link)
+        if previous is not None and not self._connections:  # of a process that was killed
+            previous.unlink(missing_ok=True)
+
+    # ---- as the predecessor ----
 
     @property
-    def next(self) -> Link | None:
-        """The next process, once it serves."""
-        return next((link for link in self._links if link.serves and not link.heir), None)
+    def successor(self) -> HandoverConnection | None:
+        """The connection to the successor, once that serves."""
+        for connection in self._connections:
+            if connection.successor_serves and not connection.is_successor:
+                return connection
+        return None
 
     @property
-    def passing(self) -> bool:
-        """The next process has not yet said that it has all that was handed over."""
-        return any(link.passed for link in self._links)
-
-    def pass_on(self, fds: list[int], told: dict[str, Any]) -> None:
-        """Hand a large answer over, as its client and its brick."""
-        assert self.next is not None
-        self.next.pass_on(fds, stream=told)
+    def unconfirmed(self) -> bool:
+        """The successor has not yet said that it has all that was handed over."""
+        return any(connection.unconfirmed for connection in self._connections)
+
+    def hand_over_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
+        """Hand a streamed answer over, as the descriptors of its client and its node."""
+        successor = self.successor
+        assert successor is not None
+        successor.hand_over(descriptors, AnswerOffer(state))
+
+    def report_clients(self, clients: int) -> None:
+        """Tell the successor how many client connections this process still holds."""
+        if (successor := self.successor) is not None:
+            successor.send(ClientCount(clients))
+
+    def announce_call(self, call: OperatorCall) -> None:
+        """Tell the other process what an operator has asked of this one."""
+        for connection in self._connections:
+            connection.send(CallMade(call))
 
-    def count(self, clients: int) -> None:
-        """Tell the next process how many places clients still hold in this one: the rest is its own."""
-        if (link := self.next) is not None:
-            link.say(clients=clients)
+    # ---- connections ----
 
-    def tell(self, call: Call) -> None:
-        """Tell the other process what an operator has asked of this one."""
-        node = call.node.decode(errors="replace") if call.node is not None else None
-        for link in self._links:
-            link.say(node=node, on=call.on)
-
-    def linked(self, link: Link) -> None:
-        if link.heir:
-            if self._asked is None:  # it came too late: we have begun without it
-                link.link.abortConnection()
+    def connected(self, connection: HandoverConnection) -> None:
+        """A connection to the other process is open."""
+        if connection.is_successor:
+            if self._requested is None:  # it came too late: we have begun without it
+                connection.link.abortConnection()
             else:
-                self._links.append(link)
+                self._connections.append(connection)
             return
-        # One at a time: what is handed to the next is not handed to another beside it.
-        legacy = None if self._links or self._closed else self._owner.bequeath()
-        if legacy is None:
-            link.link.loseConnection()
+        # One at a time: what is handed to one successor is not handed to another beside it.
+        takeover = None if self._connections or self._closed else self._owner.offer_takeover()
+        if takeover is None:
+            connection.link.loseConnection()
             return
-        self._links.append(link)
-        fd, known = legacy
-        link.link.sendFileDescriptor(fd)
-        link.say(version=VERSION, known=known)
-        self._owner.beside(True)
-
-    def heard(self, link: Link, said: dict[str, Any]) -> None:
-        if "known" in said:
-            if said["version"] != VERSION or not link.fds or self._asked is None:
-                raise ValueError("not what this version can take over")
-            self._owner.beside(True)
-            self._answer(Inheritance(link.fds.popleft(), said["known"]))
-        elif "stream" in said:
-            fds = [link.fds.popleft(), link.fds.popleft()]
-            link.say(took=len(fds))
-            self._owner.take(fds, said["stream"])
-        elif "took" in said:
-            for _ in range(int(said["took"])):
-                os.close(link.passed.popleft())
-        elif "serving" in said:
-            link.serves = True
-            self._owner.superseded(True)
-        elif "clients" in said:
-            self._owner.others(int(said["clients"]))
-        elif "node" in said:
-            node = said["node"]
-            self._owner.follow(Call(str(node).encode() if node is not None else None, said["on"] is True))
-
-    def unlinked(self, link: Link) -> None:
-        if link not in self._links:
+        self._connections.append(connection)
+        connection.link.sendFileDescriptor(takeover.descriptor)
+        connection.send(TakeoverOffer(takeover.state))
+        self._owner.sibling_process(True)
+
+    def received(self, connection: HandoverConnection, message: HandoverMessage | None) -> None:
+        """Act on a message.  MalformedMessage where it does not fit what came before it."""
+        match message:
+            case TakeoverOffer():
+                self._take_over(connection, message)
+            case AnswerOffer():
+                descriptors = connection.take_descriptors(DESCRIPTORS_OF_AN_ANSWER)
+                connection.send(DescriptorsTaken(len(descriptors)))
+                self._owner.continue_answer(descriptors, message.state)
+            case DescriptorsTaken():
+                connection.confirm(message.count)
+            case SuccessorServing():
+                connection.successor_serves = True
+                self._owner.replaced(True)
+            case ClientCount():
+                self._owner.predecessor_clients(message.clients)
+            case CallMade():
+                self._owner.follow(message.call)
+
+    def _take_over(self, connection: HandoverConnection, offer: TakeoverOffer) -> None:
+        if offer.version != VERSION or not connection.received or self._requested is None:
+            raise MalformedMessage("not what this version can take over")
+        self._owner.sibling_process(True)
+        takeover = Takeover(connection.received.popleft(), offer.state)
+        if (requested := self._take_request()) is not None:
+            requested.callback(takeover)
+
+    def disconnected(self, connection: HandoverConnection) -> None:
+        """A connection to the other process has ended."""
+        if connection not in self._connections:
             return
-        self._links.remove(link)
+        self._connections.remove(connection)
         if self._closed:
             return
-        self._answer(None, "it went away")
-        self._owner.beside(bool(self._links))
-        if link.serves and not link.heir:
-            self._owner.superseded(False)  # the next one died: this one goes on
+        self._no_takeover("it went away")
+        self._owner.sibling_process(bool(self._connections))
+        if connection.successor_serves and not connection.is_successor:
+            self._owner.replaced(False)  # the successor died: this process goes on
 
     def close(self) -> None:
         """This process ends; the socket's own name goes with it, and the link where it is still ours."""
         self._closed = True
-        for link in list(self._links):
-            link.link.loseConnection()
-        if self._port is not None and self._folder is not None:
-            maybeDeferred(self._port.stopListening).addErrback(self._not_removed)
-            try:
-                latest = self._folder / f"{self._base}.sock"
-                if latest.is_symlink() and os.readlink(latest) == self._name:
-                    latest.unlink()
-            except OSError as error:  # the next process finds a link to nobody, and listens by itself
-                self.log.warning("handover_not_removed", error=repr(error))
+        for connection in list(self._connections):
+            connection.link.loseConnection()
+        if self._port is None or self._folder is None:
+            return
+        maybeDeferred(self._port.stopListening).addErrback(self._not_removed)
+        try:
+            link = self._folder / self._link_name
+            if link.is_symlink() and os.readlink(link) == self._socket_name:
+                link.unlink()
+        except OSError as error:  # the next process finds a link to nobody, and listens by itself
+            self.log.warning("handover_socket_not_removed", error=repr(error))
 
     def _not_removed(self, failure: Failure) -> None:
-        self.log.warning("handover_not_removed", error=repr(failure.value))
+        self.log.warning("handover_socket_not_removed", error=repr(failure.value))
 
 
-def adopt(reactor: Any, fd: int, factory: Any) -> Any:
+def adopt_port(reactor: Any, descriptor: int, factory: Any) -> Any:
     """The listening port of a descriptor that was handed over; it does not accept yet."""
-    port = reactor.adoptStreamPort(fd, socket.AF_INET, factory)
+    port = reactor.adoptStreamPort(descriptor, socket.AF_INET, factory)
     port.stopReading()
-    os.close(fd)  # the port has its own
+    os.close(descriptor)  # the port has its own
     return port
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -9,7 +9,7 @@
 from ..core.clock import ReactorClock
 from ..core.engine import Engine
 from ..core.ports import Clock, Logger, Reactor
-from ..handover import Inheritance
+from ..handover import Takeover
 from ..http.management import MOST_CALLS
 from ..operations import Operations
 from ..service import Service
@@ -74,7 +74,7 @@
             self._sessions(1),
             self._finished,
         )
-        self.operations = Operations(self.engine, self.front, self._state, self._handover.tell, log)
+        self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def _sessions(self, processes: int) -> int:
         sockets = self._operator.sockets // processes - (MOST_CALLS if self._operator.management else 0)
@@ -83,7 +83,7 @@
     def limit(self, processes: int) -> None:
         self.front.limit(self._sessions(processes))
 
-    def _begin(self, inherited: Inheritance | None) -> None:
+    def _begin(self, inherited: Takeover | None) -> None:
         super()._begin(inherited)
         self.front.address = self.address
 
--- a/gaugesail/operations.py
+++ b/gaugesail/operations.py
@@ -9,7 +9,7 @@
 
 from .core.engine import Engine
 from .core.ports import Logger
-from .state import Call, State, StateError, StateFile, StateUnreadable
+from .state import OperatorCall, State, StateError, StateFile, StateUnreadable
 
 TRACE_SHOWN = 500  # steps at a call
 
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, engine: Engine, front: Any, file: StateFile, tell: Callable[[Call], None], log: Logger
+        self, engine: Engine, front: Any, file: StateFile, tell: Callable[[OperatorCall], None], log: Logger
     ) -> None:
         self._engine, self._front, self._file, self._tell, self._log = engine, front, file, tell, log
         self.stopping = False
@@ -47,10 +47,10 @@
             self._log.error("state_unreadable", error=str(error))
             state = State()
         self._ready = True
-        for node in state.away:
-            self._carry_out(Call(node, True))
+        for node in state.in_maintenance:
+            self._carry_out(OperatorCall(node, True))
         if state.drained:
-            self._carry_out(Call(None, True))
+            self._carry_out(OperatorCall(None, True))
 
     def sweep(self) -> None:
         """Make up for what the folder did not allow before."""
@@ -59,24 +59,24 @@
         elif self._unwritten:
             self._keep()
 
-    def _carry_out(self, call: Call) -> None:
-        if call.node is None:
+    def _carry_out(self, call: OperatorCall) -> None:
+        if call.node_id is None:
             if call.on != self._front.drain.on:
                 self._front.drain.set(call.on)
                 self._log.info("drained" if call.on else "taking_clients")
-        elif call.on != (call.node in self._engine.in_maintenance):
-            self._engine.set_maintenance(call.node, call.on)
+        elif call.on != (call.node_id in self._engine.in_maintenance):
+            self._engine.set_maintenance(call.node_id, call.on)
             event = "maintenance_begins" if call.on else "maintenance_ends"
-            self._log.info(event, node=call.node.decode(errors="replace"))
+            self._log.info(event, node=call.node_id.decode(errors="replace"))
 
-    def _state(self, call: Call) -> State:
+    def _state(self, call: OperatorCall) -> State:
         """What is asked for once this call is carried out too."""
         away, drained = frozenset(self._engine.in_maintenance), self._front.drain.on
-        if call.node is None:
+        if call.node_id is None:
             return State(away, call.on)
-        return State(away | {call.node} if call.on else away - {call.node}, drained)
+        return State(away | {call.node_id} if call.on else away - {call.node_id}, drained)
 
-    def _ask(self, call: Call) -> None:
+    def _ask(self, call: OperatorCall) -> None:
         if not self._ready:
             raise NotYet("not serving yet")
         self._file.write(self._state(call))  # first: what cannot be kept is not begun, and told no
@@ -84,7 +84,7 @@
         self._tell(call)
         self._carry_out(call)
 
-    def follow(self, call: Call) -> None:
+    def follow(self, call: OperatorCall) -> None:
         """A process beside this one was called: that binds this one too."""
         if self._ready:
             self._carry_out(call)
@@ -106,11 +106,11 @@
         return "\n".join(map(str, entries)) or "nothing is known"
 
     def drain(self, on: bool) -> None:
-        self._ask(Call(None, on))
+        self._ask(OperatorCall(None, on))
 
     def maintain(self, node: NodeId, on: bool) -> bool:
         """False for an id that no list has ever named."""
         if self._ready and not self._engine.has_listed(node):
             return False
-        self._ask(Call(node, on))
+        self._ask(OperatorCall(node, on))
         return True
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -19,12 +19,12 @@
 from .core.ports import Clock, Logger, Reactor
 from .core.settings_transition import TRANSITION_US, transition_settings
 from .door import MOVED_LAST_US
-from .handover import Handover, Inheritance, adopt
+from .handover import Handover, Takeover, adopt_port
 from .http.management import ACCEPTS, MOST_CALLS, ManagementFront
 from .listening import ListeningPort
 from .logs import LimitedLogger
 from .operations import Operations
-from .state import Call, StateFile
+from .state import OperatorCall, StateFile
 
 ACCEPT_US = 450_000  # after SIGTERM: new connections come for up to 0.4 s
 LAST_ACCEPT_US = 1_500_000  # and later where they had to wait for a place
@@ -86,7 +86,7 @@
         self._port: Any = None
         self._listening: ListeningPort
         self._stopping, self._stop_at, self._able_by = False, 0, 0
-        self._superseded = False
+        self._replaced = False
         self._wanted: Settings  # what is in force, or will be when clients have left what was before
         self._sweeps = 0
         self._reported: Counter[str] = Counter()
@@ -101,13 +101,13 @@
         The Deferred fires when the address is ours, and fails where it cannot be had.
         """
         if self.management_address is None:
-            return self._handover.ask().addCallback(self._take_address)
+            return self._handover.request_takeover().addCallback(self._take_address)
         host, port = self.management_address
         free = self._when_free(lambda: self._listen_for_calls(host, port))
-        return free.addCallback(lambda _: self._handover.ask()).addCallback(self._take_address)
+        return free.addCallback(lambda _: self._handover.request_takeover()).addCallback(self._take_address)
 
-    def _take_address(self, inherited: Inheritance | None) -> Deferred[Any]:
-        return self._when_free(lambda: self._begin(inherited))
+    def _take_address(self, takeover: Takeover | None) -> Deferred[Any]:
+        return self._when_free(lambda: self._begin(takeover))
 
     def _when_free(self, listen: Callable[[], None]) -> Deferred[Any]:
         """The process before this one may be on its way out and have the address for a while yet."""
@@ -134,19 +134,19 @@
         attempt()
         return done
 
-    def _begin(self, inherited: Inheritance | None) -> None:
+    def _begin(self, takeover: Takeover | None) -> None:
         if self._stopping:  # meanwhile it was told to end: nothing was taken, and nothing will be
-            if inherited is not None:
-                os.close(inherited.fd)
+            if takeover is not None:
+                os.close(takeover.descriptor)
             return
         host, port = self._listen
-        if inherited is None:
+        if takeover is None:
             self._port = self._reactor.listenTCP(port, self.front, backlog=BACKLOG, interface=host)
             if self.needs_list:
                 self._port.stopReading()
         else:
-            self._port = adopt(self._reactor, inherited.fd, self.front)
-            self.engine.restore_listed_nodes([str(node).encode() for node in inherited.known.get("seen", [])])
+            self._port = adopt_port(self._reactor, takeover.descriptor, self.front)
+            self.engine.restore_listed_nodes([str(node).encode() for node in takeover.state.get("seen", [])])
         self.address = (host, self._port.getHost().port)
         self.front.port = self._port
         front = self.front
@@ -154,11 +154,11 @@
             self._port, self.clock, lambda: front.room, lambda: front.accepting and not front.held
         )
         self.operations.restore()
-        self.engine.start(self.known(inherited.known if inherited is not None else {}))
+        self.engine.start(self.known(takeover.state if takeover is not None else {}))
         if self.companion is not None:
             self.companion.start(self.engine)
         self.clock.call_later(SWEEP_US, self._sweep)
-        if inherited is None and not self.needs_list:
+        if takeover is None and not self.needs_list:
             self._serve()
         else:
             self._able_by = self.clock.now_us() + ABLE_US
@@ -176,7 +176,7 @@
     def _serve(self) -> None:
         self.front.listening = True
         self.front.accept(True)
-        self._handover.serving()
+        self._handover.announce_serving()
         second = self.management_address
         calls = f"{second[0]}:{second[1]}" if second is not None else "none"
         self._log.info("listening", address=f"{self.address[0]}:{self.address[1]}", management=calls)
@@ -197,21 +197,20 @@
 
     # ---- another process of this head ----
 
-    def bequeath(self) -> tuple[int, dict[str, Any]] | None:
+    def offer_takeover(self) -> Takeover | None:
         if self._stopping or not self.front.accepting:
             return None
-        return self._port.fileno(), {
-            "seen": [node.decode(errors="replace") for node in self.engine.listed_nodes]
-        }
+        listed = [node_id.decode(errors="replace") for node_id in self.engine.listed_nodes]
+        return Takeover(self._port.fileno(), {"seen": listed})
 
-    def beside(self, on: bool) -> None:
+    def sibling_process(self, present: bool) -> None:
         """Both count as one head: each has half of what is limited."""
-        self._log.info("process_beside" if on else "process_alone")
-        self.engine.set_sibling_process(on)
-        self.buffers.trim(self._most_buffers // 2 if on else self._most_buffers)
-        self.limit(2 if on else 1)
+        self._log.info("sibling_process_started" if present else "sibling_process_ended")
+        self.engine.set_sibling_process(present)
+        self.buffers.trim(self._most_buffers // 2 if present else self._most_buffers)
+        self.limit(2 if present else 1)
 
-    def others(self, clients: int) -> None:
+    def predecessor_clients(self, clients: int) -> None:
         """The process before this one still has so many: of the places for clients the rest is ours."""
         self.front.limit_beside(clients)
 
@@ -219,26 +218,26 @@
         """Keep within this process's part of the descriptors."""
         raise NotImplementedError
 
-    def superseded(self, on: bool) -> None:
-        self._superseded = on
+    def replaced(self, on: bool) -> None:
+        self._replaced = on
         if not self._stopping or on:
             self.front.supersede(on)
-        self._log.info("superseded" if on else "superseded_no_more", clients=self.front.connections)
-        self._handover.count(self.front.connections)
+        self._log.info("replaced_by_successor" if on else "successor_died", clients=self.front.connections)
+        self._handover.report_clients(self.front.connections)
         if on:
-            self.pass_on()
+            self.hand_over_answers()
         elif self._stopping:
             self._refuse_new()  # who waits in the kernel for the one that has gone is this one's again
 
-    def pass_on(self) -> None:
+    def hand_over_answers(self) -> None:
         """Hand to the next process what would not end in the time that this one has."""
 
-    def take(self, fds: list[int], told: dict[str, Any]) -> None:
+    def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
         """Go on with what the process before this one handed over."""
-        for fd in fds:
-            os.close(fd)
+        for descriptor in descriptors:
+            os.close(descriptor)
 
-    def follow(self, call: Call) -> None:
+    def follow(self, call: OperatorCall) -> None:
         self.operations.follow(call)
 
     # ---- a new configuration ----
@@ -311,7 +310,7 @@
         return max(LEAST_LONGEST_US, *(spec.deadline_us for spec in self.engine.settings.classes))
 
     def _refuse_new(self) -> None:
-        if self._superseded or self._port is None:
+        if self._replaced or self._port is None:
             return  # the next process accepts
         # What came in time but waits in the kernel, as all places were in use, must not be reset.
         if self.front.held and self.clock.now_us() < self._stop_at + LAST_ACCEPT_US:
@@ -328,7 +327,7 @@
 
     def _close_idle(self) -> None:
         # Clients of a process that is replaced are in no hurry: each request that crosses a close costs one.
-        if self._superseded and self.clock.now_us() < self._stop_at + MOVED_LAST_US:
+        if self._replaced and self.clock.now_us() < self._stop_at + MOVED_LAST_US:
             self.clock.call_later(SWEEP_US, self._close_idle)
             if self.front.connections:
                 return
@@ -337,7 +336,7 @@
             self.companion.leave()
 
     def _finished(self) -> None:
-        if self._handover.passing and self.clock.now_us() < self._stop_at + self.longest_us():
+        if self._handover.unconfirmed and self.clock.now_us() < self._stop_at + self.longest_us():
             self.clock.call_later(ABLE_STEP_US, self._finished)  # what was handed over must have arrived
             return
         if self.stopped.called:
@@ -360,9 +359,9 @@
         self.operations.sweep()
         if self._management is not None:
             self._management.sweep()
-        if self._superseded:
-            self._handover.count(self.front.connections)
-            self.pass_on()
+        if self._replaced:
+            self._handover.report_clients(self.front.connections)
+            self.hand_over_answers()
         self._sweeps += 1
         if self._sweeps % REPORT_EVERY == 0:
             counts = self.engine.counts + self.engine.rejections + self.engine.rules.violations
--- a/gaugesail/state.py
+++ b/gaugesail/state.py
@@ -1,4 +1,7 @@
-"""What operators have asked for, in a small file that the next process of the same head finds."""
+"""What operators have asked for, in a small file that the next process of the same gateway finds.
+
+The keys of the file are those that earlier versions write and read.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 from gaugesail.policy.settings import NodeId
 
-MOST_BYTES = 4 * 1024 * 1024
+MAX_FILE_BYTES = 4 * 1024 * 1024
 
 
 class StateError(Exception):
@@ -23,33 +26,37 @@
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """Nodes in maintenance, and whether clients are sent away."""
+    """Nodes in maintenance, and whether clients are drained."""
 
-    away: frozenset[NodeId] = field(default_factory=frozenset)
+    in_maintenance: frozenset[NodeId] = field(default_factory=frozenset)
     drained: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
-    """One thing asked: a node out of use or back, or, without a node, clients sent away or taken."""
+class OperatorCall:
+    """One thing asked: a node put into maintenance or back, or, without a node, clients drained or taken."""
 
-    node: NodeId | None
+    node_id: NodeId | None
     on: bool
 
 
 class StateFile:
-    """One file for each head, in the folder that its processes share; without a folder nothing is kept."""
+    """One file for each gateway, in the folder that its processes share; without a folder nothing is kept."""
 
     def __init__(self, folder: str | None, listen: tuple[str, int]) -> None:
         # Named for where clients connect: two heads may share a folder, and both processes of one do.
         self.path = Path(folder) / f"gaugesail-{listen[0]}-{listen[1]}.json" if folder else None
 
     def read(self) -> State:
+        """The state that was written last; nothing asked for where there is no file.
+
+        Raises StateUnreadable where the system gives an error, StateError where the file holds no state.
+        """
         if self.path is None:
             return State()
         try:
             with self.path.open("rb") as file:
-                data = json.loads(file.read(MOST_BYTES))
+                data = json.loads(file.read(MAX_FILE_BYTES))
             return State(frozenset(str(name).encode() for name in data["away"]), data["drained"] is True)
         except FileNotFoundError:
             return State()
@@ -59,12 +66,14 @@
             raise StateError(f"{self.path}: {error!r}") from None
 
     def write(self, state: State) -> None:
-        """Replace the file whole, so that no reader and no end of this process meets half of it; it is on the
-        disk when this returns.  OSError: the file is as it was."""
+        """Replace the file whole: no reader and no kill of this process meets half of it.
+
+        It is on the disk when this returns.  Raises OSError where the file is as it was.
+        """
         if self.path is None:
             return
         fresh = self.path.with_suffix(f".{os.getpid()}")
-        names = sorted(name.decode(errors="replace") for name in state.away)
+        names = sorted(name.decode(errors="replace") for name in state.in_maintenance)
         try:
             with fresh.open("w") as file:
                 file.write(json.dumps({"away": names, "drained": state.drained}))
@@ -75,7 +84,7 @@
             with suppress(OSError):
                 fresh.unlink(missing_ok=True)
             raise
-        with suppress(OSError):  # the new name: the file itself is kept whatever becomes of this
+        with suppress(OSError):  # the new name alone: the file's contents are on the disk already
             self._sync_folder()
 
     def _sync_folder(self) -> None:
--- a/tests/compatibility/test_handover.py
+++ b/tests/compatibility/test_handover.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from gaugesail.handover import Link
+from gaugesail.handover import HandoverConnection
+from gaugesail.handover_messages import HandoverMessage, encode
 
 from ..support.faulty_process import HOST, READY_S, ServingNode, faulty, wait_until
 from ..support.scenario_runner import play, scenarios
@@ -100,7 +101,7 @@
         assert wait_until(lambda: answer.status == 200, WAIT_S), (answer.status, head.text)
         linked[0].stream.sendall(said_by(RUNNING, "clients") + said_by(NEXT, "node"))
         assert wait_until(lambda: "maintenance_begins" in head.text, WAIT_S), head.text
-        assert "peer_malformed" not in head.text
+        assert "handover_message_malformed" not in head.text
     listener.close()
 
 
@@ -120,7 +121,7 @@
         listener.settimeout(WAIT_S)
         with socket.create_connection((HOST, head.port), WAIT_S):
             listener.accept()[0].close()  # the head has left the address to the next process
-        assert "peer_malformed" not in head.text
+        assert "handover_message_malformed" not in head.text
         stream.close()
         listener.close()
 
@@ -128,12 +129,12 @@
 @pytest.mark.parametrize("name", SAID)
 def test_processes_say_to_each_other_what_dbd4a08_said(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[tuple[str, str]] = []
-    say = Link.say
+    send = HandoverConnection.send
 
-    def record(link: Link, **what: Any) -> None:
-        said.append((NEXT if link.heir else RUNNING, json.dumps(what) + "\n"))
-        say(link, **what)
+    def record(connection: HandoverConnection, message: HandoverMessage) -> None:
+        said.append((NEXT if connection.is_successor else RUNNING, encode(message).decode()))
+        send(connection, message)
 
-    monkeypatch.setattr(Link, "say", record)
+    monkeypatch.setattr(HandoverConnection, "send", record)
     play(SCENARIOS[name])
     assert said == [tuple(row) for row in SAID[name]]
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -14,7 +14,7 @@
 from gaugesail import config
 from gaugesail.core.listed_nodes import MAX_LISTED_NODES
 from gaugesail.core.settings_transition import transition_settings
-from gaugesail.handover import Handover, Link
+from gaugesail.handover import Handover, HandoverConnection
 from gaugesail.operations import NotYet, Operations
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from gaugesail.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
@@ -84,7 +84,7 @@
     assert not old.front.accepting and new.front.accepting and old.front.moved.on
     assert old.buffers.limit == new.buffers.limit == old._most_buffers // 2
     new._port.stopListening()
-    new._handover._links[0].link.abortConnection()
+    new._handover._connections[0].link.abortConnection()
     reactor.run_until(lambda: False, 4.0)
     assert old.front.accepting and not old.front.leaving and old.front.connections == 1
     assert old.buffers.limit == old._most_buffers and len(reactor.ports[old._port.getHost()]) == 1
@@ -93,8 +93,8 @@
 def test_a_next_process_that_dies_before_it_serves_changes_nothing(tmp_path: Path) -> None:
     world = play("client c1\nsend c1 get /_health\nexpect c1 200\nsend list mute", TMPDIR=str(tmp_path))
     old = world.head
-    link = Link(Handover(world.reactor, old.clock, old._log, None, ("", 0), old), True)
-    link._handover._asked = Deferred()
+    link = HandoverConnection(Handover(world.reactor, old.clock, old._log, None, ("", 0), old), True)
+    link._handover._requested = Deferred()
     factory = type("One", (Factory,), {"noisy": False, "buildProtocol": lambda self, addr: link})()
     world.reactor.connectUNIX(str(tmp_path / "gaugesail-127.0.0.1-0.sock"), factory)
     assert world.until(lambda: old.buffers.limit < old._most_buffers, 1.0)
@@ -193,7 +193,7 @@
     assert old.operations.maintain(b"b1", True) and new.operations.maintain(b"b2", True)
     old._reactor.run_until(lambda: False, 0.1)
     assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b1", b"b2"}
-    assert StateFile(str(tmp_path), ("127.0.0.1", 9000)).read().away == {b"b1", b"b2"}
+    assert StateFile(str(tmp_path), ("127.0.0.1", 9000)).read().in_maintenance == {b"b1", b"b2"}
     new.operations.maintain(b"b1", False)
     old._reactor.run_until(lambda: False, 0.1)
     assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b2"}
@@ -216,6 +216,6 @@
     part = old._config.limits.of(2).client_connections
     assert part == 11 and old.front.connections == 3, "silent ones go at once, as more are here than its part"
     assert new.front._max == 2 * part - 3
-    old._handover._links[0].link.abortConnection()
+    old._handover._connections[0].link.abortConnection()
     old._reactor.run_until(lambda: False, 0.1)
     assert new.front._max == old._config.limits.client_connections
--- a/tests/process/test_persistent_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -110,11 +110,11 @@
 
     second._state.path = second._state.path.with_name("of-the-second.json")
     monkeypatch.setattr(second._state, "write", write)
-    links = len(first._handover._links), len(second._handover._links)
+    links = len(first._handover._connections), len(second._handover._connections)
     assert links == (1, 1)
     first.operations.maintain(b"b1", True)
     assert world.until(lambda: b"b1" in second.engine.in_maintenance, 1.0)
     world.until(lambda: False, 0.5)
-    assert (len(first._handover._links), len(second._handover._links)) == links
+    assert (len(first._handover._connections), len(second._handover._connections)) == links
     failing[0] = False
-    assert world.until(lambda: b"b1" in second._state.read().away, 2.0)
+    assert world.until(lambda: b"b1" in second._state.read().in_maintenance, 2.0)
