--- a/gaugesail/policy/gateway.py
+++ b/gaugesail/policy/gateway.py
@@ -280,7 +280,7 @@
         if self.recovery.unavailable_for_long(self.now, job.shard):
             shard = self.shards[job.shard]  # one waits, to try a node that fails
             return shard.node is None or any(shard.waiting) or bool(shard.node.in_flight)
-        return job.queue_priority < QueuePriority.FRESH
+        return job.queue_priority < QueuePriority.NEW
 
     def _volume(self, event: RequestReceived, terms: Settings) -> VolumeBudget:
         # A client that names another's volume with a plan or hosts not its own gets a book of its own.
--- a/gaugesail/policy/recovery.py
+++ b/gaugesail/policy/recovery.py
@@ -1,461 +1,356 @@
-"""Recovery: what becomes of a shard while its node is away, and of those who wait for it to come back.
+"""The recovery ramp: what a gateway decides for a shard that is unavailable, and while it returns.
 
-For each shard in trouble there is a line.  It knows the shard's phase and the evidence for it, who was
-refused there and is owed a way back, and the book of places over the warm-up.  A place is a tag in units of
-the line's own progress, which advances by what the node will bear (cold.py) less what fresh requests take,
-so that nobody's place moves when the node warms up faster or slower than was thought.  Places are dealt by
-the worth of plan and class, after start-time fair queueing (Goyal, Vin, Cheng 1996).  A client is told when
-its place comes; where that is later than clients heed, when to ask again, level over that time.
+For each such shard there is a ``ShardRecovery``: its health, a queue of the clients that were rejected and
+may come back, and the retry storm that they make.  Turns in a queue are dealt by the priority weight of plan
+and class; the queue advances by what the node may be sent (``shard_capacity``) less what new requests take,
+so that turns keep their order when the node warms up faster or slower than assumed.  A rejected client is
+told when to come back (``retry_after``).
 
-Nothing here sends, waits or reads a clock; the same calls give the same answers.
+Nothing here sends, waits or reads a clock: the same calls give the same decisions.
 """
 
 from __future__ import annotations
 
 import random
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Mapping
-from typing import Any
+from typing import NamedTuple
 
 from .actions import WriteLog
 from .events import AttemptResult, RequestReceived
+from .first_requests import FirstRequests
 from .records import NodeRecord, PendingRequest
-from .recovery_queue import QueuePriority, RecoveryQueue, RetryStorm, ShardPhase
-from .retry_schedule import RetrySchedule
+from .recovery_queue import QueuePriority, RecoveryQueue
+from .retry_after import RetryAfterPolicy
 from .retry_tickets import RetryTicket, RetryTickets
 from .settings import Settings
-from .slow_start import FOREVER, SlowStart
-
-LEAST_US, LEAST_HIGH_US = 5_000, 200_000  # the shortest time to come back, and of a shard that is away
-SERVING_SHARE = 0.8  # of the longest time: the shortest that is told where a shard serves
-EARLY_SHARE, EARLY_US = 0.05, 5_000  # of the time that was told, and in all: what is not yet too early
-SILENT_US = 1_000_000  # so long past its time, and twice the longest time: it does not come any more
-PATIENT_AIMS = 4.0  # of the longest aim: a shard that is away for longer will hardly be back within one
-BUSY = 8  # tickets from which on a line orders what is sent
-STORM, STORM_S = 24, 1.0  # tickets, and seconds of what the node bears, from which on it is called a storm
-HEIGHT = 0.8  # of the most tickets: a storm that has fallen so far has passed its height
-CALM = 0.25  # of STORM: below it a storm is over
-CROWD_TARGET = 0.35  # of the way from the least latency seen to the target
-CROWD_OUT = 4.0  # requests that all gateways together keep out at a node where all have more to send
-USUAL_GAIN = 0.05  # of the latest period in what is served
-FAILS = {
-    AttemptResult.ERROR: 1,
-    AttemptResult.REJECTED: 0,
-    AttemptResult.TIMEOUT: 6,
-    AttemptResult.NO_CONNECTION: 6,
-    AttemptResult.RESET: 6,
-}
-FAILING = 20  # points in a row without an answer: the node is not there, or fails whatever it gets
-TRIAL_US, MOST_TRIAL_US = 50_000, 2_000_000  # between two trials of a failing node: doubled each time
-FORGIVE_US = 4_000_000  # of service after which the wait before a trial is halved
-LEAST_WARM_US, MOST_WARM_US = 5_000_000, 20_000_000  # how long a line lasts after a warm-up
-MOST_HUNG = 3  # doublings of the time for an attempt
-ASKED_SLACK_US = 100_000  # by which a repeat may seem to have been asked for earlier than it was
-MOST_ASKED = 4096  # requests that are remembered where clients do not mark repeats: about 0.5 MB
-LAGS = 8  # of the list that are kept
-MOST_LAG_US = 60_000_000
+from .shard_capacity import ShardCapacity
+from .shard_health import FAILURE_POINTS, ShardHealth, ShardPhase
+from .shard_recovery import ShardRecovery
+from .slow_start import SlowStart
+
+LONG_OUTAGE_OBJECTIVES = 4.0  # longest latency objectives: a shard down for longer is hardly back within one
+LOST_TICKET_US = 1_000_000  # after its time, and twice the longest Retry-After: its client comes no more
+CROWDED_LATENCY_SHARE = 0.35  # of the way from the least latency seen to the target
+CROWDED_IN_FLIGHT = 4.0  # requests that all gateways together keep at a node where all have more to send
+MAX_TIMEOUT_DOUBLINGS = 3
+SMALLEST_WEIGHT = 1e-3  # of a flow, so that each one moves
+
+
+class WindowBounds(NamedTuple):
+    """What recovery asks of the congestion window at a node."""
+
+    smallest: float  # requests in flight
+    latency_share: float  # of the way from the least latency seen to the target that the window aims at
+
+
+USUAL_WINDOW = WindowBounds(0.0, 1.0)
 
 
 class RecoveryRamp:
-    """The lines of one gateway."""
-
-    def __init__(self, settings: Settings, cold: SlowStart, rng: random.Random) -> None:
-        self._rng, self._cold = rng, cold
-        self.repeats = RetryTickets(rng.getrandbits(64))
-        self.longest_retry_after_us = 0
-        self._level = RetrySchedule(rng, 0)
-        self.lines: dict[int, RecoveryQueue] = {}
-        self._usual: dict[int, list[float]] = {}  # by shard: units a second served, and since the last period
-        self.lags: deque[int] = deque(maxlen=LAGS)
-        self._notices: list[WriteLog] = []
-        self._ticked_at = 0
-        self._asked: dict[int, int] = {}  # by mark: first asked for when, where clients mark no repeats
-        self.rejections: Counter[str] = Counter()  # by cause and what the node was then, since the start
+    """The shards in recovery, for one gateway.  All times are microseconds, rates units a second.
+
+    ``sibling_processes`` counts the processes of this gateway that serve at once, 1 or 2.
+    """
+
+    def __init__(self, settings: Settings, slow_start: SlowStart, rng: random.Random) -> None:
+        self._rng = rng
+        self._slow_start = slow_start
+        self.tickets = RetryTickets(rng.getrandbits(64))
+        self.retry_after = RetryAfterPolicy(rng)
+        self.shards: dict[int, ShardRecovery] = {}
+        self.first_requests = FirstRequests()
+        self._capacity = ShardCapacity(settings, slow_start)
+        self._period_ended_at = 0
+        self.rejections: Counter[str] = Counter()  # by reason and state of the node, since the start
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
-        """Other settings; tickets and lines stay, under the names of their plans and classes."""
-        self._set, self.on = settings, settings.recovery_queue
-        longest = settings.longest_retry_after_us
-        if longest != self.longest_retry_after_us:
-            self.longest_retry_after_us = longest
-            self._level.update_longest(longest)
-        self._patience = int(PATIENT_AIMS * max(spec.latency_objective_us for spec in settings.classes))
+        """Take other settings; tickets and queues stay, under the names of their plans and classes."""
+        self._settings = settings
+        self._enabled = settings.recovery_queue
+        self._capacity.update_settings(settings)
+        self.retry_after.update_longest(settings.longest_retry_after_us)
+        longest_objective_us = max(spec.latency_objective_us for spec in settings.classes)
+        self._long_outage_us = int(LONG_OUTAGE_OBJECTIVES * longest_objective_us)
         self._weights = {
-            (plan.name, spec.name): max(1e-3, plan.priority_weight * spec.priority_weight)
-            for plan in settings.plans for spec in settings.classes
-        }  # fmt: skip
+            (plan.name, spec.name): max(SMALLEST_WEIGHT, plan.priority_weight * spec.priority_weight)
+            for plan in settings.plans
+            for spec in settings.classes
+        }
 
-    # ---- evidence ----
+    # ---- evidence of faults ----
 
-    def node_removed(self, now: int, shard: int, why: str) -> None:
+    def node_removed(self, now: int, shard: int, reason: str) -> None:
         """The list, or an operator, has no node for the shard any more."""
-        if (line := self.lines.get(shard)) is None and self.on:
-            self._open(now, shard, ShardPhase.DOWN, why)
-        elif line is not None and line.phase is not ShardPhase.DOWN:
-            self._turn(line, now, ShardPhase.DOWN, why)
+        recovery = self.shards.get(shard)
+        if recovery is None:
+            if self._enabled:
+                self._open(now, shard, ShardPhase.DOWN, reason)
+        elif recovery.health.phase is not ShardPhase.DOWN:
+            recovery.enter(ShardPhase.DOWN, now, reason)
 
     def node_ready(self, now: int, node: NodeRecord) -> None:
-        """The list has a ready node for the shard: the one that was away, another, or one that started
-        again.
-        """
-        if (line := self.lines.get(node.shard)) is None:
+        """The list has a ready node for the shard: the one that was gone, another, or one that restarted."""
+        recovery = self.shards.get(node.shard)
+        if recovery is None:
             return
-        again, line.started = node.listed_start_us != line.started, node.listed_start_us
-        if line.phase is ShardPhase.DOWN:
-            if 0 < now - node.listed_start_us < MOST_LAG_US:
-                self.lags.append(now - node.listed_start_us)
-        elif not again:
+        health = recovery.health
+        restarted = node.listed_start_us != health.listed_start_us
+        health.listed_start_us = node.listed_start_us
+        if health.phase is ShardPhase.DOWN:
+            self.retry_after.record_list_delay(now - node.listed_start_us)
+        elif not restarted:
             return
-        line.failure_points, line.trial_wait_us = 0, TRIAL_US
-        cold = node.warming_since is not None
-        self._turn(line, now, ShardPhase.COLD if cold else ShardPhase.WARM, "the list says so")
+        health.reset()
+        warming_up = node.warming_since is not None
+        phase = ShardPhase.WARMING_UP if warming_up else ShardPhase.RECOVERING
+        recovery.enter(phase, now, "the list says so")
 
     def attempt_ended(
-        self, now: int, job: PendingRequest, result: AttemptResult, blameless: bool = False
+        self, now: int, request: PendingRequest, result: AttemptResult, blameless: bool = False
     ) -> bool:
-        """How an attempt ended at the shard's node; whether it was a trial that the node has stood.
+        """Take in the result of an attempt; whether it was a trial that a failing node has served.
 
-        One for which the node is ``blameless``, as it served what was sent later, says nothing of it.
+        A failure for which the node is ``blameless`` says nothing of it.
         """
-        line = self.lines.get(job.shard)
         if result is AttemptResult.TIMEOUT:
-            job.timeouts = min(MOST_HUNG, job.timeouts + 1)
+            request.timeouts = min(MAX_TIMEOUT_DOUBLINGS, request.timeouts + 1)
         if result is AttemptResult.SERVED:
-            self._asked.pop(job.fingerprint, None)  # who asks for the same again is another
-            self._usual.setdefault(job.shard, [0.0, 0.0])[1] += job.units
-            if line is None:
-                return False
-            self._leave(self.repeats.drop(job.fingerprint))
-            line.failure_points = 0
-            if line.phase is ShardPhase.FAILING:
-                self._turn(line, now, ShardPhase.WARM, "a trial was served")
-                return True
-        elif (points := FAILS.get(result, 0)) and self.on and not blameless:
-            if line is None:
-                line = self._open(now, job.shard, ShardPhase.SERVING, "an attempt failed")
-            line.failure_points += points
-            self._failed(line, now, f"{result.name.lower()} in a row")
+            return self._attempt_served(now, request)
+        points = FAILURE_POINTS.get(result, 0)
+        if points and self._enabled and not blameless:
+            recovery = self.shards.get(request.shard)
+            if recovery is None:
+                recovery = self._open(now, request.shard, ShardPhase.SERVING, "an attempt failed")
+            if recovery.health.record_failure(now, points, self._rng):
+                recovery.enter(ShardPhase.FAILING, now, f"{result.name.lower()} in a row")
         return False
 
-    def _failed(self, line: RecoveryQueue, now: int, why: str) -> None:
-        again = (
-            line.trial_wait_us > TRIAL_US
-        )  # it failed trials lately: one good answer does not make it whole
-        if line.phase is ShardPhase.FAILING or (line.phase is not ShardPhase.DOWN and again):
-            line.trial_wait_us = min(MOST_TRIAL_US, line.trial_wait_us * 2)
-        elif line.phase is ShardPhase.DOWN or line.failure_points < FAILING:
-            return
-        line.trial_at = now + int(line.trial_wait_us * (0.75 + 0.5 * self._rng.random()))
-        if line.phase is not ShardPhase.FAILING:
-            self._turn(line, now, ShardPhase.FAILING, why)
-
-    def _open(self, now: int, shard: int, phase: ShardPhase, why: str) -> RecoveryQueue:
-        line = self.lines[shard] = RecoveryQueue(shard, phase, now, why, TRIAL_US, now)
-        return line
+    def _attempt_served(self, now: int, request: PendingRequest) -> bool:
+        self.first_requests.forget(request.fingerprint)
+        self._capacity.record_served(request.shard, request.units)
+        recovery = self.shards.get(request.shard)
+        if recovery is None:
+            return False
+        self._leave_queue(self.tickets.drop(request.fingerprint))
+        recovery.health.failure_points = 0
+        if recovery.health.phase is not ShardPhase.FAILING:
+            return False
+        recovery.enter(ShardPhase.RECOVERING, now, "a trial was served")
+        return True
+
+    def _open(self, now: int, shard: int, phase: ShardPhase, reason: str) -> ShardRecovery:
+        recovery = ShardRecovery(ShardHealth(phase, now, reason), RecoveryQueue(shard, now))
+        self.shards[shard] = recovery
+        return recovery
 
-    def _turn(self, line: RecoveryQueue, now: int, phase: ShardPhase, why: str) -> None:
-        line.advance(now)
-        line.phase, line.since, line.reason = phase, now, why
+    # ---- what may be sent ----
 
-    def timeout_factor(self, job: PendingRequest) -> int:
-        """By what the time for an attempt is multiplied.
+    def timeout_factor(self, request: PendingRequest) -> int:
+        """By what the timeout of an attempt is multiplied: doubled with each attempt that ran out of time.
 
-        One that ran out of time was perhaps never to be done in it: asked for again and again it would take
-        the node's time for nothing.
+        Retried with the same timeout, a request that cannot be done in it would waste the node's time.
         """
-        return 1 << job.timeouts
-
-    # ---- what may be sent ----
+        return 1 << request.timeouts
 
     def is_crowded(self, shard: int) -> bool:
-        """All gateways have more to send to the shard than their parts: none may take what another leaves."""
-        return (line := self.lines.get(shard)) is not None and line.crowded
+        """Whether all gateways have more to send than their shares: none may use what another leaves."""
+        recovery = self.shards.get(shard)
+        return recovery is not None and recovery.queue.crowded
 
-    def window_bounds(self, shard: int, ceiling: float) -> tuple[float, float]:
-        """The least window for a shard, and what part of the wait that their aims leave may be spent at its
-        node.
+    def window_bounds(self, shard: int, ceiling: float) -> WindowBounds:
+        """What a shard in recovery asks of the congestion window, which is at most ``ceiling`` requests.
 
-        Each gateway moves its window toward the same latency.  Where all of them always have more to send,
-        the node is then as slow as that, and what is fresh is late with the rest; kept short there, the
-        rest waits here, where what is hopeless is told so.  The least window keeps them from starving each
-        other.
+        Where all gateways have more to send, each moving its window toward the target latency would make the
+        node that slow for all.  Kept short, requests wait here, where the hopeless ones are rejected in time;
+        the smallest window keeps gateways from starving each other.
         """
-        line = self.lines.get(shard)
-        if line is None or line.phase not in (ShardPhase.COLD, ShardPhase.WARM):
-            return 0.0, 1.0
-        return max(1.0, min(ceiling, CROWD_OUT / self._set.gateway_count)), CROWD_TARGET
+        recovery = self.shards.get(shard)
+        if recovery is None or not recovery.health.is_returning:
+            return USUAL_WINDOW
+        even_share = CROWDED_IN_FLIGHT / self._settings.gateway_count
+        return WindowBounds(max(1.0, min(ceiling, even_share)), CROWDED_LATENCY_SHARE)
 
     def ordering_queue(self, shard: int) -> RecoveryQueue | None:
-        """The line, where there is one that orders what is sent."""
-        line = self.lines.get(shard)
-        return line if line is not None and line.ticket_count >= BUSY else None
+        """The shard's queue, if it orders what is sent."""
+        recovery = self.shards.get(shard)
+        if recovery is None or not recovery.queue.orders_requests:
+            return None
+        return recovery.queue
 
-    def may_send(self, now: int, shard: int, out: int) -> bool:
-        """A failing node is tried by one request at a time, and not before its wait is over."""
-        line = self.lines.get(shard)
-        return line is None or line.phase is not ShardPhase.FAILING or (not out and now >= line.trial_at)
+    def may_send(self, now: int, shard: int, in_flight: int) -> bool:
+        """Whether the shard's health lets another attempt start beside ``in_flight`` others."""
+        recovery = self.shards.get(shard)
+        return recovery is None or recovery.health.trial_allowed(now, in_flight)
 
     def unavailable_for_long(self, now: int, shard: int) -> bool:
-        """The shard has been away for so long that what waits for it has little hope within its aim."""
-        line = self.lines.get(shard)
-        away = line is not None and line.phase in (ShardPhase.DOWN, ShardPhase.FAILING)
-        return line is not None and away and now - line.since > self._patience
-
-    # ---- the line's progress ----
-
-    def update_capacity(self, now: int, shard: int, node: NodeRecord | None, lives: int) -> None:
-        """Bring the line of a shard up to now, with the node that it has."""
-        if (line := self.lines.get(shard)) is not None:
-            line.advance(now)
-            line.capacity_per_s = self._bears(line, now, node, lives)
-
-    def _bears(self, line: RecoveryQueue, now: int, node: NodeRecord | None, lives: int) -> float:
-        """Units a second that this gateway may send; 0 while the shard is away."""
-        if node is None or line.phase in (ShardPhase.DOWN, ShardPhase.FAILING):
-            return 0.0
-        told = self._cold.allowed_units(now, node.warming_since)
-        if told == FOREVER:
-            told = self._set.initial_capacity_units / self._set.initial_capacity_share
-        if told and self._set.overload_window_us:
-            return told * 1e6 / self._set.overload_window_us / self._set.gateway_count / lives
-        return max(self._usual.get(line.shard, [0.0])[0] * 1.25, self._set.max_request_units)
+        """Whether the outage is so long that a request which waits has little hope within its objective."""
+        recovery = self.shards.get(shard)
+        if recovery is None or not recovery.health.is_unavailable:
+            return False
+        return now - recovery.health.phase_since > self._long_outage_us
+
+    def update_capacity(self, now: int, shard: int, node: NodeRecord | None, sibling_processes: int) -> None:
+        """Bring the shard's queue up to now, and to the capacity of the node that it has."""
+        recovery = self.shards.get(shard)
+        if recovery is None:
+            return
+        recovery.queue.advance(now)
+        recovery.queue.capacity_per_s = self._capacity.units_per_s(
+            now, shard, recovery.health, node, sibling_processes
+        )
 
     # ---- requests ----
 
-    def first_received_at(self, came: int, request: RequestReceived, kind: int, earliest: int) -> int:
-        """When the client of a request that ``came`` then first asked for it, in microseconds, as far as that
-        can be told.
+    def first_received_at(
+        self, received_at: int, request: RequestReceived, class_index: int, earliest: int
+    ) -> int:
+        """When the client of a request first asked for it, as far as that can be told.
 
-        A repeat has what is left of its class's time: it first asked that time before it gives up, which is
-        ``earliest``.  Who asks for the first time with less gives up early, and has waited for nothing yet.
-        Where clients do not mark repeats, one is what was asked for before, within its class's time.
+        ``earliest`` is its deadline less its class's time: the first request of a retry, which has what is
+        left of that time, came then.  A first request with less time has a client that gives up early.
         """
-        if self._set.clients_mark_retries:
-            return min(came, earliest) if request.is_retry else came
-        mark = self.repeats.fingerprint(request, kind)
-        asked_at = self._asked.pop(mark, None)
-        again = earliest < came and asked_at is not None and asked_at >= earliest - ASKED_SLACK_US
-        self._asked[mark] = came if asked_at is None or not again else asked_at
-        if len(self._asked) > MOST_ASKED:
-            del self._asked[next(iter(self._asked))]
-        return earliest if again else came
-
-    def request_received(self, now: int, job: PendingRequest, request: RequestReceived) -> None:
-        """How a request stands in the line of its shard."""
-        if not self.on or job.any_shard:
+        if self._settings.clients_mark_retries:
+            return min(received_at, earliest) if request.is_retry else received_at
+        fingerprint = self.tickets.fingerprint(request, class_index)
+        return self.first_requests.first_received_at(received_at, fingerprint, earliest)
+
+    def request_received(self, now: int, request: PendingRequest, received: RequestReceived) -> None:
+        """Give a request its priority in the queue of its shard."""
+        if not self._enabled or request.any_shard:
             return
-        job.fingerprint = self.repeats.fingerprint(request, job.class_index)
-        ticket = self.repeats.find(job.fingerprint)
+        request.fingerprint = self.tickets.fingerprint(received, request.class_index)
+        ticket = self.tickets.find(request.fingerprint)
         if ticket is not None:
-            job.timeouts = ticket.timeouts
-        if (line := self.lines.get(job.shard)) is None:
+            request.timeouts = ticket.timeouts
+        recovery = self.shards.get(request.shard)
+        if recovery is None:
             return
-        if not (request.is_retry if self._set.clients_mark_retries else ticket is not None):
-            line.fresh_units += job.units
-            return
-        if line.storm is not None:
-            line.storm.returned += 1
-        job.queue_priority = QueuePriority.ASKING
-        if ticket is not None:
-            early = ticket.retry_at - now > max(EARLY_US, EARLY_SHARE * ticket.retry_after_us)
-            if early:
-                job.queue_priority = QueuePriority.EARLY
-                if line.storm is not None:
-                    line.storm.early += 1
-            elif ticket.tag <= line.progress:
-                job.queue_priority = QueuePriority.DUE
-                line.due_units += job.units
-
-    def left_queue(self, job: PendingRequest) -> None:
+        marked = self._settings.clients_mark_retries
+        if received.is_retry if marked else ticket is not None:
+            request.queue_priority = recovery.retry_received(now, request.units, ticket)
+        else:
+            recovery.queue.new_units += request.units
+
+    def left_queue(self, request: PendingRequest) -> None:
         """A request waits no more: it was sent, or has its answer."""
-        if job.queue_priority == QueuePriority.DUE and (line := self.lines.get(job.shard)) is not None:
-            line.due_units = max(0.0, line.due_units - job.units)
-        job.queue_priority = QueuePriority.FRESH
-
-    def priority(self, job: PendingRequest) -> int:
-        """What goes first where there is a line; further attempts go last."""
-        return job.queue_priority if not job.attempts else QueuePriority.EARLY - 1
-
-    def spread_retry_after(self, now: int) -> int:
-        """When to come back to a head that serves, for who is refused whatever is asked for."""
-        if not self.on or self.longest_retry_after_us < 2 * LEAST_US:
-            return self.longest_retry_after_us
-        return self._level.choose(
-            now, int(SERVING_SHARE * self.longest_retry_after_us), self.longest_retry_after_us
-        )
+        if request.queue_priority == QueuePriority.DUE_RETRY:
+            recovery = self.shards.get(request.shard)
+            if recovery is not None:
+                recovery.queue.due_left(request.units)
+        request.queue_priority = QueuePriority.NEW
 
-    def reject(self, now: int, job: PendingRequest, why: str, node: NodeRecord | None) -> int:
-        """When the client of a request that is refused is to come back, in microseconds from now.
+    def priority(self, request: PendingRequest) -> int:
+        """What is sent first under an ordering queue; requests that the gateway itself retries go last."""
+        return request.queue_priority if not request.attempts else QueuePriority.EARLY_RETRY - 1
 
-        ``why`` names the guard that refused it; it is counted with the state of the shard's node.
+    def reject(self, now: int, request: PendingRequest, reason: str, node: NodeRecord | None) -> int:
+        """The Retry-After time of a request that is rejected, in microseconds.
+
+        ``reason`` names the check that rejected it; it is counted with the state of the shard's node.
         """
-        self.count_rejection(
-            why, "none" if node is None else "cold" if node.warming_since is not None else "warm"
-        )
-        line = self.lines.get(job.shard)
-        if not self.on or self.longest_retry_after_us < 2 * LEAST_US:
-            return self.longest_retry_after_us
-        if line is None or job.any_shard or line.phase is ShardPhase.SERVING:
-            wait = self.spread_retry_after(now)
-            if job.timeouts:  # that is all there is to remember
-                self._keep(
-                    RetryTicket(
-                        job.fingerprint, job.shard, None, 0.0, 0.0, now + wait, wait, now, job.timeouts
-                    )
-                )
-            return wait
-        if line.storm is not None:
-            line.storm.rejected += 1
-        ticket = self.repeats.find(job.fingerprint)
-        if ticket is None or job.queue_priority == QueuePriority.EARLY:
-            ticket = self._enter(line, now, job, ticket)
-        ticket.retry_after_us = self._wait(line, now, ticket)
-        ticket.retry_at, ticket.timeouts = now + ticket.retry_after_us, job.timeouts
+        state = "none" if node is None else "cold" if node.warming_since is not None else "warm"
+        self.count_rejection(reason, state)
+        if not self._enabled or not self.retry_after.can_be_spread:
+            return self.retry_after.longest_us
+        recovery = self.shards.get(request.shard)
+        if recovery is None or request.any_shard or recovery.health.phase is ShardPhase.SERVING:
+            return self._reject_unqueued(now, request)
+        if recovery.storm is not None:
+            recovery.storm.rejected += 1
+        ticket = self.tickets.find(request.fingerprint)
+        if ticket is None or request.queue_priority == QueuePriority.EARLY_RETRY:
+            ticket = self._new_ticket(recovery.queue, now, request, ticket)
+        wait_us = self.retry_after.for_ticket(now, recovery.health, recovery.queue, ticket)
+        ticket.retry_after_us = wait_us
+        ticket.retry_at = now + wait_us
+        ticket.timeouts = request.timeouts
+        self._keep(ticket)
+        return wait_us
+
+    def _reject_unqueued(self, now: int, request: PendingRequest) -> int:
+        """Where no queue is needed, a ticket remembers nothing but attempts that ran out of time."""
+        wait_us = self.retry_after.spread(now)
+        if request.timeouts:
+            fingerprint, shard, timeouts = request.fingerprint, request.shard, request.timeouts
+            self._keep(RetryTicket(fingerprint, shard, None, 0.0, 0.0, now + wait_us, wait_us, now, timeouts))
+        return wait_us
+
+    def count_rejection(self, reason: str, node_state: str) -> None:
+        """Count a rejection for operators, as ``refused_<reason>_<node_state>``."""
+        self.rejections[f"refused_{reason}_{node_state}"] += 1
+
+    def client_disconnected(self, now: int, request: PendingRequest) -> None:
+        """A client left without an answer: it may come back at any time."""
+        recovery = self.shards.get(request.shard)
+        if recovery is None or request.any_shard or self.tickets.find(request.fingerprint) is not None:
+            return
+        ticket = self._new_ticket(recovery.queue, now, request, None)
+        ticket.retry_at = now
         self._keep(ticket)
-        return ticket.retry_after_us
-
-    def count_rejection(self, why: str, node: str) -> None:
-        """A refusal, for the counts that operators read across a fleet: ``refused_<why>_<node>``."""
-        self.rejections[f"refused_{why}_{node}"] += 1
 
-    def _keep(self, ticket: RetryTicket) -> None:
-        self._leave(self.repeats.keep(ticket))
-
-    def client_disconnected(self, now: int, job: PendingRequest) -> None:
-        """Its client went without an answer: it may come back at any time."""
-        line = self.lines.get(job.shard)
-        if line is not None and not job.any_shard and self.repeats.find(job.fingerprint) is None:
-            ticket = self._enter(line, now, job, None)
-            ticket.retry_at = now
-            self._keep(ticket)
-
-    def _enter(
-        self, line: RecoveryQueue, now: int, job: PendingRequest, old: RetryTicket | None
+    def _new_ticket(
+        self, queue: RecoveryQueue, now: int, request: PendingRequest, old: RetryTicket | None
     ) -> RetryTicket:
-        """A place at the end of its lane.  Who came early has lost the one it had."""
+        """A ticket at the end of its flow; a client that came early has lost its ``old`` one."""
         if old is not None:
-            self._leave(self.repeats.drop(old.fingerprint))
-        name = job.volume.plan.name, job.request_class.name
-        tag = line.enter(name, self._weights.get(name, 1.0), job.units)
-        line.crowded = line.crowded or line.ticket_count >= BUSY
-        since = old.first_rejected_at if old is not None else now
-        return RetryTicket(job.fingerprint, job.shard, name, job.units, tag, now, 0, since)
-
-    def _leave(self, ticket: RetryTicket | None) -> None:
-        if ticket is not None and (line := self.lines.get(ticket.shard)) is not None:
-            line.leave(ticket)
-
-    def _wait(self, line: RecoveryQueue, now: int, ticket: RetryTicket) -> int:
-        """Until its place comes; where that is not known, or later than clients heed, until it asks again."""
-        low, high = self.longest_retry_after_us // 2, self.longest_retry_after_us
-        if line.phase in (ShardPhase.COLD, ShardPhase.WARM):
-            wait = line.wait_us(ticket.tag)
-            if wait is not None and LEAST_US <= wait < high:
-                self._level.record(now, wait)
-                return wait
-            if wait is not None and wait < LEAST_US:  # it has come, and the node was too slow for it
-                low, high = LEAST_US, max(2 * LEAST_US, high // 8)
-        elif line.phase is ShardPhase.FAILING:
-            low = min(high - 1, max(low, line.trial_at - now))
-        elif self.lags:
-            # Whenever the node is back, the list says so that much later: sooner it is no use to ask.
-            high = min(high, max(LEAST_HIGH_US, max(self.lags)))
-            low = high // 2
-        return self._level.choose(now, low, high)
-
-    # ---- once a period ----
+            self._leave_queue(self.tickets.drop(old.fingerprint))
+        flow_key = request.volume.plan.name, request.request_class.name
+        tag = queue.enter(flow_key, self._weights.get(flow_key, 1.0), request.units)
+        queue.crowded = queue.crowded or queue.orders_requests
+        first_rejected_at = old.first_rejected_at if old is not None else now
+        return RetryTicket(
+            request.fingerprint, request.shard, flow_key, request.units, tag, now, 0, first_rejected_at
+        )
+
+    def _keep(self, ticket: RetryTicket) -> None:
+        self._leave_queue(self.tickets.keep(ticket))
+
+    def _leave_queue(self, ticket: RetryTicket | None) -> None:
+        if ticket is None:
+            return
+        recovery = self.shards.get(ticket.shard)
+        if recovery is not None:
+            recovery.queue.leave(ticket)
+
+    # ---- the control period ----
 
     def end_control_period(
-        self, now: int, nodes: Mapping[int, NodeRecord | None], lives: int
+        self, now: int, nodes: Mapping[int, NodeRecord | None], sibling_processes: int
     ) -> list[WriteLog]:
-        """Bring all lines up to now; what staff are told of them."""
-        span, self._ticked_at = max(1, now - self._ticked_at) / 1e6, now
-        for usual in self._usual.values():
-            usual[0] += USUAL_GAIN * (usual[1] / span - usual[0])
-            usual[1] = 0.0
-        silent = now - max(SILENT_US, 2 * self.longest_retry_after_us)
-        while (ticket := self.repeats.take_overdue(silent)) is not None:
-            self._leave(ticket)
-        for line in list(self.lines.values()):
-            node = nodes.get(line.shard)
-            self.update_capacity(now, line.shard, node, lives)
-            line.end_period(span)
-            if (
-                line.phase is ShardPhase.COLD
-                and node is not None
-                and self._cold.capacity_share(now, node.warming_since) >= 1
-            ):
-                self._turn(line, now, ShardPhase.WARM, "its warm-up is over")
-            if (
-                line.trial_wait_us > TRIAL_US
-                and line.phase is ShardPhase.WARM
-                and now - line.since > FORGIVE_US
-            ):
-                line.trial_wait_us, line.since = max(TRIAL_US, line.trial_wait_us // 2), now
-            self._storm(line, now)
-            if self._over(line, now):
-                for ticket in [ticket for ticket in self.repeats if ticket.shard == line.shard]:
-                    self.repeats.drop(ticket.fingerprint)
-                del self.lines[line.shard]
-        notices, self._notices = self._notices, []
+        """Bring all queues up to now; what is to be logged of retry storms."""
+        span_s = max(1, now - self._period_ended_at) / 1e6
+        self._period_ended_at = now
+        self._capacity.end_period(span_s)
+        self._drop_lost_tickets(now)
+        notices: list[WriteLog] = []
+        for shard, recovery in list(self.shards.items()):
+            node = nodes.get(shard)
+            self.update_capacity(now, shard, node, sibling_processes)
+            recovery.queue.end_period(span_s)
+            self._update_phase(now, recovery, node)
+            notices += recovery.update_storm(now, self._capacity.served_per_s(shard))
+            if recovery.is_over(now):
+                self._close(shard)
         return notices
 
-    def _over(self, line: RecoveryQueue, now: int) -> bool:
-        """The shard serves as ever, and whoever still comes back needs no place."""
-        if line.phase is ShardPhase.SERVING:
-            return not line.failure_points
-        warm = now - line.since
-        few = (line.ticket_count < BUSY // 2 and warm > LEAST_WARM_US) or warm > MOST_WARM_US
-        return line.phase is ShardPhase.WARM and line.trial_wait_us <= TRIAL_US and few and line.storm is None
-
-    def _storm(self, line: RecoveryQueue, now: int) -> None:
-        """A line of the log when a storm begins, at its height, and when it ends."""
-        storm = line.storm
-        if storm is None:
-            bears = max(line.capacity_per_s, self._usual.get(line.shard, [0.0])[0])
-            if line.ticket_count < STORM or line.ticket_units < STORM_S * bears:
-                return
-            storm = line.storm = RetryStorm(now)
-            self._notice("storm_begins", line, storm, now)
-        storm.peak_tickets = max(storm.peak_tickets, line.ticket_count)
-        if not storm.past_peak and line.ticket_count < HEIGHT * storm.peak_tickets:
-            storm.past_peak = True
-            self._notice("storm_height", line, storm, now)
-        if line.ticket_count < CALM * STORM or (
-            line.phase is ShardPhase.WARM and now - line.since > MOST_WARM_US
+    def _drop_lost_tickets(self, now: int) -> None:
+        overdue_before = now - max(LOST_TICKET_US, 2 * self.retry_after.longest_us)
+        while (ticket := self.tickets.take_overdue(overdue_before)) is not None:
+            self._leave_queue(ticket)
+
+    def _update_phase(self, now: int, recovery: ShardRecovery, node: NodeRecord | None) -> None:
+        health = recovery.health
+        if (
+            health.phase is ShardPhase.WARMING_UP
+            and node is not None
+            and self._slow_start.capacity_share(now, node.warming_since) >= 1
         ):
-            self._notice("storm_ends", line, storm, now)
-            line.storm = None
-
-    def _notice(self, event: str, line: RecoveryQueue, storm: RetryStorm, now: int) -> None:
-        told: tuple[tuple[str, float | str], ...] = (
-            ("shard", line.shard), ("phase", line.phase.value), ("owed", line.ticket_count),
-            ("most_owed", max(storm.peak_tickets, line.ticket_count)), ("refused", storm.rejected),
-            ("returned", storm.returned), ("early", storm.early),
-            ("lasted_s", round((now - storm.since) / 1e6, 1)),
-        )  # fmt: skip
-        self._notices.append(WriteLog("", event, told))
-
-    def view(self, now: int) -> list[dict[str, Any]]:
-        """The book of each shard in trouble, for staff; times in seconds, rates in units a second."""
-        return [
-            {
-                "shard": line.shard, "phase": line.phase.value, "why": line.reason,
-                "for_s": round((now - line.since) / 1e6, 3),
-                "owed": line.ticket_count, "units": round(line.ticket_units, 1),
-                "bears": round(line.capacity_per_s, 1), "fresh": round(line.fresh_per_s, 1),
-                "clear_s": round(line.ticket_units / line.retry_rate, 1) if line.retry_rate else None,
-                "next_trial_s": round(max(0, line.trial_at - now) / 1e6, 3),
-                "storm": None if line.storm is None else {
-                    "for_s": round((now - line.storm.since) / 1e6, 1), "most_owed": line.storm.peak_tickets,
-                    "refused": line.storm.rejected, "returned": line.storm.returned,
-                    "early": line.storm.early,
-                },
-                "lanes": [
-                    {"plan": plan, "class": kind, "owed": lane.tickets, "units": round(lane.units, 1)}
-                    for (plan, kind), lane in sorted(line.flows.items())
-                ],
-            }
-            for line in sorted(self.lines.values(), key=lambda line: line.shard)
-        ]  # fmt: skip
+            recovery.enter(ShardPhase.RECOVERING, now, "its warm-up is over")
+        health.forgive(now)
+
+    def _close(self, shard: int) -> None:
+        for ticket in [ticket for ticket in self.tickets if ticket.shard == shard]:
+            self.tickets.drop(ticket.fingerprint)
+        del self.shards[shard]
--- a/gaugesail/policy/retry_schedule.py
+++ b/gaugesail/policy/retry_schedule.py
@@ -1,48 +1,51 @@
-"""Retry-After times that are level: of those who retry when told, as few as possible retry together."""
+"""Retry-After times that are spread evenly: as few clients as possible retry at the same time."""
 
 from __future__ import annotations
 
 import random
 
-SLOTS = 64  # of the longest time: how finely they are told apart
+SLOTS = 64  # into which the longest Retry-After time is divided
+RING_SLOTS = 2 * SLOTS  # slots ahead that are counted
+SHORTEST_SLOT_US = 1000
 
 
 class RetrySchedule:
-    """How many were told to come in each slot of the time ahead, on a ring.
+    """How many retries were scheduled in each slot of the time ahead, on a ring.
 
-    A new time goes to the slot with the fewest; where several have as few, to the one that this gateway's
-    own draw says, and to a place within it that is drawn, so that no two gateways are in step.
+    A new time goes to the slot with the fewest; among several with as few, to one that this gateway draws,
+    and to a drawn moment within it, so that no two gateways schedule alike.
     """
 
     def __init__(self, rng: random.Random, longest_us: int) -> None:
         self._rng = rng
-        self._counts = [0] * (2 * SLOTS)
-        self._turns = [0] * (2 * SLOTS)  # which turn of the ring a count is of
+        self._counts = [0] * RING_SLOTS
+        self._rounds = [0] * RING_SLOTS  # the round of the ring that a count belongs to
         self.update_longest(longest_us)
 
     def update_longest(self, longest_us: int) -> None:
-        """Another longest time; what was told by the old one is forgotten."""
-        self._width = max(1000, longest_us // SLOTS)
-        self._counts = [0] * (2 * SLOTS)
+        """Take another longest Retry-After time; what was scheduled is forgotten."""
+        self._slot_us = max(SHORTEST_SLOT_US, longest_us // SLOTS)
+        self._counts = [0] * RING_SLOTS
 
     def _count(self, slot: int) -> int:
-        turn, place = divmod(slot, 2 * SLOTS)
-        return self._counts[place] if self._turns[place] == turn else 0
+        ring_round, index = divmod(slot, RING_SLOTS)
+        return self._counts[index] if self._rounds[index] == ring_round else 0
 
     def _add(self, slot: int) -> None:
-        turn, place = divmod(slot, 2 * SLOTS)
-        self._counts[place] = self._count(slot) + 1
-        self._turns[place] = turn
-
-    def record(self, now: int, wait: int) -> None:
-        """A time that has another reason counts as well."""
-        self._add((now + wait) // self._width)
-
-    def choose(self, now: int, low: int, high: int) -> int:
-        """A time from now, in microseconds, at least ``low`` and at most ``high``."""
-        first = (now + low) // self._width + 1
-        count = max(1, min(SLOTS, (now + high) // self._width - first))
-        turn = self._rng.randrange(count)
-        slot = min((first + (n + turn) % count for n in range(count)), key=self._count)
+        ring_round, index = divmod(slot, RING_SLOTS)
+        self._counts[index] = self._count(slot) + 1
+        self._rounds[index] = ring_round
+
+    def record(self, now: int, wait_us: int) -> None:
+        """Count a retry whose time was chosen elsewhere."""
+        self._add((now + wait_us) // self._slot_us)
+
+    def choose(self, now: int, shortest_us: int, longest_us: int) -> int:
+        """A Retry-After time in microseconds, from ``shortest_us`` to ``longest_us``."""
+        first = (now + shortest_us) // self._slot_us + 1
+        count = max(1, min(SLOTS, (now + longest_us) // self._slot_us - first))
+        offset = self._rng.randrange(count)
+        slot = min((first + (n + offset) % count for n in range(count)), key=self._count)
         self._add(slot)
-        return min(high, max(low, slot * self._width - now + self._rng.randrange(self._width)))
+        wait_us = slot * self._slot_us - now + self._rng.randrange(self._slot_us)
+        return min(longest_us, max(shortest_us, wait_us))
--- a/gaugesail/policy/slow_start.py
+++ b/gaugesail/policy/slow_start.py
@@ -21,7 +21,7 @@
 WANT_US, LEAST_GIFT = 1_000_000, 0.5  # between two wants, and how long one holds; in equal parts
 ARRIVAL_US = 50_000  # so much later than another may a request come than it was sent
 QUANTUM = 2.0  # requests of mean work that a gateway in its turn may have unserved at a cold node
-FOREVER = float("inf")
+UNLIMITED = float("inf")
 
 
 class SlowStart:
@@ -50,7 +50,7 @@
     def allowed_units(self, now: int, since: int | None) -> float:
         """The units that the first message allows all gateways within the time of the rule; inf when warm."""
         if since is None or (share := self.capacity_share(now, since)) >= 1:
-            return FOREVER
+            return UNLIMITED
         return self._set.initial_capacity_units * share / self._set.initial_capacity_share
 
     def capacity(self, now: int, node: NodeRecord, lives: int, strict: bool) -> tuple[float, float]:
@@ -63,8 +63,8 @@
         start = now - self._set.overload_window_us
         # The least that it bore in any part of the window: as it stood when the window began.
         told = self.allowed_units(start, node.warming_since)
-        if node.warming_since is None or told == FOREVER:
-            return FOREVER, FOREVER
+        if node.warming_since is None or told == UNLIMITED:
+            return UNLIMITED, UNLIMITED
         borne = told * (1 - 1 / self._set.overload_factor)
         if node.warming_since <= self._born and start <= self._born:
             return borne, 0.0  # an earlier life of this gateway may have spent its part, or given it
@@ -136,7 +136,7 @@
 
     def request_share(self, now: int, node: NodeRecord, borne: float) -> SendPeerMessage | None:
         """Ask the others for their parts, now and then, while there is more to send than may go."""
-        if not self._set.peer_messages_allowed or borne == FOREVER or now < node.next_share_request_at:
+        if not self._set.peer_messages_allowed or borne == UNLIMITED or now < node.next_share_request_at:
             return None
         node.next_share_request_at = now + WANT_US
         return SendPeerMessage(WANT.pack(node.shard, node.listed_start_us))
--- a/tests/policy/test_outlier_blame.py
+++ b/tests/policy/test_outlier_blame.py
@@ -35,7 +35,7 @@
     rig.pass_time(elapsed + 500_000)  # its time is up, and the control loop has had a period
     assert not rig.out
     assert bool(node.consecutive_failures) is blamed
-    assert bool(rig.gateway.recovery.lines) is blamed
+    assert bool(rig.gateway.recovery.shards) is blamed
     assert (node.latency_us != learnt) is blamed
 
 
--- a/tests/policy/test_short_deadlines.py
+++ b/tests/policy/test_short_deadlines.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gaugesail.policy.events import RequestReceived
-from gaugesail.policy.recovery import MOST_ASKED
+from gaugesail.policy.first_requests import MAX_REMEMBERED
 
 from ..support import gateway_driver
 from ..support.gateway_driver import SEC
@@ -69,10 +69,10 @@
 
 def test_what_is_remembered_of_requests_is_bounded() -> None:
     recovery = rigged(False).gateway.recovery
-    for number in range(MOST_ASKED + 100):
+    for number in range(MAX_REMEMBERED + 100):
         request = RequestReceived(number, 0, 200 * SEC, 0, volume_id=number, key=9)
         recovery.first_received_at(100 * SEC, request, 0, 185 * SEC)
-    assert len(recovery._asked) == MOST_ASKED
+    assert len(recovery.first_requests) == MAX_REMEMBERED
     marked = rigged(True).gateway.recovery
     marked.first_received_at(100 * SEC, ask(1, 115 * SEC), 0, 100 * SEC)
-    assert not marked._asked
+    assert not marked.first_requests
