--- a/gaugesail/coordination/consensus.py
+++ b/gaugesail/coordination/consensus.py
@@ -58,7 +58,7 @@
 
     index: int = 0
     term: int = 0
-    seats: tuple[str, ...] = ()
+    voters: tuple[str, ...] = ()
     state: bytes = b""
 
 
@@ -67,8 +67,8 @@
     """What has changed and is to be written, whole or not at all, before anything more is said."""
 
     term: int
-    vote: str
-    first: int | None = None  # entries from this index on are those below, and no others
+    voted_for: str
+    first_index: int | None = None  # entries from this index on are those below, and no others
     entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None  # and no entry up to its index
 
@@ -90,20 +90,20 @@
 class RaftNode:
     """One keeper's replica."""
 
-    seat: str
+    replica_id: str
     rng: random.Random
     now: int
     term: int = 0
-    vote: str = ""
+    voted_for: str = ""
     snapshot: Snapshot = field(default_factory=Snapshot)
     log: list[LogEntry] = field(default_factory=list)  # after the snapshot
     role: Role = Role.FOLLOWER
     leader: str = ""  # its seat, as far as known
-    commit: int = 0
-    applied: int = 0
+    commit_index: int = 0
+    applied_index: int = 0
     may_vote: bool = False  # its store is known to be the latest, and takes writes
     round: int = 0
-    installed: bool = False  # a snapshot came: the caller loads its state, and says so here
+    snapshot_installed: bool = False  # a snapshot came: the caller loads its state, and says so here
     _first: int | None = None  # the first entry that is not saved
     _hard: bool = False  # term or vote are not saved
     _shorter: bool = False  # the snapshot is not saved
@@ -119,8 +119,8 @@
     _round_at: int = -ROUND_US
 
     def __post_init__(self) -> None:
-        self.commit = self.applied = self.snapshot.index
-        self._seats = [(self.snapshot.index, self.snapshot.seats)]
+        self.commit_index = self.applied_index = self.snapshot.index
+        self._seats = [(self.snapshot.index, self.snapshot.voters)]
         for place, entry in enumerate(self.log, self.snapshot.index + 1):
             if isinstance(entry.command, ReplaceVoters):
                 self._seats.append((place, entry.command.seats))
@@ -130,22 +130,22 @@
     # ---- what stands ----
 
     @property
-    def seats(self) -> tuple[str, ...]:
+    def voters(self) -> tuple[str, ...]:
         """Who keeps the log, by its latest entry that says so, committed or not."""
         return self._seats[-1][1]
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         return self.snapshot.index + len(self.log)
 
     @property
     def serving(self) -> bool:
         """It leads, and an entry of its own term is committed: it knows all that ever was."""
-        return self.role is Role.LEADER and self.commit >= self._noop
+        return self.role is Role.LEADER and self.commit_index >= self._noop
 
     @property
-    def majority(self) -> int:
-        return len(self.seats) // 2 + 1
+    def quorum_size(self) -> int:
+        return len(self.voters) // 2 + 1
 
     @property
     def next_at(self) -> int:
@@ -161,27 +161,27 @@
 
     def committed(self) -> Iterator[tuple[int, Command]]:
         """Entries to apply, each once, in order."""
-        while self.applied < self.commit:
-            self.applied += 1
-            yield self.applied, self.log[self.applied - self.snapshot.index - 1].command
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            yield self.applied_index, self.log[self.applied_index - self.snapshot.index - 1].command
 
     # ---- what is to be written and said ----
 
-    def take_save(self) -> RaftWrite | None:
+    def take_write(self) -> RaftWrite | None:
         """What is to be written before anything is said; None where nothing changed."""
         if not (self._hard or self._shorter or self._first is not None):
             return None
-        save = RaftWrite(self.term, self.vote)
+        save = RaftWrite(self.term, self.voted_for)
         if self._first is not None:
-            save.first = max(self._first, self.snapshot.index + 1)
-            save.entries = tuple(self.log[save.first - self.snapshot.index - 1 :])
+            save.first_index = max(self._first, self.snapshot.index + 1)
+            save.entries = tuple(self.log[save.first_index - self.snapshot.index - 1 :])
         if self._shorter:
             save.snapshot = self.snapshot
         self._hard = self._shorter = False
         self._first = None
         return save
 
-    def take_out(self) -> list[tuple[str, Message]]:
+    def take_messages(self) -> list[tuple[str, Message]]:
         """What is to be said, by seat, once the save is written."""
         found, self._out = self._out, []
         return found
@@ -193,13 +193,13 @@
         if self.role is Role.LEADER:
             if now >= self._beat_at:
                 heard = sum(now - other.heard_at < 2 * ELECTION_US for other in self._others.values())
-                if heard + (self.seat in self.seats) < self.majority:
-                    self._follow(now, self.term, "")  # cut off: whoever has a majority is another
+                if heard + (self.replica_id in self.voters) < self.quorum_size:
+                    self._become_follower(now, self.term, "")  # cut off: whoever has a majority is another
                 else:
                     self._round_wanted = True
         elif now >= self._election_at:
             self._rest(now)
-            if self.may_vote and self.seat in self.seats:
+            if self.may_vote and self.replica_id in self.voters:
                 self._stand(now)
 
     def _rest(self, now: int) -> None:
@@ -213,67 +213,70 @@
         self.leader = ""
         term = self.term + 1
         if not pre:
-            self._enter(term, self.seat)
-        self._votes = {self.seat}
-        for seat in self.seats:
-            if seat != self.seat:
-                last = self.term_at(self.last) or 0
-                self._out.append((seat, VoteRequest(self.seat, term, pre, self.last, last)))
+            self._enter_term(term, self.replica_id)
+        self._votes = {self.replica_id}
+        for seat in self.voters:
+            if seat != self.replica_id:
+                last = self.term_at(self.last_index) or 0
+                self._out.append((seat, VoteRequest(self.replica_id, term, pre, self.last_index, last)))
         self._elected(now)
 
-    def _enter(self, term: int, vote: str = "") -> None:
-        self.term, self.vote, self._hard = term, vote, True
+    def _enter_term(self, term: int, vote: str = "") -> None:
+        self.term, self.voted_for, self._hard = term, vote, True
 
     def _elected(self, now: int) -> None:
-        if len(self._votes & set(self.seats)) < self.majority:
+        if len(self._votes & set(self.voters)) < self.quorum_size:
             return
         if self.role is Role.STANDS:
             self._stand(now, pre=False)
         elif self.role is Role.CANDIDATE:
-            self.role, self.leader = Role.LEADER, self.seat
+            self.role, self.leader = Role.LEADER, self.replica_id
             self._others = {}
-            self._noop = self.last + 1
-            self._put(Noop())
+            self._noop = self.last_index + 1
+            self._append(Noop())
             self._arrange(now)
             self._round_wanted = True
 
-    def _follow(self, now: int, term: int, leader: str) -> None:
+    def _become_follower(self, now: int, term: int, leader: str) -> None:
         if term > self.term:
-            self._enter(term)
+            self._enter_term(term)
         if self.role is Role.LEADER or leader:
             self._rest(now)
         self.role, self.leader = Role.FOLLOWER, leader
         self._others, self._votes, self._round_wanted = {}, set(), False
 
-    def _longer(self, vote: VoteRequest) -> bool:
+    def _is_up_to_date(self, request: VoteRequest) -> bool:
         """Whoever stands has all that may be committed."""
-        return (vote.last_term, vote.last_index) >= (self.term_at(self.last) or 0, self.last)
+        return (request.last_term, request.last_index) >= (
+            self.term_at(self.last_index) or 0,
+            self.last_index,
+        )
 
     def _asked(self, now: int, vote: VoteRequest) -> None:
-        if vote.pre:
+        if vote.pre_vote:
             led = self.role is Role.LEADER or now - self._heard_at < ELECTION_US
-            granted = vote.term > self.term and not led and self._longer(vote)
+            granted = vote.term > self.term and not led and self._is_up_to_date(vote)
             # Refused, it hears our term: who has the longer log and an older term could be elected by nobody.
             term = vote.term if granted else self.term
-            self._out.append((vote.seat, VoteResponse(self.seat, term, True, granted)))
+            self._out.append((vote.sender, VoteResponse(self.replica_id, term, True, granted)))
             return
         if vote.term > self.term:
-            self._follow(now, vote.term, "")
-        granted = vote.term == self.term and self.vote in ("", vote.seat) and self._longer(vote)
-        if granted and not self.vote:
-            self.vote, self._hard = vote.seat, True
+            self._become_follower(now, vote.term, "")
+        granted = vote.term == self.term and self.voted_for in ("", vote.sender) and self._is_up_to_date(vote)
+        if granted and not self.voted_for:
+            self.voted_for, self._hard = vote.sender, True
             self._rest(now)
-        self._out.append((vote.seat, VoteResponse(self.seat, self.term, False, granted)))
+        self._out.append((vote.sender, VoteResponse(self.replica_id, self.term, False, granted)))
 
     def _answered(self, now: int, voted: VoteResponse) -> None:
-        if voted.pre and voted.granted:
+        if voted.pre_vote and voted.granted:
             counts = self.role is Role.STANDS and voted.term == self.term + 1
         else:
             if voted.term > self.term:
-                self._follow(now, voted.term, "")
-            counts = not voted.pre and self.role is Role.CANDIDATE and voted.term == self.term
+                self._become_follower(now, voted.term, "")
+            counts = not voted.pre_vote and self.role is Role.CANDIDATE and voted.term == self.term
         if counts and voted.granted:
-            self._votes.add(voted.seat)
+            self._votes.add(voted.sender)
             self._elected(now)
 
     # ---- a leader's side ----
@@ -282,63 +285,63 @@
         """Put an entry into the log; its index, or None where another leads."""
         if self.role is not Role.LEADER:
             return None
-        self._put(command)
-        return self.last
+        self._append(command)
+        return self.last_index
 
-    def reseat(self, now: int, seats: Iterable[str]) -> int | None:
+    def replace_voters(self, now: int, seats: Iterable[str]) -> int | None:
         """Other seats: one more or one less, and never before the last change is committed."""
         fresh = tuple(sorted(seats))
-        settled = self._seats[-1][0] <= self.commit
-        if not self.serving or not settled or len(set(fresh) ^ set(self.seats)) != 1 or not fresh:
+        settled = self._seats[-1][0] <= self.commit_index
+        if not self.serving or not settled or len(set(fresh) ^ set(self.voters)) != 1 or not fresh:
             return None
         index = self.propose(ReplaceVoters(fresh))
         self._arrange(now)
         return index
 
-    def confirm(self) -> int:
+    def request_round(self) -> int:
         """The number of a round yet to begin; once ``confirmed`` is as high, this one still led after now."""
         self._round_wanted = True
         return self.round + 1
 
     @property
-    def confirmed(self) -> int:
+    def confirmed_round(self) -> int:
         """The latest round that a majority has acknowledged in this term."""
-        rounds = [other.round for seat, other in self._others.items() if seat in self.seats]
+        rounds = [other.round for seat, other in self._others.items() if seat in self.voters]
         return self._most(rounds, self.round)
 
     def _most(self, theirs: list[int], mine: int) -> int:
         """The largest figure that a majority has reached."""
-        theirs = theirs + [mine] * (self.seat in self.seats)
-        return sorted(theirs, reverse=True)[self.majority - 1] if len(theirs) >= self.majority else 0
+        theirs = theirs + [mine] * (self.replica_id in self.voters)
+        return sorted(theirs, reverse=True)[self.quorum_size - 1] if len(theirs) >= self.quorum_size else 0
 
-    def hand_on(self, seat: str) -> None:
+    def transfer_leadership(self, seat: str) -> None:
         """Let another that has all entries stand at once."""
         other = self._others.get(seat)
-        if self.role is Role.LEADER and other is not None and other.match == self.last:
-            self._out.append((seat, TimeoutNow(self.seat, self.term)))
+        if self.role is Role.LEADER and other is not None and other.match == self.last_index:
+            self._out.append((seat, TimeoutNow(self.replica_id, self.term)))
 
-    def match(self, seat: str) -> int:
+    def match_index(self, seat: str) -> int:
         """Up to where another keeper has the log, as this leader knows."""
         other = self._others.get(seat)
         return 0 if other is None else other.match
 
-    def heard_of(self, seat: str) -> int | None:
+    def last_heard_at(self, seat: str) -> int | None:
         """When another keeper last answered this leader."""
         other = self._others.get(seat)
         return None if other is None else other.heard_at
 
-    def _put(self, command: Command) -> None:
+    def _append(self, command: Command) -> None:
         self.log.append(LogEntry(self.term, command))
-        self._first = self.last if self._first is None else min(self._first, self.last)
+        self._first = self.last_index if self._first is None else min(self._first, self.last_index)
         if isinstance(command, ReplaceVoters):
-            self._seats.append((self.last, command.seats))
+            self._seats.append((self.last_index, command.seats))
 
     def _arrange(self, now: int) -> None:
         """Progress for each other seat, and for no one else."""
-        for seat in self.seats:
-            if seat != self.seat:
-                self._others.setdefault(seat, _Progress(self.last, self.last, heard_at=now))
-        self._others = {seat: other for seat, other in self._others.items() if seat in self.seats}
+        for seat in self.voters:
+            if seat != self.replica_id:
+                self._others.setdefault(seat, _Progress(self.last_index, self.last_index, heard_at=now))
+        self._others = {seat: other for seat, other in self._others.items() if seat in self.voters}
 
     def flush(self, now: int) -> None:
         """At the end of a step: send what is new, and a round where one is wanted."""
@@ -355,7 +358,7 @@
             if other.match < other.next - 1 and now - other.sent_at > RESEND_US:
                 other.next = other.resume
             # Who waits for the whole ledger hears a beat now and then, and no answer to each answer.
-            if beat or (other.next <= self.last and self.term_at(other.next - 1) is not None):
+            if beat or (other.next <= self.last_index and self.term_at(other.next - 1) is not None):
                 self._replicate(now, seat, other)
         self._advance()
 
@@ -368,20 +371,31 @@
                     (
                         seat,
                         InstallSnapshot(
-                            self.seat, self.term, kept.index, kept.term, kept.seats, kept.state, self.round
+                            self.replica_id,
+                            self.term,
+                            kept.index,
+                            kept.term,
+                            kept.voters,
+                            kept.state,
+                            self.round,
                         ),
                     )
                 )
                 return
             # The whole ledger is on its way: a sign of life until it has come.
-            self._out.append((seat, AppendEntries(self.seat, self.term, 0, 0, (), 0, self.round)))
+            self._out.append((seat, AppendEntries(self.replica_id, self.term, 0, 0, (), 0, self.round)))
             return
         first = other.next
         entries = self._some(first)
         if entries:
             other.next, other.sent_at = first + len(entries), now
         self._out.append(
-            (seat, AppendEntries(self.seat, self.term, first - 1, term, entries, self.commit, self.round))
+            (
+                seat,
+                AppendEntries(
+                    self.replica_id, self.term, first - 1, term, entries, self.commit_index, self.round
+                ),
+            )
         )
 
     def _some(self, first: int) -> tuple[LogEntry, ...]:
@@ -396,31 +410,31 @@
 
     def _advance(self) -> None:
         """What a majority has is committed, if it is of this term (the paper's 5.4.2)."""
-        matches = [other.match for seat, other in self._others.items() if seat in self.seats]
-        reached = self._most(matches, self.last)
-        if reached > self.commit and self.term_at(reached) == self.term:
-            self.commit = reached
+        matches = [other.match for seat, other in self._others.items() if seat in self.voters]
+        reached = self._most(matches, self.last_index)
+        if reached > self.commit_index and self.term_at(reached) == self.term:
+            self.commit_index = reached
 
     def _acknowledged(self, now: int, told: AppendResponse) -> None:
         if told.term > self.term:
-            self._follow(now, told.term, "")
+            self._become_follower(now, told.term, "")
             return
-        other = self._others.get(told.seat)
+        other = self._others.get(told.sender)
         if self.role is not Role.LEADER or told.term < self.term or other is None:
             return
         other.heard_at = now
         other.round = max(other.round, told.round)
-        if told.ok:
-            other.match = max(other.match, told.match)
+        if told.success:
+            other.match = max(other.match, told.match_index)
             other.resume = other.match + 1
             other.next = max(other.next, other.resume)
-        elif told.match >= other.match:
-            other.next = other.resume = min(told.match, self.last) + 1
+        elif told.match_index >= other.match:
+            other.next = other.resume = min(told.match_index, self.last_index) + 1
         # Less than it has said to have is a late word, or a store put back from before: what was sent last is
         # sent again when its time has come, and not at each such word.
         self._advance()
-        if self.seat not in self.seats and self.commit >= self._seats[-1][0]:
-            self._follow(now, self.term, "")  # it has led until its own seat was gone
+        if self.replica_id not in self.voters and self.commit_index >= self._seats[-1][0]:
+            self._become_follower(now, self.term, "")  # it has led until its own seat was gone
 
     # ---- a follower's side ----
 
@@ -430,7 +444,7 @@
             self._heard_at = now
         if not self.may_vote:
             if isinstance(message, (AppendEntries, InstallSnapshot)) and message.term >= self.term:
-                self.leader = message.seat
+                self.leader = message.sender
             return
         match message:
             case VoteRequest():
@@ -438,35 +452,41 @@
             case VoteResponse():
                 self._answered(now, message)
             case AppendEntries():
-                self._append(now, message)
+                self._receive_entries(now, message)
             case AppendResponse():
                 self._acknowledged(now, message)
             case InstallSnapshot():
                 self._install(now, message)
             case TimeoutNow():
-                if message.term == self.term and self.seat in self.seats and self.role is Role.FOLLOWER:
+                if (
+                    message.term == self.term
+                    and self.replica_id in self.voters
+                    and self.role is Role.FOLLOWER
+                ):
                     self._stand(now, pre=False)
 
-    def _append(self, now: int, told: AppendEntries) -> None:
+    def _receive_entries(self, now: int, told: AppendEntries) -> None:
         if told.term < self.term:
-            self._out.append((told.seat, AppendResponse(self.seat, self.term, False, 0, 0)))
+            self._out.append((told.sender, AppendResponse(self.replica_id, self.term, False, 0, 0)))
             return
         if self.role is Role.LEADER and told.term == self.term:
-            raise LogBroken(f"{told.seat} leads term {self.term} too")
-        self._follow(now, told.term, told.seat)
+            raise LogBroken(f"{told.sender} leads term {self.term} too")
+        self._become_follower(now, told.term, told.sender)
         mine = self.term_at(told.prev_index)
         if mine != told.prev_term:
             if told.prev_index <= self.snapshot.index:
-                most = self.commit  # what is committed is the same everywhere
+                most = self.commit_index  # what is committed is the same everywhere
             elif mine is None:
-                most = self.last
+                most = self.last_index
             else:
                 most = told.prev_index - 1
             ok = False
             if told.prev_index < self.snapshot.index:
                 ok = self._overlaps(told)
             if not ok:
-                self._out.append((told.seat, AppendResponse(self.seat, self.term, False, most, told.round)))
+                self._out.append(
+                    (told.sender, AppendResponse(self.replica_id, self.term, False, most, told.round))
+                )
                 return
         for place, entry in enumerate(told.entries, told.prev_index + 1):
             if place <= self.snapshot.index:
@@ -477,9 +497,9 @@
             if have is not None:
                 self._cut(place)
             self._take(place, entry)
-        match = max(told.prev_index + len(told.entries), min(self.commit, told.commit))
-        self.commit = max(self.commit, min(told.commit, match))
-        self._out.append((told.seat, AppendResponse(self.seat, self.term, True, match, told.round)))
+        match = max(told.prev_index + len(told.entries), min(self.commit_index, told.commit_index))
+        self.commit_index = max(self.commit_index, min(told.commit_index, match))
+        self._out.append((told.sender, AppendResponse(self.replica_id, self.term, True, match, told.round)))
 
     def _overlaps(self, told: AppendEntries) -> bool:
         """Entries that reach past a snapshot of ours: all up to the snapshot is the same everywhere."""
@@ -487,16 +507,18 @@
 
     def _cut(self, place: int) -> None:
         """Entries from there on are another leader's, and were never committed."""
-        if place <= self.commit:
-            raise LogBroken(f"entry {place} of the log differs, and it is committed up to {self.commit}")
+        if place <= self.commit_index:
+            raise LogBroken(
+                f"entry {place} of the log differs, and it is committed up to {self.commit_index}"
+            )
         del self.log[place - self.snapshot.index - 1 :]
         self._first = place if self._first is None else min(self._first, place)
         while self._seats[-1][0] >= place and len(self._seats) > 1:
             self._seats.pop()
 
     def _take(self, place: int, entry: LogEntry) -> None:
-        if place != self.last + 1:
-            raise LogBroken(f"entry {place} after {self.last}")
+        if place != self.last_index + 1:
+            raise LogBroken(f"entry {place} after {self.last_index}")
         self.log.append(entry)
         self._first = place if self._first is None else min(self._first, place)
         if isinstance(entry.command, ReplaceVoters):
@@ -504,25 +526,28 @@
 
     def _install(self, now: int, told: InstallSnapshot) -> None:
         if told.term < self.term:
-            self._out.append((told.seat, AppendResponse(self.seat, self.term, False, 0, 0)))
+            self._out.append((told.sender, AppendResponse(self.replica_id, self.term, False, 0, 0)))
             return
-        self._follow(now, told.term, told.seat)
-        if told.index > self.commit:
-            same = self.term_at(told.index) == told.at_term
-            rest = self.log[told.index - self.snapshot.index :] if same else []
-            self.snapshot = Snapshot(told.index, told.at_term, told.seats, told.state)
+        self._become_follower(now, told.term, told.sender)
+        if told.last_index > self.commit_index:
+            same = self.term_at(told.last_index) == told.last_term
+            rest = self.log[told.last_index - self.snapshot.index :] if same else []
+            self.snapshot = Snapshot(told.last_index, told.last_term, told.voters, told.state)
             self.log = rest
-            self.commit = told.index
-            self.applied = told.index
-            self.installed = self._shorter = True
-            self._first = told.index + 1
-            self._seats = [(told.index, told.seats), *(s for s in self._seats if s[0] > told.index and same)]
-        match = max(told.index, 0)
-        self._out.append((told.seat, AppendResponse(self.seat, self.term, True, match, told.round)))
-
-    def shorten(self, state: bytes) -> None:
+            self.commit_index = told.last_index
+            self.applied_index = told.last_index
+            self.snapshot_installed = self._shorter = True
+            self._first = told.last_index + 1
+            self._seats = [
+                (told.last_index, told.voters),
+                *(s for s in self._seats if s[0] > told.last_index and same),
+            ]
+        match = max(told.last_index, 0)
+        self._out.append((told.sender, AppendResponse(self.replica_id, self.term, True, match, told.round)))
+
+    def compact(self, state: bytes) -> None:
         """Put the ledger as it is after the latest entry applied in place of all up to there."""
-        index, term = self.applied, self.term_at(self.applied)
+        index, term = self.applied_index, self.term_at(self.applied_index)
         if index == self.snapshot.index or term is None:
             return
         seats = next(seats for at, seats in reversed(self._seats) if at <= index)
--- a/gaugesail/coordination/consensus_messages.py
+++ b/gaugesail/coordination/consensus_messages.py
@@ -9,50 +9,50 @@
 class VoteRequest(Record, frozen=True, tag="Vote"):
     """Asks for a vote; ``pre`` asks only whether there would be one."""
 
-    seat: str
+    sender: str
     term: int
-    pre: bool
+    pre_vote: bool
     last_index: int
     last_term: int
 
 
 class VoteResponse(Record, frozen=True, tag="Voted"):
-    seat: str
+    sender: str
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
 
 
 class AppendEntries(Record, frozen=True, tag="Append"):
     """Entries after ``prev_index``, and a sign of life; ``round`` comes back with the answer."""
 
-    seat: str
+    sender: str
     term: int
     prev_index: int
     prev_term: int
     entries: tuple[LogEntry, ...]
-    commit: int
+    commit_index: int
     round: int
 
 
 class AppendResponse(Record, frozen=True, tag="Appended"):
     """``match``: all up to there is the leader's, and kept; where not ``ok``, what the sender has at most."""
 
-    seat: str
+    sender: str
     term: int
-    ok: bool
-    match: int
+    success: bool
+    match_index: int
     round: int
 
 
 class InstallSnapshot(Record, frozen=True, tag="Install"):
     """The ledger as it stood after entry ``index``, in place of all entries up to there."""
 
-    seat: str
+    sender: str
     term: int
-    index: int
-    at_term: int
-    seats: tuple[str, ...]
+    last_index: int
+    last_term: int
+    voters: tuple[str, ...]
     state: bytes
     round: int
 
@@ -60,5 +60,5 @@
 class TimeoutNow(Record, frozen=True, tag="Lead"):
     """The leader goes: the one that is told stands for election at once."""
 
-    seat: str
+    sender: str
     term: int
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -78,7 +78,7 @@
     ) -> None:
         self._charter, self._digest, self._ledger, self._raft = charter, digest, ledger, raft
         self._fleet = fleet
-        self.term, self._leader = raft.term, raft.seat.rpartition("#")[0]
+        self.term, self._leader = raft.term, raft.replica_id.rpartition("#")[0]
         # Whoever led before may have renewed any of these up to the moment at which this term's entry was
         # committed.
         until = now + charter.count_us
@@ -120,10 +120,10 @@
             self._answer(sender, ask, LeaseStatus.CHARTER)
             return
         session = self._ledger.process(ask.process)
-        if ask.fleet == self._fleet and ask.seen > self._raft.last:
+        if ask.fleet == self._fleet and ask.seen > self._raft.last_index:
             # This log has lost entries: the stores are older than the fleet.  What the holder has by those is
             # not renewed; told so it gives up all, and may then have what this log says.
-            self._note("stores_are_old", head=sender, seen=ask.seen, last=self._raft.last)
+            self._note("stores_are_old", head=sender, seen=ask.seen, last=self._raft.last_index)
             self._answer(sender, ask, LeaseStatus.UNKNOWN)
             return
         if session is None:
@@ -145,7 +145,7 @@
             return
         self._learn(now, session.number, tenant, ask)
         if tenant.ask is None or ask.number > tenant.ask.number:
-            tenant.ask, tenant.round = ask, self._raft.confirm()
+            tenant.ask, tenant.round = ask, self._raft.request_round()
 
     def _learn(self, now: int, number: int, tenant: _Tenant, ask: LeaseRequest) -> None:
         """What the holder says of itself: its wholes, its floor, its book and its wants."""
@@ -219,7 +219,7 @@
                     self._note("session_opens", head=session.head, session=session.number, slot=session.slot)
                     if waiting is not None:
                         self._learn(now, session.number, tenant, waiting[1])
-                        tenant.ask, tenant.round = waiting[1], self._raft.confirm()
+                        tenant.ask, tenant.round = waiting[1], self._raft.request_round()
                 self._proposed.pop(f"open {command.process}", None)
             case CloseSession():
                 tenant_gone = self.tenants.pop(command.session, None)
@@ -291,7 +291,7 @@
         if now >= self._quiet_until > 0:
             self._quiet_until = 0
             self._dirty.update(dict.fromkeys(self._wanted()))
-        confirmed = self._raft.confirmed
+        confirmed = self._raft.confirmed_round
         for number, tenant in self.tenants.items():
             if tenant.ask is not None and confirmed >= tenant.round and self._may_renew(now, number, tenant):
                 ask, tenant.ask = tenant.ask, None
--- a/gaugesail/coordination/membership.py
+++ b/gaugesail/coordination/membership.py
@@ -53,14 +53,14 @@
 class Member:
     """One head, by the largest rumour of it."""
 
-    rumour: MemberUpdate
-    since: int  # of its state
-    until: int = 0  # then a suspicion is believed
-    sharers: set[str] = field(default_factory=set)
+    update: MemberUpdate
+    state_since: int  # of its state
+    suspect_until: int = 0  # then a suspicion is believed
+    suspected_by: set[str] = field(default_factory=set)
 
     @property
     def state(self) -> MemberState:
-        return MemberState(self.rumour.state)
+        return MemberState(self.update.state)
 
 
 @dataclass(slots=True, eq=False)
@@ -79,7 +79,7 @@
 class MemberChange:
     """A member's state has changed; ``how`` is join, suspect, refute, gone, left or back."""
 
-    how: str
+    kind: str
     name: str
     address: str
 
@@ -106,8 +106,8 @@
         self._number = 0
         self._period_at = now + int(PERIOD_US * rng.random())
         self._periods = 0
-        self.health = 0  # 0: well
-        self.usurped = False  # a later process has this name
+        self.local_health = 0  # 0: well
+        self.name_taken = False  # a later process has this name
         self._changes: list[MemberChange] = []
         self._out: list[tuple[str, Message]] = []
 
@@ -120,32 +120,32 @@
         return len(self._all)
 
     @property
-    def me(self) -> MemberUpdate:
-        return self._all[self.name].rumour
+    def own_update(self) -> MemberUpdate:
+        return self._all[self.name].update
 
-    def state(self, name: str) -> MemberState | None:
+    def state_of(self, name: str) -> MemberState | None:
         member = self._all.get(name)
         return None if member is None else member.state
 
-    def address(self, name: str) -> str:
+    def address_of(self, name: str) -> str:
         member = self._all.get(name)
-        return "" if member is None else member.rumour.address
+        return "" if member is None else member.update.address
 
-    def alive(self) -> list[str]:
+    def active_names(self) -> list[str]:
         """All who may be there, this head too: what is suspected counts."""
         return [name for name, member in self._all.items() if member.state <= MemberState.SUSPECT]
 
     def digest(self) -> int:
         """The same at two heads that know the same."""
-        told = sorted((name, *rank(member.rumour)) for name, member in self._all.items())
+        told = sorted((name, *rank(member.update)) for name, member in self._all.items())
         return xxhash.xxh3_64_intdigest(repr(told).encode())
 
-    def changes(self) -> list[MemberChange]:
+    def take_changes(self) -> list[MemberChange]:
         """What has changed since the last call."""
         found, self._changes = self._changes, []
         return found
 
-    def out(self) -> list[tuple[str, Message]]:
+    def take_messages(self) -> list[tuple[str, Message]]:
         """What is to be said since the last call, and to whom."""
         found, self._out = self._out, []
         return found
@@ -156,17 +156,19 @@
         times = [self._period_at]
         if self._probe is not None and not self._probe.relayed:
             times.append(self._probe.began + self._patience)
-        times += [member.until for member in self._all.values() if member.state is MemberState.SUSPECT]
+        times += [
+            member.suspect_until for member in self._all.values() if member.state is MemberState.SUSPECT
+        ]
         return min(times)
 
     @property
     def _patience(self) -> int:
-        return PING_US * (1 + self.health)
+        return PING_US * (1 + self.local_health)
 
     @property
     def _least_us(self) -> int:
         """The shortest suspicion."""
-        return int(SUSPECT_PERIODS * max(1.0, math.log10(max(1, len(self.alive())))) * PERIOD_US)
+        return int(SUSPECT_PERIODS * max(1.0, math.log10(max(1, len(self.active_names())))) * PERIOD_US)
 
     # ---- joining and leaving ----
 
@@ -178,10 +180,10 @@
 
     def leave(self, now: int) -> None:
         """Tell some that this head goes by its own will."""
-        me = self.me
+        me = self.own_update
         self._hold(now, _with(me, state=MemberState.LEFT), self.name)
         for name in self._others(RELAYS):
-            self._say(name, StateSync((self.me,), False))
+            self._say(name, StateSync((self.own_update,), False))
 
     # ---- time ----
 
@@ -194,14 +196,14 @@
             self._probe = None
             for member in self._all.values():
                 if member.state is MemberState.SUSPECT:
-                    member.until = max(member.until, now + PERIOD_US)
+                    member.suspect_until = max(member.suspect_until, now + PERIOD_US)
         probe = self._probe
         if probe is not None and not probe.relayed and now >= probe.began + self._patience:
             self._relay(probe)
         for name, member in list(self._all.items()):
-            if member.state is MemberState.SUSPECT and now >= member.until:
-                self._hold(now, _with(member.rumour, state=MemberState.GONE), self.name)
-            elif member.state >= MemberState.GONE and now - member.since > FORGET_US:
+            if member.state is MemberState.SUSPECT and now >= member.suspect_until:
+                self._hold(now, _with(member.update, state=MemberState.GONE), self.name)
+            elif member.state >= MemberState.GONE and now - member.state_since > FORGET_US:
                 del self._all[name]
                 self._fresh.pop(name, None)
         if now >= self._period_at:
@@ -212,7 +214,7 @@
         probe, self._probe = self._probe, None
         if probe is not None:
             self._failed(now, probe)
-        self._period_at = now + PERIOD_US * (1 + self.health)
+        self._period_at = now + PERIOD_US * (1 + self.local_health)
         self._for = {n: item for n, item in self._for.items() if now - item[2] < 4 * PERIOD_US}
         self._periods += 1
         if self._periods % COMPARE_PERIODS == 0:
@@ -230,14 +232,14 @@
                 member = self._all.get(name := self._ring.pop())
                 if member is not None and member.state <= MemberState.SUSPECT:
                     return name
-            self._ring = [name for name in self.alive() if name != self.name]
+            self._ring = [name for name in self.active_names() if name != self.name]
             self._rng.shuffle(self._ring)
         return None
 
     def _ping(self, name: str, number: int) -> None:
         """Who is suspected hears of it first, so that it can say no."""
         member = self._all.get(name)
-        first = [member.rumour] if member is not None and member.state is MemberState.SUSPECT else []
+        first = [member.update] if member is not None and member.state is MemberState.SUSPECT else []
         self._say(name, Ping(number, self._rumours(first)))
 
     def _relay(self, probe: _Probe) -> None:
@@ -251,10 +253,10 @@
         self._ail(max(1, probe.asked - probe.nacks) if probe.asked else 1)
         member = self._all.get(probe.target)
         if member is not None and member.state is MemberState.ALIVE:
-            self._hold(now, _with(member.rumour, state=MemberState.SUSPECT), self.name)
+            self._hold(now, _with(member.update, state=MemberState.SUSPECT), self.name)
 
     def _ail(self, much: int) -> None:
-        self.health = max(0, min(MOST_HEALTH, self.health + much))
+        self.local_health = max(0, min(MOST_HEALTH, self.local_health + much))
 
     # ---- what others say ----
 
@@ -262,13 +264,13 @@
         """Take in one message.  From whom it is was proven by its tag; what it says is a rumour."""
         match message:
             case Ping():
-                self._hear(now, sender, message.rumours)
+                self._hear(now, sender, message.updates)
                 self._say(sender, Ack(message.number, self.name, self._rumours()))
             case Ack():
-                self._hear(now, sender, message.rumours)
+                self._hear(now, sender, message.updates)
                 self._acked(now, sender, message)
             case PingRequest():
-                self._hear(now, sender, message.rumours)
+                self._hear(now, sender, message.updates)
                 self._number += 1
                 self._for[self._number] = sender, message.number, now
                 self._ping(message.target, self._number)
@@ -280,17 +282,17 @@
                 if message.digest != self.digest():
                     self._say(sender, StateSync(self._told(), True))
             case StateSync():
-                self._hear(now, sender, message.rumours)
-                if message.answer:
+                self._hear(now, sender, message.updates)
+                if message.wants_reply:
                     self._say(sender, StateSync(self._told(), False))
 
     def _acked(self, now: int, sender: str, ack: Ack) -> None:
         probe = self._probe
-        if probe is not None and probe.number == ack.number and probe.target == ack.about:
+        if probe is not None and probe.number == ack.number and probe.target == ack.target:
             self._probe = None
             self._ail(-1)
         elif (asker := self._for.pop(ack.number, None)) is not None:
-            self._say(asker[0], Ack(asker[1], ack.about, self._rumours()))
+            self._say(asker[0], Ack(asker[1], ack.target, self._rumours()))
 
     def _hear(self, now: int, sender: str, rumours: tuple[MemberUpdate, ...]) -> None:
         for rumour in rumours:
@@ -312,15 +314,15 @@
                 self._all[name] = member = Member(rumour, now)
                 self._turned(now, member, None, sender)
             return
-        if rank(rumour) == rank(member.rumour) and rumour.state == MemberState.SUSPECT:
+        if rank(rumour) == rank(member.update) and rumour.state == MemberState.SUSPECT:
             self._shared(now, member, sender)
-        if rank(rumour) > rank(member.rumour):
-            old, member.rumour = member.rumour, rumour
+        if rank(rumour) > rank(member.update):
+            old, member.update = member.update, rumour
             self._turned(now, member, old, sender)
 
     def _of_me(self, now: int, rumour: MemberUpdate) -> None:
         """What others think of this head: refuted by a larger incarnation, unless it is another process."""
-        me = self.me
+        me = self.own_update
         if rank(rumour) < rank(me) or (rank(rumour) == rank(me) and rumour.process == self.process):
             return
         if rumour.process == self.process:
@@ -331,20 +333,20 @@
             fresh = _with(me, incarnation=rumour.incarnation + 1)
         elif now - self._born > JOIN_US:
             # Another process has taken this name: this one yields it, and goes on with its own session alone.
-            self.usurped = True
+            self.name_taken = True
             return
         else:  # an earlier life, whose clock was ahead of ours, or which had no store
             fresh = _with(me, generation=rumour.generation + 1, incarnation=0)
-        self._all[self.name].rumour = fresh
+        self._all[self.name].update = fresh
         self._fresh[self.name] = 0
 
     def _shared(self, now: int, member: Member, sender: str) -> None:
         """One more suspects it: the suspicion lasts less."""
-        if sender in member.sharers or len(member.sharers) >= SHARERS + 1:
+        if sender in member.suspected_by or len(member.suspected_by) >= SHARERS + 1:
             return
-        member.sharers.add(sender)
-        self._fresh[member.rumour.name] = 0  # each of the first few is worth passing on again
-        member.until = member.since + self._suspicion_us(len(member.sharers) - 1)
+        member.suspected_by.add(sender)
+        self._fresh[member.update.name] = 0  # each of the first few is worth passing on again
+        member.suspect_until = member.state_since + self._suspicion_us(len(member.suspected_by) - 1)
 
     def _suspicion_us(self, shared: int) -> int:
         least = self._least_us
@@ -353,16 +355,16 @@
         return int(max(least, most - (most - least) * share))
 
     def _turned(self, now: int, member: Member, old: MemberUpdate | None, sender: str) -> None:
-        rumour = member.rumour
+        rumour = member.update
         self._fresh[rumour.name] = 0
         state = MemberState(rumour.state)
         was = None if old is None else MemberState(old.state)
         born = old is not None and old.process != rumour.process
-        member.sharers = {sender} if state is MemberState.SUSPECT else set()
+        member.suspected_by = {sender} if state is MemberState.SUSPECT else set()
         if state is not was or born:
-            member.since = now
+            member.state_since = now
         if state is MemberState.SUSPECT:
-            member.until = member.since + self._suspicion_us(0)
+            member.suspect_until = member.state_since + self._suspicion_us(0)
         how = None
         if state is MemberState.ALIVE:
             if was is None:
@@ -389,7 +391,7 @@
         return self._rng.sample(names, min(count, len(names)))
 
     def _told(self) -> tuple[MemberUpdate, ...]:
-        return tuple(member.rumour for member in self._all.values())
+        return tuple(member.update for member in self._all.values())
 
     def _rumours(self, first: list[MemberUpdate] | None = None) -> tuple[MemberUpdate, ...]:
         """The ones passed on least, as many as fit; each goes out a number of times that grows slowly."""
@@ -397,7 +399,7 @@
         room = RUMOUR_BYTES - sum(map(_size, chosen))
         most = SPREAD * math.ceil(math.log10(len(self._all) + 1))
         for name in sorted(self._fresh, key=lambda name: (self._fresh[name], name)):
-            rumour = self._all[name].rumour
+            rumour = self._all[name].update
             if rumour in chosen:
                 continue
             if (room := room - _size(rumour)) < 0:
--- a/gaugesail/coordination/membership_messages.py
+++ b/gaugesail/coordination/membership_messages.py
@@ -18,15 +18,15 @@
 
 class Ping(Record, frozen=True, tag="Ping"):
     number: int
-    rumours: tuple[MemberUpdate, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class Ack(Record, frozen=True, tag="Ack"):
     """``about`` is the one that was asked after: itself, or who was pinged for another."""
 
     number: int
-    about: str
-    rumours: tuple[MemberUpdate, ...] = ()
+    target: str
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class PingRequest(Record, frozen=True, tag="PingFor"):
@@ -34,12 +34,12 @@
 
     number: int
     target: str
-    rumours: tuple[MemberUpdate, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class Nack(Record, frozen=True, tag="Nack"):
     number: int
-    about: str
+    target: str
 
 
 class DigestOffer(Record, frozen=True, tag="Compare"):
@@ -51,5 +51,5 @@
 class StateSync(Record, frozen=True, tag="Sync"):
     """All that is known, to a head that joins or whose view differs; ``answer`` asks for the other's."""
 
-    rumours: tuple[MemberUpdate, ...]
-    answer: bool
+    updates: tuple[MemberUpdate, ...]
+    wants_reply: bool
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -19,14 +19,15 @@
 from gaugesail.policy.events import QuotaChanged
 
 from . import messages as m
-from .bootstrap import Bootstrap, BootstrapRecord, name_of, seat_of
+from .bootstrap import Bootstrap, BootstrapRecord
 from .consensus import LogBroken, RaftNode, Snapshot
 from .fleet_terms import FleetTerms
 from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
 from .quota_ledger import Pair
-from .replica import Replica, elsewhere
+from .replica import Replica, redirect
+from .replica_id import make_replica_id, name_of
 from .store_fencing import KnownStore, StoreFence
 
 Notices = tuple[tuple[str, dict[str, Any]], ...]
@@ -35,30 +36,32 @@
 class PersistentState(msgspec.Struct):
     """All that a head keeps beside its log, written as one."""
 
-    store: str  # drawn when the store was made
-    life: int = 0  # starts
-    saves: int = 0
+    store_id: str = msgspec.field(name="store")  # drawn when the store was made
+    starts: int = msgspec.field(default=0, name="life")  # starts
+    writes: int = msgspec.field(default=0, name="saves")
     process: int = 0  # that wrote it
     generation: int = 0  # of the member
-    fleet: str = ""
-    seats: tuple[str, ...] = ()  # the founders'
-    bound: str = ""
+    fleet_id: str = msgspec.field(default="", name="fleet")
+    voters: tuple[str, ...] = msgspec.field(default=(), name="seats")  # the founders'
+    bound_to: str = msgspec.field(default="", name="bound")
     term: int = 0
-    vote: str = ""
-    known: dict[str, tuple[int, int, int]] = {}  # other stores' marks
-    slot: int = -1
-    version: int = 0
-    wholes: dict[str, Pair] = {}
-    of_fleet: str = ""  # that gave the floor
+    voted_for: str = msgspec.field(default="", name="vote")
+    known_stores: dict[str, tuple[int, int, int]] = msgspec.field(
+        default_factory=dict, name="known"
+    )  # other stores' marks
+    floor_slot: int = msgspec.field(default=-1, name="slot")
+    floor_version: int = msgspec.field(default=0, name="version")
+    floor_limits: dict[str, Pair] = msgspec.field(default_factory=dict, name="wholes")
+    floor_fleet: str = msgspec.field(default="", name="of_fleet")  # that gave the floor
 
 
 @dataclass(slots=True)
 class StoredState:
     """What a store held at the start."""
 
-    kept: PersistentState
+    state: PersistentState
     snapshot: Snapshot = field(default_factory=Snapshot)
-    log: list[LogEntry] = field(default_factory=list)
+    entries: list[LogEntry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -66,29 +69,29 @@
     """One write: ``kept`` in place of the last; the log from ``first`` on in place of what stood there; and a
     snapshot in place of all entries up to its index."""
 
-    kept: PersistentState
-    first: int | None = None
+    state: PersistentState
+    first_index: int | None = None
     entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
-    anew: bool = False  # the store is another one: nothing of the old log stays
+    replaces_store: bool = False  # the store is another one: nothing of the old log stays
 
 
 @dataclass(slots=True)
 class StepOutput:
     """What a step comes to, to be done in this order."""
 
-    save: StoreWrite | None = None
-    shares: QuotaUpdate | None = None
-    sends: list[tuple[str, Message]] = field(default_factory=list)
+    write: StoreWrite | None = None
+    quota: QuotaUpdate | None = None
+    messages: list[tuple[str, Message]] = field(default_factory=list)
     notices: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
 
 
-def amount_of(plan: str, volume: int) -> str:
+def quota_name_of(plan: str, volume: int) -> str:
     """The name under which the fleet divides the limit of one volume."""
     return f"{plan}/{volume:x}"
 
 
-def shares_of(told: QuotaUpdate) -> QuotaChanged:
+def quota_changed_event(told: QuotaUpdate) -> QuotaChanged:
     """What the gateway is told: by plan and volume, in units."""
     parts = []
     for amount, rate, burst in told.parts:
@@ -109,25 +112,31 @@
         self, charter: FleetTerms, digest: str, name: str, address: str, process: int, unix_ms: int,
         loaded: StoredState | None, seed: int, now: int,
     ) -> None:  # fmt: skip
-        self.charter, self.digest, self.name = charter, digest, name
+        self.terms, self.terms_digest, self.name = charter, digest, name
         self.process, self._rng, self._born = process, random.Random(seed), now
-        self.keeper = name in charter.keepers and loaded is not None
-        self.holds_store = loaded is not None
-        kept = loaded.kept if loaded is not None else PersistentState("")
-        self._loaded_saves = kept.saves
-        kept.life, kept.process = kept.life + 1, process
+        self.is_replica = name in charter.keepers and loaded is not None
+        self.has_store = loaded is not None
+        kept = loaded.state if loaded is not None else PersistentState("")
+        self._loaded_saves = kept.writes
+        kept.starts, kept.process = kept.starts + 1, process
         kept.generation = max(unix_ms, kept.generation + 1)
-        self.kept = kept
-        self.members = Membership(name, address, process, kept.generation, self._rng, now)
-        self.founding = Bootstrap(
-            name, kept.store, charter.keepers, digest, BootstrapRecord(kept.fleet, kept.seats, kept.bound)
+        self.persisted = kept
+        self.membership = Membership(name, address, process, kept.generation, self._rng, now)
+        self.bootstrap = Bootstrap(
+            name,
+            kept.store_id,
+            charter.keepers,
+            digest,
+            BootstrapRecord(kept.fleet_id, kept.voters, kept.bound_to),
         )
-        self.witness = StoreFence({store: KnownStore(*item) for store, item in kept.known.items()}, now)
-        self.seat: Replica | None = None
-        floor = HeadFloor(kept.slot, kept.version, kept.wholes, kept.of_fleet)
-        self.holder = LeaseHolder(charter, digest, name, process, kept.store, floor, now, self._rng)
+        self.store_fence = StoreFence(
+            {store: KnownStore(*item) for store, item in kept.known_stores.items()}, now
+        )
+        self.replica: Replica | None = None
+        floor = HeadFloor(kept.floor_slot, kept.floor_version, kept.floor_limits, kept.floor_fleet)
+        self.lease_holder = LeaseHolder(charter, digest, name, process, kept.store_id, floor, now, self._rng)
         self._floor_kept = floor
-        self._changed = self.holds_store  # the life counts before anything is said
+        self._changed = self.has_store  # the life counts before anything is said
         self._anew = False
         self._notices: list[tuple[str, dict[str, Any]]] = []
         self._out: list[tuple[str, Message]] = []
@@ -135,130 +144,132 @@
         self._petitions = 0
         self._said: set[str] = set()  # what is told once
         self._broken = False
-        if self.keeper:
+        if self.is_replica:
             assert loaded is not None
-            self._sit(now, loaded.snapshot, loaded.log)
-        self.members.join(list(charter.keepers))
+            self._sit(now, loaded.snapshot, loaded.entries)
+        self.membership.join(list(charter.keepers))
 
     def _sit(self, now: int, snapshot: Snapshot, log: list[LogEntry]) -> None:
         """Take up a keeper's log as it was kept."""
-        founded = self.founding.kept
-        seat = seat_of(self.name, self.kept.store)
-        if founded.fleet and not snapshot.index and seat in founded.seats:
-            snapshot = Snapshot(0, 0, founded.seats, b"")
-        if founded.fleet:
-            raft = RaftNode(seat, self._rng, now, self.kept.term, self.kept.vote, snapshot, log)
-            self.seat = Replica(self.charter, self.digest, founded.fleet, raft, self._born)
+        founded = self.bootstrap.record
+        seat = make_replica_id(self.name, self.persisted.store_id)
+        if founded.fleet_id and not snapshot.index and seat in founded.voters:
+            snapshot = Snapshot(0, 0, founded.voters, b"")
+        if founded.fleet_id:
+            raft = RaftNode(
+                seat, self._rng, now, self.persisted.term, self.persisted.voted_for, snapshot, log
+            )
+            self.replica = Replica(self.terms, self.terms_digest, founded.fleet_id, raft, self._born)
 
     # ---- what is told from outside ----
 
     @property
     def next_at(self) -> int:
         """When ``tick`` has something to do."""
-        times = [self.members.next_at, self.holder.next_at]
-        if self.keeper:
-            times.append(self.witness.next_at)
-            if not self.seated:
-                times.append(self.founding.next_at)
-        if self.seat is not None:
-            times.append(self.seat.next_at)
+        times = [self.membership.next_at, self.lease_holder.next_at]
+        if self.is_replica:
+            times.append(self.store_fence.next_at)
+            if not self.is_voter:
+                times.append(self.bootstrap.next_at)
+        if self.replica is not None:
+            times.append(self.replica.next_at)
         return min(times)
 
     @property
-    def seated(self) -> bool:
-        return self.seat is not None and self.seat.seated
+    def is_voter(self) -> bool:
+        return self.replica is not None and self.replica.is_voter
 
     @property
-    def leads(self) -> bool:
-        return self.seat is not None and self.seat.office is not None
+    def is_leader(self) -> bool:
+        return self.replica is not None and self.replica.lease_manager is not None
 
     @property
     def leader(self) -> str:
         """The head that leads, as far as known."""
-        if self.seat is not None and self.seat.raft.leader:
-            return name_of(self.seat.raft.leader)
-        return self.holder.leader
+        if self.replica is not None and self.replica.raft.leader:
+            return name_of(self.replica.raft.leader)
+        return self.lease_holder.leader
 
-    def state(self, wholes: Mapping[str, Pair], quantum: int) -> None:
+    def set_limits(self, wholes: Mapping[str, Pair], quantum: int) -> None:
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
-        self.holder.state(wholes, quantum)
+        self.lease_holder.state(wholes, quantum)
 
-    def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
+    def report_demand(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
-        self.holder.want(now, asked)
+        self.lease_holder.want(now, asked)
         return self.tick(now)
 
     def leave(self, now: int) -> StepOutput:
         """This head ends in order: its parts go back, and the others hear of it."""
-        self.holder.leave(now)
-        self.members.leave(now)
-        if self.seat is not None:
-            self.seat.hand_on()
+        self.lease_holder.leave(now)
+        self.membership.leave(now)
+        if self.replica is not None:
+            self.replica.transfer_leadership()
         return self.tick(now)
 
-    def petition(self, now: int, command: m.ForgetHead) -> tuple[int, StepOutput]:
+    def submit_command(self, now: int, command: m.ForgetHead) -> tuple[int, StepOutput]:
         """What operators ask for: its number, by which ``answer`` tells what became of it."""
         self._petitions += 1
         number = self._petitions
-        if self.seat is not None and self.leads:
-            self.seat.petition(self.name, m.OperatorCommand(number, command), self.leader)
+        if self.replica is not None and self.is_leader:
+            self.replica.receive_command(self.name, m.OperatorCommand(number, command), self.leader)
             return number, self._finish(now)
         if not self.leader:
             self._answers[number] = False, "no leader is known"
             return number, StepOutput()
         out = self._finish(now)
-        out.sends.append((self.leader, m.OperatorCommand(number, command)))
+        out.messages.append((self.leader, m.OperatorCommand(number, command)))
         return number, out
 
-    def answer(self, number: int) -> tuple[bool, str] | None:
+    def take_command_result(self, number: int) -> tuple[bool, str] | None:
         """What became of a petition; None while nothing is known."""
         return self._answers.pop(number, None)
 
     def trust_store(self, now: int) -> StepOutput:
         """Operators say that this head's store is its latest: it need not wait for others to vouch."""
-        self.witness.trusted = True
+        self.store_fence.trusted_by_operator = True
         return self.tick(now)
 
     # ---- steps ----
 
     def tick(self, now: int) -> StepOutput:
         """Take up what is due."""
-        self.members.tick(now)
-        if self.keeper:
+        self.membership.tick(now)
+        if self.is_replica:
             self._keep(now)
-        if self.seat is not None:
+        if self.replica is not None:
             self._guarded(now, lambda raft: raft.tick(now))
-        self.holder.tick(now, self._likely())
+        self.lease_holder.tick(now, self._likely())
         return self._finish(now)
 
     def receive(self, now: int, sender: str, process: int, message: Message) -> StepOutput:
         """Take in one message; whose it is was proven by its tag."""
         match message:
             case m.Ping() | m.Ack() | m.PingRequest() | m.Nack() | m.DigestOffer() | m.StateSync():
-                self.members.receive(now, sender, message)
+                self.membership.receive(now, sender, message)
             case m.LeaseResponse() | m.QuotaOrders():
-                self.holder.receive(now, sender, message)
+                self.lease_holder.receive(now, sender, message)
             case m.LeaseRequest():
                 self._ask(now, sender, message)
-            case m.StoreMark() if self.keeper:
-                self._say(sender, self.witness.marked(message))
-            case m.StoreMarkVerdict() if self.keeper:
-                if message.store == self.kept.store and message.process == self.process:
-                    self.witness.told(sender, message)
+            case m.StoreMark() if self.is_replica:
+                self._say(sender, self.store_fence.receive_mark(message))
+            case m.StoreMarkVerdict() if self.is_replica:
+                if message.store_id == self.persisted.store_id and message.process == self.process:
+                    self.store_fence.receive_verdict(sender, message)
                     self._keep(now)
-            case m.BootstrapStatus() | m.BootstrapBind() if self.keeper:
-                for to, said in self.founding.receive(sender, message):
+            case m.BootstrapStatus() | m.BootstrapBind() if self.is_replica:
+                for to, said in self.bootstrap.receive(sender, message):
                     self._say(to, said)
                 self._keep(now)
             case m.OperatorCommand():
-                if self.seat is not None:
-                    self.seat.petition(sender, message, self.leader)
+                if self.replica is not None:
+                    self.replica.receive_command(sender, message, self.leader)
                 else:
                     self._say(
                         sender, m.OperatorCommandResult(message.number, False, "this head is no keeper")
                     )
             case m.OperatorCommandResult():
-                self._answers[message.number] = message.done, message.why
+                self._answers[message.number] = message.done, message.reason
             case (
                 m.VoteRequest()
                 | m.VoteResponse()
@@ -266,147 +277,159 @@
                 | m.AppendResponse()
                 | m.InstallSnapshot()
                 | m.TimeoutNow()
-            ) if name_of(message.seat) == sender:
-                if self.seat is not None:
+            ) if name_of(message.sender) == sender:
+                if self.replica is not None:
                     self._guarded(now, lambda raft: raft.receive(now, message))
         return self._finish(now)
 
     def _guarded(self, now: int, step: Any) -> None:
-        assert self.seat is not None
+        assert self.replica is not None
         try:
-            step(self.seat.raft)
+            step(self.replica.raft)
         except LogBroken as broken:
             self._note("log_broken", why=str(broken))
             self._fall(now)
 
     def _ask(self, now: int, sender: str, ask: m.LeaseRequest) -> None:
-        if self.seat is not None:
-            self._out += self.seat.ask(now, sender, ask, self.leader)
+        if self.replica is not None:
+            self._out += self.replica.receive_lease_request(now, sender, ask, self.leader)
         else:
-            self._say(sender, elsewhere(ask, self.leader if self.leader != self.name else ""))
+            self._say(sender, redirect(ask, self.leader if self.leader != self.name else ""))
 
     # ---- a keeper's duties ----
 
     def _keep(self, now: int) -> None:
         """Vouched for or not, seated or not: what follows from that."""
-        founded, kept = self.founding.kept, self.kept
-        if self.witness.stale:
+        founded, kept = self.bootstrap.record, self.persisted
+        if self.store_fence.stale:
             self._renew(now)
-        if founded.fleet and self.seat is None and not self._broken:
+        if founded.fleet_id and self.replica is None and not self._broken:
             self._sit(now, Snapshot(), [])
-            self._note("founded", fleet=founded.fleet, seats=",".join(map(name_of, founded.seats)))
+            self._note("founded", fleet=founded.fleet_id, seats=",".join(map(name_of, founded.voters)))
         others = [name_of(seat) for seat in self._seats() if name_of(seat) != self.name]
-        good = self.witness.good(len(others))
-        if self.seat is not None:
-            if good and not self.seat.raft.may_vote:
-                self._note("keeper", seat=self.seat.raft.seat)
-            self.seat.raft.may_vote = good
-            self.seat.apply_for(self.founding.applicants())
-        if self.witness.due(now, good):
-            mark = m.StoreMark(kept.store, kept.life, kept.saves, self._loaded_saves, self.process)
+        good = self.store_fence.may_vote(len(others))
+        if self.replica is not None:
+            if good and not self.replica.raft.may_vote:
+                self._note("keeper", seat=self.replica.raft.replica_id)
+            self.replica.raft.may_vote = good
+            self.replica.add_applicants(self.bootstrap.take_applicants())
+        if self.store_fence.mark_is_due(now, good):
+            mark = m.StoreMark(kept.store_id, kept.starts, kept.writes, self._loaded_saves, self.process)
             for name in others:
                 self._say(name, mark)
-        for to, said in self.founding.tick(now, self.seated):
+        for to, said in self.bootstrap.tick(now, self.is_voter):
             self._say(to, said)
-        for who, why in self.founding.strange.items():
+        for who, why in self.bootstrap.conflicts.items():
             if f"{who} {why}" not in self._said:
                 self._said.add(f"{who} {why}")
                 self._note("strange_keeper", head=who, why=why)
 
     def _seats(self) -> tuple[str, ...]:
-        seat = self.seat
-        return seat.raft.seats if seat is not None and seat.raft.seats else self.founding.kept.seats
+        seat = self.replica
+        return seat.raft.voters if seat is not None and seat.raft.voters else self.bootstrap.record.voters
 
     def _renew(self, now: int) -> None:
         """This store is an old copy: it is put aside, and a fresh one asks for a seat."""
-        self._note("store_is_old", store=self.kept.store)
-        kept = self.kept
+        self._note("store_is_old", store=self.persisted.store_id)
+        kept = self.persisted
         fresh = f"{self._rng.getrandbits(48):012x}"
-        self.kept = PersistentState(
-            fresh, kept.life, kept.saves, kept.process, kept.generation, self.founding.kept.fleet,
-            self.founding.kept.seats,
+        self.persisted = PersistentState(
+            fresh, kept.starts, kept.writes, kept.process, kept.generation, self.bootstrap.record.fleet_id,
+            self.bootstrap.record.voters,
         )  # fmt: skip
-        self.founding.renew(fresh)
-        self.witness.restart(now)
-        self.seat = None
-        self.holder.renew(now, fresh)
-        self._floor_kept = self.holder.floor
+        self.bootstrap.replace_store(fresh)
+        self.store_fence.reset(now)
+        self.replica = None
+        self.lease_holder.renew(now, fresh)
+        self._floor_kept = self.lease_holder.floor
         self._changed = self._anew = True
 
     def _fall(self, now: int) -> None:
         """A keeper no longer: its store takes no more, or its log is broken."""
-        self.seat, self.keeper = None, False
+        self.replica, self.is_replica = None, False
         self._broken = True
 
     def store_failed(self, now: int, why: str) -> None:
         """The last save could not be written: nothing that it was for is done."""
         self._note("store_failed", why=why)
         self._fall(now)
-        self.holds_store = False
-        self.holder.unkept(self._floor_kept)
+        self.has_store = False
+        self.lease_holder.unkept(self._floor_kept)
 
     # ---- the end of a step ----
 
     def _finish(self, now: int) -> StepOutput:
         out = StepOutput()
-        seat = self.seat
+        seat = self.replica
         if seat is not None:
-            seat.work(now)
-        for change in self.members.changes():
-            self._note(f"member_{change.how}", head=change.name, address=change.address)
-        if self.members.usurped and "usurped" not in self._said:
-            self._said.add("usurped")
+            seat.process(now)
+        for change in self.membership.take_changes():
+            self._note(f"member_{change.kind}", head=change.name, address=change.address)
+        if self.membership.name_taken and "name_taken" not in self._said:
+            self._said.add("name_taken")
             self._note("name_taken", head=self.name)
-        out.save = self._save()
-        out.shares = self.holder.spendable()
+        out.write = self._save()
+        out.quota = self.lease_holder.spendable()
         if seat is not None:
-            for to, said in seat.take_out():
+            for to, said in seat.take_messages():
                 if isinstance(said, m.OperatorCommandResult) and to == self.name:
-                    self._answers[said.number] = said.done, said.why
+                    self._answers[said.number] = said.done, said.reason
                 else:
-                    out.sends.append((to, said))
-            for event, fields in seat.notes:
+                    out.messages.append((to, said))
+            for event, fields in seat.notices:
                 self._note(event, **fields)
-            seat.notes.clear()
-        out.sends += self.holder.take_out() + self.members.out() + self._out
+            seat.notices.clear()
+        out.messages += self.lease_holder.take_out() + self.membership.take_messages() + self._out
         self._out = []
-        for event, fields in self.holder.notes:
+        for event, fields in self.lease_holder.notes:
             self._note(event, **fields)
-        self.holder.notes.clear()
+        self.lease_holder.notes.clear()
         out.notices, self._notices = self._notices, []
         return out
 
     def _save(self) -> StoreWrite | None:
         """All that is to be kept before anything of this step is done."""
-        if not self.holds_store:
+        if not self.has_store:
             return None
-        kept, raft = self.kept, self.seat.raft if self.seat is not None else None
-        log = raft.take_save() if raft is not None else None
-        changed = self._changed or self.witness.dirty or self.founding.dirty or self.holder.floor_dirty
+        kept, raft = self.persisted, self.replica.raft if self.replica is not None else None
+        log = raft.take_write() if raft is not None else None
+        changed = (
+            self._changed
+            or self.store_fence.unsaved
+            or self.bootstrap.unsaved
+            or self.lease_holder.floor_dirty
+        )
         if log is None and not changed:
             return None
-        self._changed = self.witness.dirty = self.founding.dirty = self.holder.floor_dirty = False
-        founded, floor = self.founding.kept, self.holder.floor
-        kept.saves += 1
-        kept.fleet, kept.seats, kept.bound = founded.fleet, founded.seats, founded.bound
-        kept.known = {
-            store: (known.life, known.saves, known.process) for store, known in self.witness.known.items()
+        self._changed = self.store_fence.unsaved = self.bootstrap.unsaved = self.lease_holder.floor_dirty = (
+            False
+        )
+        founded, floor = self.bootstrap.record, self.lease_holder.floor
+        kept.writes += 1
+        kept.fleet_id, kept.voters, kept.bound_to = founded.fleet_id, founded.voters, founded.bound_to
+        kept.known_stores = {
+            store: (known.starts, known.writes, known.process)
+            for store, known in self.store_fence.known_stores.items()
         }
-        kept.slot, kept.version, kept.wholes = floor.slot, floor.version, floor.wholes
-        kept.of_fleet = floor.fleet
+        kept.floor_slot, kept.floor_version, kept.floor_limits = floor.slot, floor.version, floor.wholes
+        kept.floor_fleet = floor.fleet
         self._floor_kept = floor
         if raft is not None:
-            kept.term, kept.vote = raft.term, raft.vote
-        save = StoreWrite(kept, anew=self._anew)
+            kept.term, kept.voted_for = raft.term, raft.voted_for
+        save = StoreWrite(kept, replaces_store=self._anew)
         self._anew = False
         if log is not None:
-            save.first, save.entries, save.snapshot = log.first, log.entries, log.snapshot
+            save.first_index, save.entries, save.snapshot = log.first_index, log.entries, log.snapshot
         return save
 
     def _likely(self) -> list[str]:
         """Keepers to ask, the likeliest to lead first; who is thought to be gone comes last."""
-        names = sorted({name_of(seat) for seat in self._seats()} or self.charter.keepers)
-        gone = {name for name in names if (self.members.state(name) or MemberState.ALIVE) >= MemberState.GONE}
+        names = sorted({name_of(seat) for seat in self._seats()} or self.terms.keepers)
+        gone = {
+            name
+            for name in names
+            if (self.membership.state_of(name) or MemberState.ALIVE) >= MemberState.GONE
+        }
         return sorted(names, key=lambda name: (name != self.leader, name in gone, name))
 
     def _say(self, to: str, message: Message) -> None:
@@ -420,15 +443,15 @@
     def view_members(self, now: int) -> dict[str, Any]:
         """All members as this head sees them; times in seconds."""
         return {
-            "head": self.name, "fleet": self.founding.kept.fleet, "leader": self.leader,
-            "keepers": [name_of(seat) for seat in self._seats()], "health": self.members.health,
+            "head": self.name, "fleet": self.bootstrap.record.fleet_id, "leader": self.leader,
+            "keepers": [name_of(seat) for seat in self._seats()], "health": self.membership.local_health,
             "members": [
                 {
-                    "name": name, "state": member.state.name.lower(), "address": member.rumour.address,
-                    "generation": member.rumour.generation, "incarnation": member.rumour.incarnation,
-                    "for_s": round((now - member.since) / 1e6, 1),
+                    "name": name, "state": member.state.name.lower(), "address": member.update.address,
+                    "generation": member.update.generation, "incarnation": member.update.incarnation,
+                    "for_s": round((now - member.state_since) / 1e6, 1),
                 }
-                for name, member in sorted(self.members)
+                for name, member in sorted(self.membership)
             ],
         }  # fmt: skip
 
@@ -438,9 +461,10 @@
         A keeper tells the whole ledger, the leader also until when each lease is counted and what is used;
         any other tells its own part.
         """
-        holder = self.holder
+        holder = self.lease_holder
         told: dict[str, Any] = {
-            "head": self.name, "leader": self.leader, "leads": self.leads, "keeper": self.seat is not None,
+            "head": self.name, "leader": self.leader, "leads": self.is_leader,
+            "keeper": self.replica is not None,
             "own": {
                 "session": holder.session, "lease_s": round(max(0, holder.until - now) / 1e6, 2),
                 "slot": holder.floor.slot, "refused": holder.refused,
@@ -450,4 +474,4 @@
                           for held in holder.book.values()},
             },
         }  # fmt: skip
-        return told | (self.seat.view(now) if self.seat is not None else {})
+        return told | (self.replica.view(now) if self.replica is not None else {})
--- a/gaugesail/coordination/operator_messages.py
+++ b/gaugesail/coordination/operator_messages.py
@@ -18,4 +18,4 @@
 
     number: int
     done: bool
-    why: str = ""
+    reason: str = ""
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -7,7 +7,6 @@
 
 from typing import Any
 
-from .bootstrap import name_of, seat_of, store_of
 from .consensus import KEEP, RaftNode, Role
 from .fleet_terms import FleetTerms
 from .lease_manager import LeaseManager
@@ -20,8 +19,9 @@
     OperatorCommandResult,
 )
 from .quota_ledger import QuotaLedger, plan_of
+from .replica_id import make_replica_id, name_of, store_id_of
 
-RESEAT_US = 5_000_000  # without a word from a seat whose keeper has come back with another store
+REPLACE_VOTER_AFTER_US = 5_000_000  # without a word from a seat whose keeper has come back with another store
 STEPS = 8  # of applying what one step commits
 
 
@@ -31,36 +31,44 @@
     def __init__(self, charter: FleetTerms, digest: str, fleet: str, raft: RaftNode, born: int) -> None:
         self._charter, self._digest, self._fleet, self._born = charter, digest, fleet, born
         self.raft = raft
-        self.name = name_of(raft.seat)
+        self.name = name_of(raft.replica_id)
         self.ledger = QuotaLedger(charter)
         self.ledger.load(raft.snapshot.state)
-        self.office: LeaseManager | None = None
+        self.lease_manager: LeaseManager | None = None
         self._later: dict[int, tuple[str, int]] = {}  # whose petition waits for which entry
         self._applicants: dict[str, str] = {}  # keepers with a store that has no seat
-        self.heard: list[tuple[str, OperatorCommandResult]] = []  # what became of petitions, and for whom
-        self.notes: list[tuple[str, dict[str, Any]]] = []
+        self.command_results: list[
+            tuple[str, OperatorCommandResult]
+        ] = []  # what became of petitions, and for whom
+        self.notices: list[tuple[str, dict[str, Any]]] = []
 
     @property
-    def seated(self) -> bool:
-        return self.raft.seat in self.raft.seats
+    def is_voter(self) -> bool:
+        return self.raft.replica_id in self.raft.voters
 
     @property
     def next_at(self) -> int:
-        return self.raft.next_at if self.office is None else min(self.raft.next_at, self.office.next_at)
+        return (
+            self.raft.next_at
+            if self.lease_manager is None
+            else min(self.raft.next_at, self.lease_manager.next_at)
+        )
 
     # ---- what others ask ----
 
-    def ask(self, now: int, sender: str, ask: LeaseRequest, leader: str) -> list[tuple[str, Message]]:
+    def receive_lease_request(
+        self, now: int, sender: str, ask: LeaseRequest, leader: str
+    ) -> list[tuple[str, Message]]:
         """A holder's ask: answered by the office later, or at once with who leads."""
-        if self.office is not None:
-            self.office.ask(now, sender, ask)
+        if self.lease_manager is not None:
+            self.lease_manager.ask(now, sender, ask)
             return []
-        return [(sender, elsewhere(ask, leader if leader != self.name else ""))]
+        return [(sender, redirect(ask, leader if leader != self.name else ""))]
 
-    def petition(self, sender: str, petition: OperatorCommand, leader: str) -> None:
+    def receive_command(self, sender: str, petition: OperatorCommand, leader: str) -> None:
         """What operators ask of the fleet; what becomes of it is in ``heard``."""
         head, number = petition.command.head, petition.number
-        if self.office is None:
+        if self.lease_manager is None:
             self._hear(sender, number, False, f"the leader is {leader or 'not known'}")
         elif any(session.head == head for session in self.ledger.sessions.values()):
             self._hear(sender, number, False, f"{head} has a session: it is not gone")
@@ -70,89 +78,89 @@
             self._later[index] = sender, number
 
     def _hear(self, to: str, number: int, done: bool, why: str) -> None:
-        self.heard.append((to, OperatorCommandResult(number, done, why)))
+        self.command_results.append((to, OperatorCommandResult(number, done, why)))
 
-    def apply_for(self, applicants: dict[str, str]) -> None:
+    def add_applicants(self, applicants: dict[str, str]) -> None:
         """Keepers by name that have come back with a store that has no seat."""
         self._applicants.update(applicants)
 
-    def hand_on(self) -> None:
+    def transfer_leadership(self) -> None:
         """It ends in order: who has most of the log may lead at once."""
-        others = [seat for seat in self.raft.seats if seat != self.raft.seat]
+        others = [seat for seat in self.raft.voters if seat != self.raft.replica_id]
         if self.raft.role is Role.LEADER and others:
-            self.raft.hand_on(max(others, key=self.raft.match))
+            self.raft.transfer_leadership(max(others, key=self.raft.match_index))
 
     # ---- the end of a step ----
 
-    def work(self, now: int) -> None:
+    def process(self, now: int) -> None:
         """Carry out what is committed, let the office work on it, and pass on what it proposes."""
         raft = self.raft
         for _ in range(STEPS):
-            before = raft.commit, raft.last
-            if raft.installed:
-                raft.installed = False
+            before = raft.commit_index, raft.last_index
+            if raft.snapshot_installed:
+                raft.snapshot_installed = False
                 self.ledger.load(raft.snapshot.state)
             for index, command in raft.committed():
                 done = self.ledger.apply(index, command)
-                if self.office is not None:
-                    self.office.applied(now, index, command, done)
+                if self.lease_manager is not None:
+                    self.lease_manager.applied(now, index, command, done)
                 if (asked := self._later.pop(index, None)) is not None:
                     self._hear(*asked, done, "" if done else "it changed nothing")
             self._seat_office(now)
-            if self.office is not None:
-                self.office.tick(now)
+            if self.lease_manager is not None:
+                self.lease_manager.tick(now)
                 self._reseat(now)
             raft.flush(now)
-            if (raft.commit, raft.last) == before and raft.applied == raft.commit:
+            if (raft.commit_index, raft.last_index) == before and raft.applied_index == raft.commit_index:
                 break
-        if raft.applied - raft.snapshot.index > KEEP:
-            raft.shorten(self.ledger.dump())
+        if raft.applied_index - raft.snapshot.index > KEEP:
+            raft.compact(self.ledger.dump())
 
     def _seat_office(self, now: int) -> None:
         """An office for each term that it leads, from when an entry of that term is committed."""
         raft = self.raft
         if not raft.serving:
-            if self.office is not None:
-                self.notes.append(("leads_no_more", {"term": self.office.term}))
-            self.office = None
-        elif self.office is None or self.office.term != raft.term:
-            fresh = now - self._born < self._charter.count_us or len(raft.seats) == 1
-            self.office = LeaseManager(
+            if self.lease_manager is not None:
+                self.notices.append(("leads_no_more", {"term": self.lease_manager.term}))
+            self.lease_manager = None
+        elif self.lease_manager is None or self.lease_manager.term != raft.term:
+            fresh = now - self._born < self._charter.count_us or len(raft.voters) == 1
+            self.lease_manager = LeaseManager(
                 self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh
             )
-            self.notes.append(("leads", {"term": raft.term}))
+            self.notices.append(("leads", {"term": raft.term}))
 
     def _reseat(self, now: int) -> None:
         """A keeper that has come back with another store gets a seat for that, once the old one is away."""
         raft = self.raft
         for name, store in list(self._applicants.items()):
-            fresh = seat_of(name, store)
-            olds = [seat for seat in raft.seats if name_of(seat) == name]
-            if fresh in raft.seats:
+            fresh = make_replica_id(name, store)
+            olds = [seat for seat in raft.voters if name_of(seat) == name]
+            if fresh in raft.voters:
                 del self._applicants[name]
             elif not olds:
-                raft.reseat(now, {*raft.seats, fresh})
+                raft.replace_voters(now, {*raft.voters, fresh})
             elif (
-                (heard := raft.heard_of(olds[0])) is not None
-                and now - heard > RESEAT_US
-                and raft.reseat(now, set(raft.seats) - {olds[0]}) is not None
+                (heard := raft.last_heard_at(olds[0])) is not None
+                and now - heard > REPLACE_VOTER_AFTER_US
+                and raft.replace_voters(now, set(raft.voters) - {olds[0]}) is not None
             ):
-                self.notes.append(("seat_taken_away", {"head": name, "store": store_of(olds[0])}))
+                self.notices.append(("seat_taken_away", {"head": name, "store": store_id_of(olds[0])}))
 
-    def take_out(self) -> list[tuple[str, Message]]:
+    def take_messages(self) -> list[tuple[str, Message]]:
         """What is to be said, once what is to be kept is written."""
-        out: list[tuple[str, Message]] = [(name_of(seat), said) for seat, said in self.raft.take_out()]
-        if self.office is not None:
-            out += self.office.take_out()
-            self.notes += [(note.event, dict(note.fields)) for note in self.office.take_notes()]
-        heard, self.heard = self.heard, []
+        out: list[tuple[str, Message]] = [(name_of(seat), said) for seat, said in self.raft.take_messages()]
+        if self.lease_manager is not None:
+            out += self.lease_manager.take_out()
+            self.notices += [(note.event, dict(note.fields)) for note in self.lease_manager.take_notes()]
+        heard, self.command_results = self.command_results, []
         return out + list[tuple[str, Message]](heard)
 
     # ---- what staff see ----
 
     def view(self, now: int) -> dict[str, Any]:
         """The whole ledger; the leader also tells until when each lease is counted and what is used."""
-        ledger, office = self.ledger, self.office
+        ledger, office = self.ledger, self.lease_manager
         return {
             "settled": ledger.settled, "version": ledger.version,
             "wholes": {
@@ -181,6 +189,6 @@
         }  # fmt: skip
 
 
-def elsewhere(ask: LeaseRequest, leader: str) -> LeaseResponse:
+def redirect(ask: LeaseRequest, leader: str) -> LeaseResponse:
     """Not here: perhaps at whom this one thinks leads."""
     return LeaseResponse(ask.process, ask.number, LeaseStatus.ELSEWHERE, 0, 0, leader)
--- a/gaugesail/coordination/store_fencing.py
+++ b/gaugesail/coordination/store_fencing.py
@@ -22,36 +22,36 @@
 class KnownStore:
     """The latest mark that is known of one store."""
 
-    life: int
-    saves: int
+    starts: int
+    writes: int
     process: int
 
 
-def judge(known: KnownStore | None, mark: StoreMark) -> bool:
+def may_be_latest(known: KnownStore | None, mark: StoreMark) -> bool:
     """Whether a mark may come from the latest state of its store."""
     if known is None or known.process == mark.process:
         return True
     # Another process: a later start, from a save that is no older than any that is known.
-    return mark.life > known.life and mark.loaded >= known.saves
+    return mark.starts > known.starts and mark.loaded_writes >= known.writes
 
 
 class StoreFence:
     """One keeper's memory of the others' stores, and what they say of its own."""
 
     def __init__(self, known: dict[str, KnownStore], now: int) -> None:
-        self.known = known
+        self.known_stores = known
         self._vouched: set[str] = set()
         self.stale = False
-        self.trusted = False  # by an operator's word
+        self.trusted_by_operator = False  # by an operator's word
         self._mark_at = now
-        self.dirty = False
+        self.unsaved = False
 
-    def good(self, others: int) -> bool:
+    def may_vote(self, others: int) -> bool:
         """Whether this store is known to be the latest, with so many other keepers there."""
         enough = 0 if others == 0 else others // 2 + 1
-        return not self.stale and (self.trusted or len(self._vouched) >= enough)
+        return not self.stale and (self.trusted_by_operator or len(self._vouched) >= enough)
 
-    def restart(self, now: int) -> None:
+    def reset(self, now: int) -> None:
         """Another store: nobody has vouched for it."""
         self._vouched.clear()
         self.stale, self._mark_at = False, now
@@ -60,26 +60,26 @@
     def next_at(self) -> int:
         return self._mark_at
 
-    def due(self, now: int, good: bool) -> bool:
+    def mark_is_due(self, now: int, good: bool) -> bool:
         """Whether the mark is to be told again."""
         if now < self._mark_at:
             return False
         self._mark_at = now + (MARK_US if good else ASK_US)
         return True
 
-    def marked(self, mark: StoreMark) -> Message:
+    def receive_mark(self, mark: StoreMark) -> Message:
         """Another keeper tells its mark: what is known of its store is kept before it is answered."""
-        known = self.known.get(mark.store)
-        good = judge(known, mark)
-        fresh = KnownStore(mark.life, mark.saves, mark.process)
-        if good and (known is None or fresh.process != known.process or fresh.saves > known.saves):
-            self.known[mark.store] = fresh
-            self.dirty = True
-        return StoreMarkVerdict(mark.store, mark.process, good)
-
-    def told(self, sender: str, answer: StoreMarkVerdict) -> None:
+        known = self.known_stores.get(mark.store_id)
+        good = may_be_latest(known, mark)
+        fresh = KnownStore(mark.starts, mark.writes, mark.process)
+        if good and (known is None or fresh.process != known.process or fresh.writes > known.writes):
+            self.known_stores[mark.store_id] = fresh
+            self.unsaved = True
+        return StoreMarkVerdict(mark.store_id, mark.process, good)
+
+    def receive_verdict(self, sender: str, answer: StoreMarkVerdict) -> None:
         """What another keeper makes of this one's mark."""
-        if answer.good:
+        if answer.is_latest:
             self._vouched.add(sender)
         else:
             self.stale = True
--- a/gaugesail/coordination/store_messages.py
+++ b/gaugesail/coordination/store_messages.py
@@ -8,16 +8,16 @@
 class StoreMark(Record, frozen=True, tag="Mark"):
     """A keeper's store: its start's number, its save's number, and that of the save it was started from."""
 
-    store: str
-    life: int
-    saves: int
-    loaded: int
+    store_id: str
+    starts: int
+    writes: int
+    loaded_writes: int
     process: int
 
 
 class StoreMarkVerdict(Record, frozen=True, tag="Marked"):
     """What a witness makes of a mark: ``good``, or a later one is known to it."""
 
-    store: str
+    store_id: str
     process: int
-    good: bool
+    is_latest: bool
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -18,7 +18,7 @@
 from twisted.internet.error import CannotListenError
 
 from gaugesail.coordination.messages import ForgetHead, Message
-from gaugesail.coordination.node import FleetNode, StepOutput, StoredState, amount_of, shares_of
+from gaugesail.coordination.node import FleetNode, StepOutput, StoredState, quota_changed_event, quota_name_of
 from gaugesail.policy.settings import Settings
 
 from ..core.engine import Engine
@@ -97,7 +97,7 @@
         self._state()
         self._log.info(
             "fleet_begins", fleet=settings.charter.name, head=settings.head, address=f"{host}:{port}",
-            keeper=self.node.keeper, store=loaded is not None, process=self.process,
+            keeper=self.node.is_replica, store=loaded is not None, process=self.process,
         )  # fmt: skip
         self._step(lambda node, at: node.tick(at))
         if not self._running:
@@ -135,7 +135,7 @@
 
     def _try_store(self) -> None:
         self._store_asked = False
-        leaving = self.node is not None and self.node.holder.leaving
+        leaving = self.node is not None and self.node.lease_holder.leaving
         if self._closed or leaving or self._settings.folder is None or self._store is not None:
             return
         store = FleetStore(self._settings.folder, self._settings.head)
@@ -174,11 +174,11 @@
                 plan.name: (round(plan.limit * 1000), round(plan.limit_burst * 1000))
                 for plan in self._terms.plans if plan.limit
             }  # fmt: skip
-            self.node.state(wholes, round(self._terms.max_request_units * 1000))
+            self.node.set_limits(wholes, round(self._terms.max_request_units * 1000))
 
     def leave(self) -> None:
         """This head ends in order."""
-        if self.node is not None and not self.node.holder.leaving:
+        if self.node is not None and not self.node.lease_holder.leaving:
             self._log.info("fleet_leaves", head=self._settings.head)
             self._step(lambda node, now: node.leave(now))
 
@@ -206,25 +206,25 @@
             self._carry_out(node, now, call(node, now))
         except Exception as error:  # a fault of ours must not end the head: it serves on with what it has
             self._log.error("fleet_raised", error=repr(error))
-            if node.holds_store:  # what half a step promised may not be kept: nothing may rest on it
+            if node.has_store:  # what half a step promised may not be kept: nothing may rest on it
                 node.store_failed(now, "a step was not carried out")
         self._plan()
 
     def _carry_out(self, node: FleetNode, now: int, out: StepOutput) -> None:
         self._tell(out)
-        if out.save is not None and self._store is not None:
+        if out.write is not None and self._store is not None:
             try:
-                self._store.write(out.save)
+                self._store.write(out.write)
                 self._store_again_us = STORE_AGAIN_US
             except StoreFailed as error:
                 node.store_failed(now, str(error))
                 self._store = None
                 self._ask_for_store()
                 return  # said by the next tick, without what this step was for
-        if out.shares is not None:
+        if out.quota is not None:
             assert self._engine is not None
-            self._engine.share(shares_of(out.shares))
-        for to, message in out.sends:
+            self._engine.share(quota_changed_event(out.quota))
+        for to, message in out.messages:
             if to == self._settings.head:
                 self._clock.call_later(0, lambda m=message: self._heard(self._settings.head, self.process, m))  # type: ignore[misc]
             else:
@@ -260,10 +260,10 @@
             return
         worth = {plan.name: max(1, round(plan.priority_weight * 1000)) for plan in self._terms.plans}
         asked = {
-            amount_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
+            quota_name_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
             for plan, volume, units, spent, saved in self._engine.wants()
         }
-        self._step(lambda node, now: node.want(now, asked))
+        self._step(lambda node, now: node.report_demand(now, asked))
         self._clock.call_later(WANT_US, self._wants)
 
     def _sweep(self) -> None:
@@ -277,7 +277,7 @@
         """Where a head is reached: by this head's own file, or else as it says of itself."""
         if (found := self._settings.peers.get(name)) is not None:
             return found
-        told = self.node.members.address(name) if self.node is not None else ""
+        told = self.node.membership.address_of(name) if self.node is not None else ""
         try:
             return split_address(told) if told else None
         except BadList:
@@ -300,7 +300,7 @@
                 told = {"dropped": dict(self.wire.dropped), **self.link.counts}
                 return 200, json.dumps(told)
             case "GET", ["petitions", number] if number.isdigit():
-                answer = node.answer(int(number))
+                answer = node.take_command_result(int(number))
                 state: dict[str, Any] = {"known": answer is not None}
                 if answer is not None:
                     state["done"], state["why"] = answer
@@ -320,7 +320,7 @@
         numbers: list[int] = []
 
         def ask(node: FleetNode, now: int) -> StepOutput:
-            number, out = node.petition(now, ForgetHead(name))
+            number, out = node.submit_command(now, ForgetHead(name))
             numbers.append(number)
             return out
 
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -154,16 +154,16 @@
             raise StoreFailed(f"{self.path}: it is closed")
         try:
             db.execute("begin")
-            if save.anew:
+            if save.replaces_store:
                 db.execute("delete from log")
                 db.execute("delete from one where name = 'snapshot'")
-            self._put(db, "kept", _pack(save.kept))
-            if save.first is not None:
-                db.execute("delete from log where at >= ?", (save.first,))
-                rows = [(at, data, _sum(data)) for at, data in self._rows(save.first, save.entries)]
+            self._put(db, "kept", _pack(save.state))
+            if save.first_index is not None:
+                db.execute("delete from log where at >= ?", (save.first_index,))
+                rows = [(at, data, _sum(data)) for at, data in self._rows(save.first_index, save.entries)]
                 db.executemany("insert into log values (?, ?, ?)", rows)
             if (taken := save.snapshot) is not None:
-                told = _Snapshot(taken.index, taken.term, taken.seats, taken.state)
+                told = _Snapshot(taken.index, taken.term, taken.voters, taken.state)
                 self._put(db, "snapshot", _pack(told))
                 db.execute("delete from log where at <= ?", (taken.index,))
             db.execute("commit")
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -27,8 +27,8 @@
     PersistentState,
     StepOutput,
     StoredState,
-    amount_of,
-    shares_of,
+    quota_changed_event,
+    quota_name_of,
 )
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
 from gaugesail.policy.events import (
@@ -78,12 +78,12 @@
     def write(self, save: Any) -> bool:
         if self.full:
             return False
-        self.kept = copy.deepcopy(save.kept)
-        if save.anew:
+        self.kept = copy.deepcopy(save.state)
+        if save.replaces_store:
             self.snapshot, self.log = Snapshot(), {}
-        if save.first is not None:
-            self.log = {index: entry for index, entry in self.log.items() if index < save.first}
-            self.log.update(enumerate(save.entries, save.first))
+        if save.first_index is not None:
+            self.log = {index: entry for index, entry in self.log.items() if index < save.first_index}
+            self.log.update(enumerate(save.entries, save.first_index))
         if save.snapshot is not None:
             self.snapshot = save.snapshot
             self.log = {index: entry for index, entry in self.log.items() if index > save.snapshot.index}
@@ -215,7 +215,7 @@
     def tell_limit(self) -> None:
         if self.node is not None:
             pair = round(self.limit.rate * 1000), round(self.limit.burst * 1000)
-            self.node.state({"plan": pair}, round(self.world.most_units * 1000))
+            self.node.set_limits({"plan": pair}, round(self.world.most_units * 1000))
 
     def retune(self, limit: Limit, then: Callable[[], None] = lambda: None) -> None:
         """Its file says another limit; asleep, it hears of it when it wakes."""
@@ -288,17 +288,17 @@
         for event, _ in out.notices:
             self.notices[event] += 1
         things: list[Callable[[], None]] = []
-        if out.save is not None:
+        if out.write is not None:
             # What is kept is what it was then.
-            save = copy.deepcopy(out.save)
+            save = copy.deepcopy(out.write)
             if self.disk is None or not self.disk.write(save):
                 node.store_failed(self.now(), "full")
                 self._plan()
                 return
             things.append(lambda: None)
-        if (shares := out.shares) is not None:
+        if (shares := out.quota) is not None:
             things.append(lambda: self._shares(shares))
-        things += [self._sending(to, message) for to, message in out.sends]
+        things += [self._sending(to, message) for to, message in out.messages]
         self.do(*things)
         self._plan()
 
@@ -340,16 +340,16 @@
         if self.asleep or self.gateway is None:
             return
         asked = {
-            amount_of(plan, volume): (units, spent, saved, 1000)
+            quota_name_of(plan, volume): (units, spent, saved, 1000)
             for plan, volume, units, spent, saved in self.gateway.amounts.take_demand(self.now())
         }
-        self.step(lambda node: node.want(self.now(), asked))
+        self.step(lambda node: node.report_demand(self.now(), asked))
 
     # ---- its gateway ----
 
     def _shares(self, told: QuotaUpdate) -> None:
         assert self.gateway is not None
-        event = shares_of(told)
+        event = quota_changed_event(told)
         self._carry(self.gateway.handle(self.now(), [event]))
 
     def ask(self, units: float, volume: int) -> None:
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -20,12 +20,12 @@
 import msgspec
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.bootstrap import name_of, seat_of
 from gaugesail.coordination.consensus import RaftNode, Role, Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder, _Want
 from gaugesail.coordination.quota_ledger import Pair
 from gaugesail.coordination.replica import Replica
+from gaugesail.coordination.replica_id import make_replica_id, name_of
 
 NAMES = ("h0", "h1", "h2")
 AMOUNT = "p/1"
@@ -100,8 +100,8 @@
 
 
 def _raft(name: str, now: int, keepers: int, term: int, vote: str, log: list[m.LogEntry]) -> RaftNode:
-    seats = tuple(seat_of(name, "s") for name in NAMES[:keepers])
-    raft = RaftNode(seat_of(name, "s"), Still(), now, term, vote, Snapshot(0, 0, seats), list(log))
+    seats = tuple(make_replica_id(name, "s") for name in NAMES[:keepers])
+    raft = RaftNode(make_replica_id(name, "s"), Still(), now, term, vote, Snapshot(0, 0, seats), list(log))
     raft.may_vote = True
     return raft
 
@@ -124,14 +124,14 @@
         cell, now = room.cells[name], room.now
         keeper, raft = cell.keeper, cell.keeper.raft
         raft._round_at = now - 1_000_000
-        keeper.work(now)
-        if (save := raft.take_save()) is not None:
-            cell.term, cell.vote = save.term, save.vote
-            if save.first is not None:
-                cell.log[save.first - 1 :] = save.entries
-        said = [(name, to, _pack(what)) for to, what in keeper.take_out()]
+        keeper.process(now)
+        if (save := raft.take_write()) is not None:
+            cell.term, cell.vote = save.term, save.voted_for
+            if save.first_index is not None:
+                cell.log[save.first_index - 1 :] = save.entries
+        said = [(name, to, _pack(what)) for to, what in keeper.take_messages()]
         said += [(name, to, _pack(what)) for to, what in cell.holder.take_out()]
-        keeper.notes.clear()
+        keeper.notices.clear()
         cell.holder.notes.clear()
         cell.holder.spendable()
         cell.holder.floor_dirty = False
@@ -139,7 +139,7 @@
         return said
 
     def _still(self, cell: Cell, now: int) -> None:
-        raft, office, holder = cell.keeper.raft, cell.keeper.office, cell.holder
+        raft, office, holder = cell.keeper.raft, cell.keeper.lease_manager, cell.holder
         raft._round_at, raft._beat_at, raft._election_at = now - 1_000_000, NEVER, NEVER
         raft._heard_at = now - 10_000_000
         raft.now = now
@@ -179,7 +179,9 @@
             case m.LeaseRequest():
                 room.air = tuple(other for other in room.air if other != item)
                 leader = cell.keeper.raft.leader
-                for to, said in cell.keeper.ask(room.now, sender, what, name_of(leader) if leader else ""):
+                for to, said in cell.keeper.receive_lease_request(
+                    room.now, sender, what, name_of(leader) if leader else ""
+                ):
                     room.air = tuple(sorted({*room.air, (name, to, _pack(said))}))
             case _:
                 cell.keeper.raft.receive(room.now, what)
--- a/gaugesail/lab/troubles.py
+++ b/gaugesail/lab/troubles.py
@@ -90,7 +90,7 @@
         return self.rng.choice(list(self.world.heads.values()))
 
     def _leader(self) -> LabHead:
-        leads = [head for head in self.world.heads.values() if head.node is not None and head.node.leads]
+        leads = [head for head in self.world.heads.values() if head.node is not None and head.node.is_leader]
         return self.rng.choice(leads) if leads else self._any()
 
     def _back(self, head: LabHead, store: bool = True) -> Callable[[], None]:
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.bootstrap import seat_of
 from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
 from gaugesail.coordination.node import FleetNode, PersistentState, StepOutput
 from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.replica_id import make_replica_id
 
 from ..lab.fleet import SECOND, Disk, FleetWorld, LabHead, Limit
 from ..lab.troubles import Demand
@@ -51,7 +51,7 @@
 
 
 def leader(world: FleetWorld) -> LabHead:
-    return next(head for head in world.heads.values() if head.node is not None and head.node.leads)
+    return next(head for head in world.heads.values() if head.node is not None and head.node.is_leader)
 
 
 def others(world: FleetWorld, *names: str) -> list[str]:
@@ -197,11 +197,11 @@
         ask(world, ["h3", "h4"], 2.4)
         for name in keepers:
             world.line(boss, name).delay_us = 500_000
-        seat = world.heads[boss].node.seat  # type: ignore[union-attr]
+        replica = world.heads[boss].node.replica  # type: ignore[union-attr]
         end = world.now + 4 * SECOND
-        while world.now < end and seat is not None and seat.office is not None:
+        while world.now < end and replica is not None and replica.lease_manager is not None:
             ask(world, ["h4"], 0.02)
-            mine = [tenant for tenant in seat.office.tenants.values() if tenant.head == "h3"]
+            mine = [tenant for tenant in replica.lease_manager.tenants.values() if tenant.head == "h3"]
             if not mine or mine[0].until - world.heads[boss].now() < (100 + 100 * seed) * 1000:
                 break
         for name in world.charter.keepers:
@@ -466,18 +466,18 @@
 def _keeper(charter: FleetTerms, disk: Disk) -> FleetNode:
     """A seated keeper whose store is taken for the latest."""
     loaded = disk.load(random.Random(1))
-    node = FleetNode(charter, "d", "h1", "h1:1", 7 + loaded.kept.life, 1, loaded, 1, 0)
+    node = FleetNode(charter, "d", "h1", "h1:1", 7 + loaded.state.starts, 1, loaded, 1, 0)
     _write(disk, node.trust_store(0))
     return node
 
 
 def _write(disk: Disk, out: StepOutput) -> bool:
-    return out.save is None or disk.write(out.save)
+    return out.write is None or disk.write(out.write)
 
 
 def _seats(charter: FleetTerms) -> tuple[Disk, tuple[str, ...]]:
-    seats = tuple(seat_of(name, f"store-{name}") for name in charter.keepers)
-    kept = PersistentState("store-h1", fleet="f", seats=seats, bound="store-h0")
+    seats = tuple(make_replica_id(name, f"store-{name}") for name in charter.keepers)
+    kept = PersistentState("store-h1", fleet_id="f", voters=seats, bound_to="store-h0")
     return Disk(kept), seats
 
 
@@ -496,7 +496,7 @@
 
 
 def _granted(out: StepOutput) -> bool:
-    return any(isinstance(said, m.VoteResponse) and said.granted for _, said in out.sends)
+    return any(isinstance(said, m.VoteResponse) and said.granted for _, said in out.messages)
 
 
 def full_at_vote() -> int:
@@ -511,7 +511,7 @@
     node.store_failed(10, "full")
     later = [node.tick(20 + n * SECOND) for n in range(5)]
     later.append(node.receive(9 * SECOND, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0)))
-    return sum(map(_granted, later)) + int(node.keeper)
+    return sum(map(_granted, later)) + int(node.is_replica)
 
 
 def older_term() -> int:
@@ -522,8 +522,8 @@
     _write(disk, node.receive(10, "h2", 1, m.VoteRequest(seats[2], 6, False, 0, 0)))
     entry = m.LogEntry(5, m.Noop())
     out = node.receive(20, "h0", 1, m.AppendEntries(seats[0], 5, 0, 0, (entry,), 1, 1))
-    taken = any(isinstance(said, m.AppendResponse) and said.ok for _, said in out.sends)
-    return int(taken) + len(node.seat.raft.log if node.seat is not None else ())
+    taken = any(isinstance(said, m.AppendResponse) and said.success for _, said in out.messages)
+    return int(taken) + len(node.replica.raft.log if node.replica is not None else ())
 
 
 def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
@@ -592,7 +592,7 @@
     entries = tuple(m.LogEntry(3, m.OpenSession(f"h{n}", n + 1, "")) for n in range(3))
     _write(disk, node.receive(10, "h0", 1, m.AppendEntries(seats[0], 3, 0, 0, entries, 2, 1)))
     again = _keeper(charter, copy.deepcopy(disk))
-    seat, old = again.seat, node.seat
+    seat, old = again.replica, node.replica
     if seat is None or old is None:
         return 1
     return int(seat.raft.log != old.raft.log) + int(seat.raft.term != 3) + int(seat.raft.snapshot != Snapshot(
--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -140,7 +140,7 @@
     def save(self: Any) -> Any:
         found = old(self)
         if found is not None:
-            found.first, found.entries = None, ()
+            found.first_index, found.entries = None, ()
         return found
 
     return save
@@ -152,7 +152,7 @@
     def save(self: Any) -> Any:
         found = old(self)
         if found is not None:
-            found.kept.vote, found.kept.term = "", max(0, found.kept.term - 1)
+            found.state.voted_for, found.state.term = "", max(0, found.state.term - 1)
         return found
 
     return save
@@ -237,16 +237,16 @@
     Plant("expired_spent", "a part is spent after its lease",
           lambda: [_method(rate_limits.RateLimits, "update_quota", _forever)]),
     Plant("minority", "one keeper alone is a majority",
-          lambda: [patch.object(consensus.RaftNode, "majority", property(lambda self: 1))]),
+          lambda: [patch.object(consensus.RaftNode, "quorum_size", property(lambda self: 1))]),
     Plant("entries_not_kept", "entries are acknowledged and not written",
-          lambda: [_method(consensus.RaftNode, "take_save", _not_kept)]),
+          lambda: [_method(consensus.RaftNode, "take_write", _not_kept)]),
     Plant("any_log_elected", "who lacks entries is elected",
-          lambda: [patch.object(consensus.RaftNode, "_longer", lambda self, vote: True)]),
+          lambda: [patch.object(consensus.RaftNode, "_is_up_to_date", lambda self, request: True)]),
     Plant("floor_twice", "two heads have one floor",
           lambda: [patch.object(quota_ledger.QuotaLedger, "_slot", _floor_any)]),
     Plant("old_store_trusted", "an old copy of a store votes",
-          lambda: [patch.object(store_fencing.StoreFence, "good", lambda self, others: True),
-                   patch.object(store_fencing, "judge", lambda known, mark: True)]),
+          lambda: [patch.object(store_fencing.StoreFence, "may_vote", lambda self, others: True),
+                   patch.object(store_fencing, "may_be_latest", lambda known, mark: True)]),
     Plant("born_full", "a process begins with a full store",
           lambda: [_method(rate_limits.RateLimits, "open_bucket", _full)]),
     Plant("grown_full", "a part that grows grows full",
@@ -254,7 +254,7 @@
     Plant("closed_early", "a lease is given up by its giver before its holder's end",
           lambda: [_method(lease_manager.LeaseManager, "tick", _closed_early)]),
     Plant("not_confirmed", "an ask is answered without a round of the majority",
-          lambda: [patch.object(consensus.RaftNode, "confirmed", property(_unconfirmed))]),
+          lambda: [patch.object(consensus.RaftNode, "confirmed_round", property(_unconfirmed))]),
     Plant("vote_not_kept", "a vote is given and not written",
           lambda: [_method(node.FleetNode, "_save", _vote_forgotten)]),
     Plant("closing_renewed", "a session whose end is on its way is renewed",
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -35,8 +35,8 @@
                 if one.role is Role.LEADER:
                     one.tick(self.now)
                 one.flush(self.now)
-                one.take_save()
-                for to, said in one.take_out():
+                one.take_write()
+                for to, said in one.take_messages():
                     if to in self.all and not {seat, to} & self.deaf:
                         self.all[to].receive(self.now, said)
 
@@ -54,7 +54,7 @@
     a = three.lead()
     index = a.propose(m.CloseSession(7))
     three.talk()
-    assert all(one.commit >= index for one in three.all.values() if index)
+    assert all(one.commit_index >= index for one in three.all.values() if index)
     assert {one.leader for one in three.all.values()} == {"a#1"}
     assert [command for _, command in three.all["c#1"].committed()][-1] == m.CloseSession(7)
 
@@ -65,14 +65,14 @@
     three.talk()
     b = three.all["b#1"]
     b.receive(three.now, m.VoteRequest("c#1", 9, False, 0, 0))
-    (_, short), *_ = [item for item in b.take_out() if isinstance(item[1], m.VoteResponse)]
+    (_, short), *_ = [item for item in b.take_messages() if isinstance(item[1], m.VoteResponse)]
     assert isinstance(short, m.VoteResponse) and not short.granted, "its log is shorter"
-    b.receive(three.now, m.VoteRequest("c#1", 9, False, b.last, 9))
-    b.receive(three.now, m.VoteRequest("a#1", 9, False, b.last, 9))
-    granted = [said.granted for _, said in b.take_out() if isinstance(said, m.VoteResponse)]
-    assert granted == [True, False] and b.vote == "c#1"
-    save = b.take_save()
-    assert save is not None and (save.term, save.vote) == (9, "c#1"), "kept before it is said"
+    b.receive(three.now, m.VoteRequest("c#1", 9, False, b.last_index, 9))
+    b.receive(three.now, m.VoteRequest("a#1", 9, False, b.last_index, 9))
+    granted = [said.granted for _, said in b.take_messages() if isinstance(said, m.VoteResponse)]
+    assert granted == [True, False] and b.voted_for == "c#1"
+    save = b.take_write()
+    assert save is not None and (save.term, save.voted_for) == (9, "c#1"), "kept before it is said"
 
 
 def test_who_may_not_vote_stands_for_nothing() -> None:
@@ -80,7 +80,7 @@
     a = three.all["a#1"]
     a.may_vote = False
     a.tick(three.now + 5 * ELECTION_US)
-    assert a.role is Role.FOLLOWER and not a.take_out()
+    assert a.role is Role.FOLLOWER and not a.take_messages()
 
 
 def test_a_leader_that_hears_of_no_majority_steps_down() -> None:
@@ -98,13 +98,13 @@
     three = Three()
     a = three.lead()
     three.deaf = {"a#1"}
-    number = a.confirm()
+    number = a.request_round()
     three.talk()
-    assert a.confirmed < number
+    assert a.confirmed_round < number
     three.deaf = {"c#1"}
-    a.confirm()
+    a.request_round()
     three.talk()
-    assert a.confirmed >= number
+    assert a.confirmed_round >= number
 
 
 def test_entries_of_a_leader_that_was_cut_off_give_way() -> None:
@@ -143,14 +143,15 @@
     three.lead()
     b = three.all["b#1"]
     b.receive(three.now, m.VoteRequest("c#1", 9, False, 99, 9))
-    b.take_out()
-    before = b.last, b.commit
+    b.take_messages()
+    before = b.last_index, b.commit_index
     b.receive(
-        three.now, m.AppendEntries("a#1", 1, b.last, 1, (m.LogEntry(1, m.CloseSession(1)),), b.last + 1, 1)
+        three.now,
+        m.AppendEntries("a#1", 1, b.last_index, 1, (m.LogEntry(1, m.CloseSession(1)),), b.last_index + 1, 1),
     )
-    (_, said), *_ = b.take_out()
-    assert isinstance(said, m.AppendResponse) and not said.ok and said.term == 9
-    assert (b.last, b.commit) == before
+    (_, said), *_ = b.take_messages()
+    assert isinstance(said, m.AppendResponse) and not said.success and said.term == 9
+    assert (b.last_index, b.commit_index) == before
 
 
 def test_one_with_a_longer_log_and_an_older_term_learns_the_term_and_is_elected() -> None:
@@ -158,10 +159,10 @@
     a = three.lead()
     three.deaf = {"b#1", "c#1"}
     for seat in ("b#1", "c#1"):
-        three.all[seat]._enter(a.term + 5)
+        three.all[seat]._enter_term(a.term + 5)
     three.deaf = set()
-    a._follow(three.now, a.term, "")
-    a._put(m.CloseSession(1))
+    a._become_follower(three.now, a.term, "")
+    a._append(m.CloseSession(1))
     for _ in range(6):
         three.now += 2 * ELECTION_US
         a.tick(three.now)
@@ -172,14 +173,14 @@
 def test_seats_change_one_at_a_time_and_not_before_the_last_change_is_committed() -> None:
     three = Three()
     a = three.lead()
-    assert a.reseat(three.now, {"a#1", "b#1", "c#2"}) is None, "that is two changes"
-    assert a.reseat(three.now, {"a#1", "b#1"}) is not None
-    assert a.reseat(three.now, {"a#1", "b#1", "c#2"}) is None, "the first is not committed"
+    assert a.replace_voters(three.now, {"a#1", "b#1", "c#2"}) is None, "that is two changes"
+    assert a.replace_voters(three.now, {"a#1", "b#1"}) is not None
+    assert a.replace_voters(three.now, {"a#1", "b#1", "c#2"}) is None, "the first is not committed"
     three.talk()
-    assert a.reseat(three.now, {"a#1", "b#1", "c#2"}) is not None
+    assert a.replace_voters(three.now, {"a#1", "b#1", "c#2"}) is not None
     three.all["c#2"] = three.make("c#2", Snapshot())
     three.talk(30)
-    assert three.all["c#2"].commit == a.commit and a.seats == ("a#1", "b#1", "c#2")
+    assert three.all["c#2"].commit_index == a.commit_index and a.voters == ("a#1", "b#1", "c#2")
 
 
 def test_a_log_is_made_short_and_who_is_behind_gets_the_whole() -> None:
@@ -190,7 +191,7 @@
         a.propose(m.CloseSession(n))
         three.talk(2)
     assert list(a.committed())
-    a.shorten(b"the ledger")
+    a.compact(b"the ledger")
     assert not a.log and a.snapshot.state == b"the ledger"
     three.deaf = set()
     for _ in range(30):
@@ -198,29 +199,31 @@
         a.tick(three.now)
         three.talk(2)
     c = three.all["c#1"]
-    assert c.installed and c.snapshot.state == b"the ledger" and c.commit == a.commit
+    assert c.snapshot_installed and c.snapshot.state == b"the ledger" and c.commit_index == a.commit_index
 
 
 def test_a_keeper_alone_leads_and_answers_petitions() -> None:
     three = Three(("a#1",))
     raft = three.all["a#1"]
     seat = Replica(FleetTerms("f", ("a",)), "d", "f", raft, 0)
-    seat.petition("x", m.OperatorCommand(1, m.ForgetHead("h")), "")
-    assert seat.take_out()[-1] == ("x", m.OperatorCommandResult(1, False, "the leader is not known"))
+    seat.receive_command("x", m.OperatorCommand(1, m.ForgetHead("h")), "")
+    assert seat.take_messages()[-1] == ("x", m.OperatorCommandResult(1, False, "the leader is not known"))
     three.now += 3 * ELECTION_US
     raft.tick(three.now)
-    seat.work(three.now)
-    assert seat.office is not None and ("leads", {"term": 1}) in seat.notes
+    seat.process(three.now)
+    assert seat.lease_manager is not None and ("leads", {"term": 1}) in seat.notices
     raft.propose(m.OpenSession("h", 5, "store"))
-    seat.work(three.now)
-    seat.petition("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
-    seat.petition("x", m.OperatorCommand(3, m.ForgetHead("g")), "a")
+    seat.process(three.now)
+    seat.receive_command("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
+    seat.receive_command("x", m.OperatorCommand(3, m.ForgetHead("g")), "a")
     raft.propose(m.CloseSession(next(iter(seat.ledger.sessions))))
-    seat.work(three.now)
-    seat.petition("x", m.OperatorCommand(4, m.ForgetHead("h")), "a")
-    seat.work(three.now)
+    seat.process(three.now)
+    seat.receive_command("x", m.OperatorCommand(4, m.ForgetHead("h")), "a")
+    seat.process(three.now)
     heard = {
-        said.number: said.done for _, said in seat.take_out() if isinstance(said, m.OperatorCommandResult)
+        said.number: said.done
+        for _, said in seat.take_messages()
+        if isinstance(said, m.OperatorCommandResult)
     }
     assert heard == {2: False, 3: True, 4: True} and not seat.ledger.slots
     assert set(seat.view(three.now)) == {"settled", "version", "wholes", "slots", "sessions", "amounts"}
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -45,7 +45,7 @@
     def talk(self) -> None:
         for _ in range(4):
             for name, one in self.all.items():
-                for to, said in one.out():
+                for to, said in one.take_messages():
                     if to in self.all and not {name, to} & self.deaf:
                         self.all[to].receive(self.now, name, said)
 
@@ -56,29 +56,29 @@
     assert all(len(one) == 6 for one in fleet.all.values())
     fleet.deaf = {"h3"}
     fleet.run(25)
-    assert fleet.all["h0"].state("h3") == MemberState.GONE
+    assert fleet.all["h0"].state_of("h3") == MemberState.GONE
     fleet.deaf = set()
     fleet.run(20)
-    assert all(one.state("h3") == MemberState.ALIVE for one in fleet.all.values())
-    told = [change.how for change in fleet.all["h0"].changes() if change.name == "h3"]
+    assert all(one.state_of("h3") == MemberState.ALIVE for one in fleet.all.values())
+    told = [change.kind for change in fleet.all["h0"].take_changes() if change.name == "h3"]
     assert told[:3] == ["join", "suspect", "gone"] and told[-1] in ("back", "refute")
 
 
 def test_a_head_refutes_what_is_said_of_it_by_a_larger_incarnation() -> None:
     one = head("a", 5)
     one.receive(10, "b", m.StateSync((rumour("a", MemberState.SUSPECT, 3, process=5),), False))
-    assert one.me.incarnation == 4 and one.me.state == MemberState.ALIVE
-    assert one.health > 0, "it was slow to answer"
+    assert one.own_update.incarnation == 4 and one.own_update.state == MemberState.ALIVE
+    assert one.local_health > 0, "it was slow to answer"
 
 
 def test_a_new_life_takes_the_place_of_an_earlier_one_whose_clock_was_ahead() -> None:
     one = head("a", 5, generation=10)
     one.receive(10, "b", m.StateSync((rumour("a", MemberState.ALIVE, 0, generation=900, process=4),), False))
-    assert one.me.generation == 901 and not one.usurped
+    assert one.own_update.generation == 901 and not one.name_taken
     one.receive(
         900 * SECOND, "b", m.StateSync((rumour("a", MemberState.ALIVE, 0, generation=990, process=6),), False)
     )
-    assert one.usurped, "long after its start that is another process under its name"
+    assert one.name_taken, "long after its start that is another process under its name"
 
 
 def test_rumours_in_any_order_come_to_the_same() -> None:
@@ -92,7 +92,7 @@
         for item in order:
             one.receive(10, "b", m.StateSync((item,), False))
         digests.add(one.digest())
-        assert one.state("x") == MemberState.ALIVE
+        assert one.state_of("x") == MemberState.ALIVE
     assert len(digests) == 1
 
 
@@ -100,11 +100,11 @@
     fleet = Fleet(3)
     fleet.run(4)
     one = fleet.all["h0"]
-    one.changes()
+    one.take_changes()
     one.tick(fleet.now + 60 * SECOND)
     one.tick(fleet.now + 60 * SECOND + PERIOD_US // 2)
-    assert not [change for change in one.changes() if change.how == "gone"]
-    assert one.health > 0
+    assert not [change for change in one.take_changes() if change.kind == "gone"]
+    assert one.local_health > 0
 
 
 def test_one_that_leaves_is_left_and_not_gone() -> None:
@@ -113,7 +113,7 @@
     fleet.all["h2"].leave(fleet.now)
     fleet.talk()
     fleet.run(3)
-    assert fleet.all["h0"].state("h2") == MemberState.LEFT
+    assert fleet.all["h0"].state_of("h2") == MemberState.LEFT
 
 
 class AnyRumours(RuleBasedStateMachine):
@@ -123,7 +123,7 @@
     def begin(self) -> None:
         self.one, self.now = head("a", 5), 0
         self.largest: dict[str, tuple[int, int, int]] = {}
-        self.mine = rank(self.one.me)
+        self.mine = rank(self.one.own_update)
 
     @rule(name=st.sampled_from("bcd"), state=st.sampled_from(list(MemberState)), generation=st.integers(1, 3),
           incarnation=st.integers(0, 3))  # fmt: skip
@@ -142,15 +142,15 @@
         self.one.tick(self.now)
         for name, member in self.one:
             if name in self.largest:  # its own doubts count too
-                self.largest[name] = max(self.largest[name], rank(member.rumour))
+                self.largest[name] = max(self.largest[name], rank(member.update))
 
     @invariant()
     def the_largest_holds_and_it_lives(self) -> None:
         for name, largest in self.largest.items():
             member = dict(self.one).get(name)
-            assert member is not None and rank(member.rumour) == largest
-        assert self.one.me.state == MemberState.ALIVE and rank(self.one.me) >= self.mine
-        self.mine = rank(self.one.me)
+            assert member is not None and rank(member.update) == largest
+        assert self.one.own_update.state == MemberState.ALIVE and rank(self.one.own_update) >= self.mine
+        self.mine = rank(self.one.own_update)
 
 
 AnyRumours.TestCase.settings = settings(max_examples=50, stateful_step_count=25)
--- a/tests/coordination/test_planted_faults.py
+++ b/tests/coordination/test_planted_faults.py
@@ -61,7 +61,9 @@
 
 def test_two_hundred_heads_that_start_in_one_second_all_have_a_lease() -> None:
     world = budgets.world_of(200, 1)
-    held = sum(head.node is not None and head.node.holder.until > head.now() for head in world.heads.values())
+    held = sum(
+        head.node is not None and head.node.lease_holder.until > head.now() for head in world.heads.values()
+    )
     world.audit()
     world.run(world.now + SECOND)
     assert held == 200 and world.counts["rights_over"] == 0
--- a/tests/coordination/test_quota.py
+++ b/tests/coordination/test_quota.py
@@ -13,7 +13,7 @@
 from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
 from gaugesail.coordination.quota_division import QuotaClaim, divide
 from gaugesail.coordination.quota_ledger import QuotaLedger
-from gaugesail.coordination.store_fencing import KnownStore, StoreFence, judge
+from gaugesail.coordination.store_fencing import KnownStore, StoreFence, may_be_latest
 
 CHARTER = FleetTerms("f", ("a", "b", "c"), most_heads=4)
 
@@ -327,17 +327,17 @@
 
 
 def test_a_store_is_judged_by_the_latest_mark_that_is_known_of_it() -> None:
-    known = KnownStore(life=3, saves=40, process=9)
-    assert judge(None, m.StoreMark("s", 1, 1, 0, 5))
-    assert judge(known, m.StoreMark("s", 3, 41, 30, 9)), "the same process goes on"
-    assert judge(known, m.StoreMark("s", 4, 42, 41, 10)), "the next one, from a save as late"
-    assert not judge(known, m.StoreMark("s", 4, 42, 39, 10)), "from an older copy"
-    assert not judge(known, m.StoreMark("s", 3, 50, 45, 10)), "two of one life"
+    known = KnownStore(starts=3, writes=40, process=9)
+    assert may_be_latest(None, m.StoreMark("s", 1, 1, 0, 5))
+    assert may_be_latest(known, m.StoreMark("s", 3, 41, 30, 9)), "the same process goes on"
+    assert may_be_latest(known, m.StoreMark("s", 4, 42, 41, 10)), "the next one, from a save as late"
+    assert not may_be_latest(known, m.StoreMark("s", 4, 42, 39, 10)), "from an older copy"
+    assert not may_be_latest(known, m.StoreMark("s", 3, 50, 45, 10)), "two of one life"
     one = StoreFence({}, 0)
-    assert not one.good(2)
-    one.told("a", m.StoreMarkVerdict("s", 1, True))
-    assert not one.good(2), "of two others both are needed: more than half"
-    one.told("b", m.StoreMarkVerdict("s", 1, True))
-    assert one.good(2)
-    one.told("a", m.StoreMarkVerdict("s", 1, False))
-    assert one.stale and not one.good(2)
+    assert not one.may_vote(2)
+    one.receive_verdict("a", m.StoreMarkVerdict("s", 1, True))
+    assert not one.may_vote(2), "of two others both are needed: more than half"
+    one.receive_verdict("b", m.StoreMarkVerdict("s", 1, True))
+    assert one.may_vote(2)
+    one.receive_verdict("a", m.StoreMarkVerdict("s", 1, False))
+    assert one.stale and not one.may_vote(2)
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -125,7 +125,7 @@
     assert node is not None
     fleet.run(5)
     told = json.loads(agent.call("GET", ["budgets"])[1])
-    assert not node.keeper and not told["keeper"] and not told["leads"]
+    assert not node.is_replica and not told["keeper"] and not told["leads"]
     assert told["own"]["floors"] == before and told["own"]["lease_s"] > 0, "it serves on, as a holder"
     assert "fleet_store_failed" in fleet.log.getvalue()
     fleet.end()
@@ -160,7 +160,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(agent.node, "receive", wrong)
         fleet.run(0.5)
-    assert "fleet_raised" in fleet.log.getvalue() and not agent.node.keeper
+    assert "fleet_raised" in fleet.log.getvalue() and not agent.node.is_replica
     fleet.run(8)
     assert json.loads(agent.call("GET", ["budgets"])[1])["own"]["lease_s"] > 0
     fleet.end()
@@ -177,7 +177,7 @@
     first.leave()
     first.close()
     fleet.run(4)
-    assert second.node is not None and second.node.holder.until > fleet.clock.now_us()
+    assert second.node is not None and second.node.lease_holder.until > fleet.clock.now_us()
     fleet.end()
 
 
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -25,33 +25,40 @@
 
 def test_what_is_written_is_there_for_the_next_process(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    assert found.log == [] and found.kept.store
+    assert found.entries == [] and found.state.store_id
     kept = PersistentState(
-        found.kept.store, 3, 9, vote="h2#s", term=7, slot=2, version=4, wholes={"p": (1, 2)}
+        found.state.store_id,
+        3,
+        9,
+        voted_for="h2#s",
+        term=7,
+        floor_slot=2,
+        floor_version=4,
+        floor_limits={"p": (1, 2)},
     )
     store.write(StoreWrite(kept, 1, entries(1, 1, 2)))
     store.write(StoreWrite(kept, 3, entries(3)))
     store.close()
     again = opened(tmp_path)[1]
-    assert again.kept == kept and [entry.term for entry in again.log] == [1, 1, 3]
+    assert again.state == kept and [entry.term for entry in again.entries] == [1, 1, 3]
 
 
 def test_a_snapshot_takes_the_place_of_the_entries_before_it(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    store.write(StoreWrite(found.kept, 1, entries(1, 1, 2)))
-    store.write(StoreWrite(found.kept, snapshot=Snapshot(2, 1, ("a#b",), b"ledger")))
+    store.write(StoreWrite(found.state, 1, entries(1, 1, 2)))
+    store.write(StoreWrite(found.state, snapshot=Snapshot(2, 1, ("a#b",), b"ledger")))
     store.close()
     again = opened(tmp_path)[1]
-    assert again.snapshot == Snapshot(2, 1, ("a#b",), b"ledger") and [e.term for e in again.log] == [2]
+    assert again.snapshot == Snapshot(2, 1, ("a#b",), b"ledger") and [e.term for e in again.entries] == [2]
 
 
 def test_another_store_begins_with_no_log(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    store.write(StoreWrite(found.kept, 1, entries(1, 1)))
-    store.write(StoreWrite(PersistentState("other"), anew=True))
+    store.write(StoreWrite(found.state, 1, entries(1, 1)))
+    store.write(StoreWrite(PersistentState("other"), replaces_store=True))
     store.close()
     again = opened(tmp_path)[1]
-    assert again.kept.store == "other" and not again.log and not again.snapshot.index
+    assert again.state.store_id == "other" and not again.entries and not again.snapshot.index
 
 
 def test_one_process_has_it_at_a_time(tmp_path: Path) -> None:
@@ -69,7 +76,7 @@
     copy = tmp_path / "b" / "fleet-h1.sqlite"
     shutil.copy(store.path, copy)
     other, fresh = opened(tmp_path / "b")
-    assert fresh.kept.store != found.kept.store and "copy" in other.notes[0]["why"]
+    assert fresh.state.store_id != found.state.store_id and "copy" in other.notes[0]["why"]
     assert Path(other.notes[0]["path"]).exists(), "nothing is lost"
     other.close()
 
@@ -83,7 +90,7 @@
     shutil.copy(store.path, tmp_path / "b" / "fleet-h1.sqlite")
     accept(str(tmp_path / "b"), "h1")
     again, loaded = opened(tmp_path / "b")
-    assert loaded.kept.store == found.kept.store
+    assert loaded.state.store_id == found.state.store_id
     again.close()
     with pytest.raises(StoreFailed):
         accept(str(tmp_path), "h2")
@@ -92,7 +99,7 @@
 @pytest.mark.parametrize("damage", ["truncated", "noise", "changed", "gap"])
 def test_a_torn_store_is_put_aside_and_a_fresh_one_made(tmp_path: Path, damage: str) -> None:
     store, found = opened(tmp_path)
-    store.write(StoreWrite(found.kept, 1, entries(1, 1, 2)))
+    store.write(StoreWrite(found.state, 1, entries(1, 1, 2)))
     store.close()
     data = store.path.read_bytes()
     if damage == "truncated":
@@ -108,24 +115,24 @@
         db.commit()
         db.close()
     again, loaded = opened(tmp_path)
-    assert loaded.kept.store != found.kept.store and not loaded.log
+    assert loaded.state.store_id != found.state.store_id and not loaded.entries
     assert len(again.notes) == 1 and Path(again.notes[0]["path"]).stat().st_size
     again.close()
 
 
 def test_a_store_that_takes_no_more_says_so_and_keeps_what_it_had(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
-    store.write(StoreWrite(found.kept, 1, entries(1)))
+    store.write(StoreWrite(found.state, 1, entries(1)))
     assert store._db is not None
     pages = store._db.execute("pragma page_count").fetchone()[0]
     store._db.execute(f"pragma max_page_count = {pages}")  # as a full disk would
     big = tuple(m.LogEntry(2, m.OpenSession("h" * 5000, n, "")) for n in range(20))
     with pytest.raises(StoreFailed):
-        store.write(StoreWrite(PersistentState(found.kept.store, 9), 2, big))
+        store.write(StoreWrite(PersistentState(found.state.store_id, 9), 2, big))
     with pytest.raises(StoreFailed):
-        store.write(StoreWrite(found.kept))  # nothing more is said to be kept by this process
+        store.write(StoreWrite(found.state))  # nothing more is said to be kept by this process
     again, loaded = opened(tmp_path)
-    assert loaded.kept.life == found.kept.life and len(loaded.log) == 1
+    assert loaded.state.starts == found.state.starts and len(loaded.entries) == 1
     again.close()
 
 
