--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -25,13 +25,12 @@
 from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
+from .notices import Notice, NoticeField
 from .quota_ledger import Pair
 from .replica import Replica, redirect
 from .replica_id import make_replica_id, name_of
 from .store_fencing import KnownStore, StoreFence
 
-Notices = tuple[tuple[str, dict[str, Any]], ...]
-
 
 class PersistentState(msgspec.Struct):
     """All that a head keeps beside its log, written as one."""
@@ -83,7 +82,7 @@
     write: StoreWrite | None = None
     quota: QuotaUpdate | None = None
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    notices: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+    notices: list[Notice] = field(default_factory=list)
 
 
 def quota_name_of(plan: str, volume: int) -> str:
@@ -94,14 +93,14 @@
 def quota_changed_event(told: QuotaUpdate) -> QuotaChanged:
     """What the gateway is told: by plan and volume, in units."""
     parts = []
-    for amount, rate, burst in told.parts:
+    for amount, rate, burst in told.allocations:
         plan, _, volume = amount.rpartition("/")
         parts.append((plan, int(volume, 16), rate / 1000, burst / 1000))
     floors = told.floors
     return QuotaChanged(
-        told.until, tuple(parts),
+        told.lease_until, tuple(parts),
         None if floors is None else tuple((plan, rate / 1000, burst / 1000) for plan, rate, burst in floors),
-        told.anew,
+        told.replaces_all,
     )  # fmt: skip
 
 
@@ -114,7 +113,7 @@
     ) -> None:  # fmt: skip
         self.terms, self.terms_digest, self.name = charter, digest, name
         self.process, self._rng, self._born = process, random.Random(seed), now
-        self.is_replica = name in charter.keepers and loaded is not None
+        self.is_replica = name in charter.replicas and loaded is not None
         self.has_store = loaded is not None
         kept = loaded.state if loaded is not None else PersistentState("")
         self._loaded_saves = kept.writes
@@ -125,7 +124,7 @@
         self.bootstrap = Bootstrap(
             name,
             kept.store_id,
-            charter.keepers,
+            charter.replicas,
             digest,
             BootstrapRecord(kept.fleet_id, kept.voters, kept.bound_to),
         )
@@ -138,7 +137,7 @@
         self._floor_kept = floor
         self._changed = self.has_store  # the life counts before anything is said
         self._anew = False
-        self._notices: list[tuple[str, dict[str, Any]]] = []
+        self._notices: list[Notice] = []
         self._out: list[tuple[str, Message]] = []
         self._answers: dict[int, tuple[bool, str]] = {}  # what became of ours
         self._petitions = 0
@@ -147,7 +146,7 @@
         if self.is_replica:
             assert loaded is not None
             self._sit(now, loaded.snapshot, loaded.entries)
-        self.membership.join(list(charter.keepers))
+        self.membership.join(list(charter.replicas))
 
     def _sit(self, now: int, snapshot: Snapshot, log: list[LogEntry]) -> None:
         """Take up a keeper's log as it was kept."""
@@ -192,11 +191,11 @@
 
     def set_limits(self, wholes: Mapping[str, Pair], quantum: int) -> None:
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
-        self.lease_holder.state(wholes, quantum)
+        self.lease_holder.set_limits(wholes, quantum)
 
     def report_demand(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
-        self.lease_holder.want(now, asked)
+        self.lease_holder.record_demand(now, asked)
         return self.tick(now)
 
     def leave(self, now: int) -> StepOutput:
@@ -340,7 +339,7 @@
         self.bootstrap.replace_store(fresh)
         self.store_fence.reset(now)
         self.replica = None
-        self.lease_holder.renew(now, fresh)
+        self.lease_holder.replace_store(now, fresh)
         self._floor_kept = self.lease_holder.floor
         self._changed = self._anew = True
 
@@ -354,7 +353,7 @@
         self._note("store_failed", why=why)
         self._fall(now)
         self.has_store = False
-        self.lease_holder.unkept(self._floor_kept)
+        self.lease_holder.floor_not_persisted(self._floor_kept)
 
     # ---- the end of a step ----
 
@@ -369,21 +368,19 @@
             self._said.add("name_taken")
             self._note("name_taken", head=self.name)
         out.write = self._save()
-        out.quota = self.lease_holder.spendable()
+        out.quota = self.lease_holder.take_quota_update()
         if seat is not None:
             for to, said in seat.take_messages():
                 if isinstance(said, m.OperatorCommandResult) and to == self.name:
                     self._answers[said.number] = said.done, said.reason
                 else:
                     out.messages.append((to, said))
-            for event, fields in seat.notices:
-                self._note(event, **fields)
+            self._notices += seat.notices
             seat.notices.clear()
-        out.messages += self.lease_holder.take_out() + self.membership.take_messages() + self._out
+        out.messages += self.lease_holder.take_messages() + self.membership.take_messages() + self._out
         self._out = []
-        for event, fields in self.lease_holder.notes:
-            self._note(event, **fields)
-        self.lease_holder.notes.clear()
+        self._notices += self.lease_holder.notices
+        self.lease_holder.notices.clear()
         out.notices, self._notices = self._notices, []
         return out
 
@@ -397,13 +394,13 @@
             self._changed
             or self.store_fence.unsaved
             or self.bootstrap.unsaved
-            or self.lease_holder.floor_dirty
+            or self.lease_holder.floor_changed
         )
         if log is None and not changed:
             return None
-        self._changed = self.store_fence.unsaved = self.bootstrap.unsaved = self.lease_holder.floor_dirty = (
-            False
-        )
+        self._changed = self.store_fence.unsaved = self.bootstrap.unsaved = (
+            self.lease_holder.floor_changed
+        ) = False
         founded, floor = self.bootstrap.record, self.lease_holder.floor
         kept.writes += 1
         kept.fleet_id, kept.voters, kept.bound_to = founded.fleet_id, founded.voters, founded.bound_to
@@ -411,7 +408,11 @@
             store: (known.starts, known.writes, known.process)
             for store, known in self.store_fence.known_stores.items()
         }
-        kept.floor_slot, kept.floor_version, kept.floor_limits = floor.slot, floor.version, floor.wholes
+        kept.floor_slot, kept.floor_version, kept.floor_limits = (
+            floor.slot,
+            floor.limits_version,
+            floor.limits,
+        )
         kept.floor_fleet = floor.fleet
         self._floor_kept = floor
         if raft is not None:
@@ -424,7 +425,7 @@
 
     def _likely(self) -> list[str]:
         """Keepers to ask, the likeliest to lead first; who is thought to be gone comes last."""
-        names = sorted({name_of(seat) for seat in self._seats()} or self.terms.keepers)
+        names = sorted({name_of(seat) for seat in self._seats()} or self.terms.replicas)
         gone = {
             name
             for name in names
@@ -435,8 +436,8 @@
     def _say(self, to: str, message: Message) -> None:
         self._out.append((to, message))
 
-    def _note(self, event: str, **fields: Any) -> None:
-        self._notices.append((event, fields))
+    def _note(self, event: str, **fields: NoticeField) -> None:
+        self._notices.append(Notice(event, fields))
 
     # ---- what staff see ----
 
@@ -466,12 +467,12 @@
             "head": self.name, "leader": self.leader, "leads": self.is_leader,
             "keeper": self.replica is not None,
             "own": {
-                "session": holder.session, "lease_s": round(max(0, holder.until - now) / 1e6, 2),
-                "slot": holder.floor.slot, "refused": holder.refused,
+                "session": holder.session, "lease_s": round(max(0, holder.lease_until - now) / 1e6, 2),
+                "slot": holder.floor.slot, "refused": holder.refusal_reason,
                 "floors": {plan: {"rate": rate / 1000, "burst": burst / 1000}
                            for plan, rate, burst in holder.floors()},
-                "parts": {held.amount: {"rate": held.rate / 1000, "burst": held.burst / 1000}
-                          for held in holder.book.values()},
+                "parts": {held.quota_name: {"rate": held.rate / 1000, "burst": held.burst / 1000}
+                          for held in holder.allocations.values()},
             },
         }  # fmt: skip
         return told | (self.replica.view(now) if self.replica is not None else {})
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -18,6 +18,7 @@
     OperatorCommand,
     OperatorCommandResult,
 )
+from .notices import Notice
 from .quota_ledger import QuotaLedger, plan_of
 from .replica_id import make_replica_id, name_of, store_id_of
 
@@ -40,7 +41,7 @@
         self.command_results: list[
             tuple[str, OperatorCommandResult]
         ] = []  # what became of petitions, and for whom
-        self.notices: list[tuple[str, dict[str, Any]]] = []
+        self.notices: list[Notice] = []
 
     @property
     def is_voter(self) -> bool:
@@ -61,18 +62,18 @@
     ) -> list[tuple[str, Message]]:
         """A holder's ask: answered by the office later, or at once with who leads."""
         if self.lease_manager is not None:
-            self.lease_manager.ask(now, sender, ask)
+            self.lease_manager.request(now, sender, ask)
             return []
         return [(sender, redirect(ask, leader if leader != self.name else ""))]
 
     def receive_command(self, sender: str, petition: OperatorCommand, leader: str) -> None:
         """What operators ask of the fleet; what becomes of it is in ``heard``."""
-        head, number = petition.command.head, petition.number
+        head, number = petition.command.gateway, petition.number
         if self.lease_manager is None:
             self._hear(sender, number, False, f"the leader is {leader or 'not known'}")
-        elif any(session.head == head for session in self.ledger.sessions.values()):
+        elif any(session.gateway == head for session in self.ledger.sessions.values()):
             self._hear(sender, number, False, f"{head} has a session: it is not gone")
-        elif not any(slot.head == head for slot in self.ledger.slots.values()):
+        elif not any(slot.gateway == head for slot in self.ledger.floor_slots.values()):
             self._hear(sender, number, True, f"{head} has no floor")
         elif (index := self.raft.propose(petition.command)) is not None:
             self._later[index] = sender, number
@@ -103,7 +104,7 @@
             for index, command in raft.committed():
                 done = self.ledger.apply(index, command)
                 if self.lease_manager is not None:
-                    self.lease_manager.applied(now, index, command, done)
+                    self.lease_manager.entry_applied(now, index, command, done)
                 if (asked := self._later.pop(index, None)) is not None:
                     self._hear(*asked, done, "" if done else "it changed nothing")
             self._seat_office(now)
@@ -121,14 +122,14 @@
         raft = self.raft
         if not raft.serving:
             if self.lease_manager is not None:
-                self.notices.append(("leads_no_more", {"term": self.lease_manager.term}))
+                self.notices.append(Notice("leads_no_more", {"term": self.lease_manager.term}))
             self.lease_manager = None
         elif self.lease_manager is None or self.lease_manager.term != raft.term:
-            fresh = now - self._born < self._charter.count_us or len(raft.voters) == 1
+            fresh = now - self._born < self._charter.lease_with_drift_us or len(raft.voters) == 1
             self.lease_manager = LeaseManager(
                 self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh
             )
-            self.notices.append(("leads", {"term": raft.term}))
+            self.notices.append(Notice("leads", {"term": raft.term}))
 
     def _reseat(self, now: int) -> None:
         """A keeper that has come back with another store gets a seat for that, once the old one is away."""
@@ -145,14 +146,14 @@
                 and now - heard > REPLACE_VOTER_AFTER_US
                 and raft.replace_voters(now, set(raft.voters) - {olds[0]}) is not None
             ):
-                self.notices.append(("seat_taken_away", {"head": name, "store": store_id_of(olds[0])}))
+                self.notices.append(Notice("seat_taken_away", {"head": name, "store": store_id_of(olds[0])}))
 
     def take_messages(self) -> list[tuple[str, Message]]:
         """What is to be said, once what is to be kept is written."""
         out: list[tuple[str, Message]] = [(name_of(seat), said) for seat, said in self.raft.take_messages()]
         if self.lease_manager is not None:
-            out += self.lease_manager.take_out()
-            self.notices += [(note.event, dict(note.fields)) for note in self.lease_manager.take_notes()]
+            out += self.lease_manager.take_messages()
+            self.notices += self.lease_manager.take_notices()
         heard, self.command_results = self.command_results, []
         return out + list[tuple[str, Message]](heard)
 
@@ -162,33 +163,35 @@
         """The whole ledger; the leader also tells until when each lease is counted and what is used."""
         ledger, office = self.ledger, self.lease_manager
         return {
-            "settled": ledger.settled, "version": ledger.version,
+            "settled": ledger.settled, "version": ledger.limits_version,
             "wholes": {
-                plan: {"rate": rate / 1000, "burst": burst / 1000, "floors": ledger.floors(plan)[0] / 1000}
-                for plan, (rate, burst) in sorted(ledger.wholes.items())
+                plan: {"rate": rate / 1000, "burst": burst / 1000,
+                       "floors": ledger.reserved_for_floors(plan)[0] / 1000}
+                for plan, (rate, burst) in sorted(ledger.limits.items())
             },
-            "slots": {n: {"head": slot.head, "store": slot.store} for n, slot in ledger.slots.items()},
+            "slots": {n: {"head": slot.gateway, "store": slot.store}
+                      for n, slot in ledger.floor_slots.items()},
             "sessions": [
-                {"session": n, "head": session.head, "slot": session.slot}
-                | (office.lease(now, n) if office is not None else {})
+                {"session": n, "head": session.gateway, "slot": session.floor_slot}
+                | (office.lease_view(now, n) if office is not None else {})
                 for n, session in sorted(ledger.sessions.items())
             ],
             "amounts": {
                 amount: {
-                    "free": round(ledger.room(amount)[0] / 1000, 3),
-                    "whole": ledger.wholes[plan_of(amount)][0] / 1000,
+                    "free": round(ledger.available(amount)[0] / 1000, 3),
+                    "whole": ledger.limits[plan_of(amount)][0] / 1000,
                     "parts": [
-                        {"head": ledger.sessions[n].head, "session": n, "rate": stake.rate / 1000,
+                        {"head": ledger.sessions[n].gateway, "session": n, "rate": stake.rate / 1000,
                          "burst": stake.burst / 1000}
-                        | (office.wish(now, amount, n) if office is not None else {})
+                        | (office.demand_view(now, amount, n) if office is not None else {})
                         for n, stake in sorted(stakes.items())
                     ],
                 }
-                for amount, stakes in sorted(ledger.parts.items())
+                for amount, stakes in sorted(ledger.allocations.items())
             },
         }  # fmt: skip
 
 
 def redirect(ask: LeaseRequest, leader: str) -> LeaseResponse:
     """Not here: perhaps at whom this one thinks leads."""
-    return LeaseResponse(ask.process, ask.number, LeaseStatus.ELSEWHERE, 0, 0, leader)
+    return LeaseResponse(ask.process, ask.number, LeaseStatus.NOT_LEADER, 0, 0, leader)
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -13,6 +13,7 @@
 import random
 import secrets
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from twisted.internet.error import CannotListenError
@@ -22,7 +23,7 @@
 from gaugesail.policy.settings import Settings
 
 from ..core.engine import Engine
-from ..core.ports import Call, Clock, Logger
+from ..core.ports import Clock, DelayedCall, Logger
 from ..http.discovery import BadList, split_address
 from .link import FleetReactor, Link
 from .settings import FleetSettings, digest
@@ -32,6 +33,7 @@
 WANT_US = 100_000  # between two readings of what is asked for here
 AGAIN_US = 300_000  # until a place or a store that another process holds is asked for again
 SWEEP_US = 5_000_000
+ERROR_EVENTS = frozenset({"store_failed", "log_broken", "stores_are_old", "store_is_old", "name_taken"})
 LEAST_US = 1_000  # between two ticks
 STORE_AGAIN_US, STORE_AGAIN_MOST_US = 500_000, 8_000_000  # until a store that failed is asked for again
 
@@ -51,7 +53,7 @@
         self._store: FleetStore | None = None
         self._engine: Engine | None = None
         self._terms: Settings | None = None
-        self._tick: Call | None = None
+        self._tick: DelayedCall | None = None
         self._tick_at = 0
         self._closed = self._waiting = self._running = False
         self._store_again_us, self._jitter = STORE_AGAIN_US, random.SystemRandom()
@@ -62,7 +64,7 @@
         settings = self._settings
         self.process = self._process_given or secrets.randbits(62) | 1
         self._process_given = None
-        self.wire = Wire(settings.charter.name, settings.head, self.process, settings.key)
+        self.wire = Wire(settings.terms.name, settings.gateway, self.process, settings.key)
         self.link = Link(self._reactor, self._clock, self.wire, self._log, self._address, self._heard)
 
     # ---- life ----
@@ -91,12 +93,12 @@
         settings, now = self._settings, self._clock.now_us()
         host, port = settings.advertise or address
         self.node = FleetNode(
-            settings.charter, digest(settings.charter), settings.head, f"{host}:{port}", self.process,
+            settings.terms, digest(settings.terms), settings.gateway, f"{host}:{port}", self.process,
             now // 1000, loaded, secrets.randbits(63), now,
         )  # fmt: skip
         self._state()
         self._log.info(
-            "fleet_begins", fleet=settings.charter.name, head=settings.head, address=f"{host}:{port}",
+            "fleet_begins", fleet=settings.terms.name, head=settings.gateway, address=f"{host}:{port}",
             keeper=self.node.is_replica, store=loaded is not None, process=self.process,
         )  # fmt: skip
         self._step(lambda node, at: node.tick(at))
@@ -109,7 +111,7 @@
         """What the store holds; None where there is none, or none that can be used."""
         if self._settings.folder is None:
             return None
-        store = FleetStore(self._settings.folder, self._settings.head)
+        store = FleetStore(self._settings.folder, self._settings.gateway)
         try:
             loaded = store.open()
         except StoreFailed as error:
@@ -138,7 +140,7 @@
         leaving = self.node is not None and self.node.lease_holder.leaving
         if self._closed or leaving or self._settings.folder is None or self._store is not None:
             return
-        store = FleetStore(self._settings.folder, self._settings.head)
+        store = FleetStore(self._settings.folder, self._settings.gateway)
         try:
             store.open()
             store.prove()
@@ -155,7 +157,7 @@
     def _begin_anew(self) -> None:
         """Take this head's place as a process does that has just started.  What the gateway holds of the
         lease ends with it, as the keepers count it; its floor is the same."""
-        self._log.info("fleet_begins_anew", head=self._settings.head)
+        self._log.info("fleet_begins_anew", head=self._settings.gateway)
         self.node = None
         if self._tick is not None and self._tick.active():
             self._tick.cancel()
@@ -179,7 +181,7 @@
     def leave(self) -> None:
         """This head ends in order."""
         if self.node is not None and not self.node.lease_holder.leaving:
-            self._log.info("fleet_leaves", head=self._settings.head)
+            self._log.info("fleet_leaves", head=self._settings.gateway)
             self._step(lambda node, now: node.leave(now))
 
     def close(self) -> None:
@@ -223,18 +225,18 @@
                 return  # said by the next tick, without what this step was for
         if out.quota is not None:
             assert self._engine is not None
-            self._engine.share(quota_changed_event(out.quota))
+            self._engine.change_quota(quota_changed_event(out.quota))
         for to, message in out.messages:
-            if to == self._settings.head:
-                self._clock.call_later(0, lambda m=message: self._heard(self._settings.head, self.process, m))  # type: ignore[misc]
+            if to == self._settings.gateway:
+                self._clock.call_later(0, partial(self._heard, to, self.process, message))
             else:
                 self.link.send(to, message)
 
     def _tell(self, out: StepOutput) -> None:
-        for event, fields in out.notices:
-            told = {key: value for key, value in fields.items() if value != ""}
-            loud = event in ("store_failed", "log_broken", "stores_are_old", "store_is_old", "name_taken")
-            (self._log.error if loud else self._log.info)(f"fleet_{event}", **told)
+        for notice in out.notices:
+            fields = {key: value for key, value in notice.fields.items() if value != ""}
+            write = self._log.error if notice.event in ERROR_EVENTS else self._log.info
+            write(f"fleet_{notice.event}", **fields)
 
     # ---- time ----
 
@@ -261,7 +263,7 @@
         worth = {plan.name: max(1, round(plan.priority_weight * 1000)) for plan in self._terms.plans}
         asked = {
             quota_name_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
-            for plan, volume, units, spent, saved in self._engine.wants()
+            for plan, volume, units, spent, saved in self._engine.take_quota_demand()
         }
         self._step(lambda node, now: node.report_demand(now, asked))
         self._clock.call_later(WANT_US, self._wants)
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -9,6 +9,7 @@
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.consensus import ELECTION_US, LogBroken, RaftNode, Role, Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.notices import Notice
 from gaugesail.coordination.replica import Replica
 
 SEATS = ("a#1", "b#1", "c#1")
@@ -211,7 +212,7 @@
     three.now += 3 * ELECTION_US
     raft.tick(three.now)
     seat.process(three.now)
-    assert seat.lease_manager is not None and ("leads", {"term": 1}) in seat.notices
+    assert seat.lease_manager is not None and Notice("leads", {"term": 1}) in seat.notices
     raft.propose(m.OpenSession("h", 5, "store"))
     seat.process(three.now)
     seat.receive_command("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
@@ -225,5 +226,5 @@
         for _, said in seat.take_messages()
         if isinstance(said, m.OperatorCommandResult)
     }
-    assert heard == {2: False, 3: True, 4: True} and not seat.ledger.slots
+    assert heard == {2: False, 3: True, 4: True} and not seat.ledger.floor_slots
     assert set(seat.view(three.now)) == {"settled", "version", "wholes", "slots", "sessions", "amounts"}
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -34,10 +34,10 @@
         self.shares: list[QuotaChanged] = []
         self.asked = 0.0
 
-    def share(self, event: QuotaChanged) -> None:
+    def change_quota(self, event: QuotaChanged) -> None:
         self.shares.append(event)
 
-    def wants(self) -> list[tuple[str, int, float, float, float]]:
+    def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         return [("p", 1, self.asked, self.asked, 0.0)] if self.asked else []
 
     def part(self) -> float:
@@ -177,7 +177,7 @@
     first.leave()
     first.close()
     fleet.run(4)
-    assert second.node is not None and second.node.lease_holder.until > fleet.clock.now_us()
+    assert second.node is not None and second.node.lease_holder.lease_until > fleet.clock.now_us()
     fleet.end()
 
 
