--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -73,7 +73,7 @@
     ) -> None:
         self._charter, self._digest, self._ledger, self._raft = charter, digest, ledger, raft
         self._fleet = fleet
-        self.term, self._leader = raft.term, raft.seat.rpartition("#")[0]
+        self.term, self._leader = raft.term, raft.replica_id.rpartition("#")[0]
         # Whoever led before may have renewed any of these up to the moment at which this term's entry was
         # committed.
         until = now + charter.lease_with_drift_us
@@ -115,10 +115,10 @@
             self._answer(sender, ask, LeaseStatus.TERMS_DIFFER)
             return
         session = self._ledger.session_of_process(ask.process)
-        if ask.fleet == self._fleet and ask.last_seen_index > self._raft.last:
+        if ask.fleet == self._fleet and ask.last_seen_index > self._raft.last_index:
             # This log has lost entries: the stores are older than the fleet.  What the holder has by those is
             # not renewed; told so it gives up all, and may then have what this log says.
-            self._note("stores_are_old", head=sender, seen=ask.last_seen_index, last=self._raft.last)
+            self._note("stores_are_old", head=sender, seen=ask.last_seen_index, last=self._raft.last_index)
             self._answer(sender, ask, LeaseStatus.UNKNOWN_SESSION)
             return
         if session is None:
@@ -140,7 +140,7 @@
             return
         self._learn(now, session.number, lease, ask)
         if lease.unanswered_request is None or ask.number > lease.unanswered_request.number:
-            lease.unanswered_request, lease.confirmation_round = ask, self._raft.confirm()
+            lease.unanswered_request, lease.confirmation_round = ask, self._raft.request_round()
 
     def _learn(self, now: int, number: int, lease: SessionLease, ask: LeaseRequest) -> None:
         """What the holder says of itself: its wholes, its floor, its book and its wants."""
@@ -220,7 +220,10 @@
                     )
                     if waiting is not None:
                         self._learn(now, session.number, lease, waiting[1])
-                        lease.unanswered_request, lease.confirmation_round = waiting[1], self._raft.confirm()
+                        lease.unanswered_request, lease.confirmation_round = (
+                            waiting[1],
+                            self._raft.request_round(),
+                        )
                 self._proposed.pop(f"open {command.process}", None)
             case CloseSession():
                 tenant_gone = self.leases.pop(command.session, None)
@@ -292,7 +295,7 @@
         if now >= self._quiet_until > 0:
             self._quiet_until = 0
             self._dirty.update(dict.fromkeys(self._wanted()))
-        confirmed = self._raft.confirmed
+        confirmed = self._raft.confirmed_round
         for number, lease in self.leases.items():
             if (
                 lease.unanswered_request is not None
