--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -18,9 +18,10 @@
 from .core.clock import ReactorClock, boot_ns, use_monotonic_time
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
-from .http.bricks import BrickConnection, BrickPool
 from .http.discovery import DiscoveryClient
 from .http.front import ClientConnection, ClientFront
+from .http.node_connection import NodeConnection
+from .http.node_pool import NodePool
 from .net import attach, detach, reset
 from .operations import Operations
 from .service import Service
@@ -44,7 +45,7 @@
         )
         log = self._log
         self._config = config
-        self.transport = BrickPool(
+        self.transport = NodePool(
             reactor,
             self.clock,
             self.buffers,
@@ -60,7 +61,7 @@
             config.zones,
             config.kinds,
             log,
-            self.transport.listed,
+            self.transport.update_addresses,
             lambda news: self.engine.update_endpoints(news),
             config.settings.drain_grace_us if config.pushed else None,
         )
@@ -98,31 +99,31 @@
         for client in self.front.streams:
             client.move(self._moved)
 
-    def _moved(self, client: ClientConnection, brick: BrickConnection) -> None:
+    def _moved(self, client: ClientConnection, node: NodeConnection) -> None:
         if self._handover.next is None:
             client.stay()
             return
-        told = {"client": client.leave(), "brick": brick.leave()}
-        self._handover.pass_on([detach(client.link), detach(brick.link)], told)
+        told = {"client": client.leave(), "brick": node.hand_over_stream().to_json()}
+        self._handover.pass_on([detach(client.link), detach(node.link)], told)
         self.front.closed(client)
 
     def take(self, fds: list[int], told: dict[str, Any]) -> None:
         """Go on with a large answer.  Where either side has gone meanwhile, the other ends with it."""
         ours, theirs = fds
         try:
-            brick = self.transport.adopt(theirs, told["brick"], self.engine.attempts)
+            node = self.transport.take_over(theirs, told["brick"], self.engine.attempts)
         except OSError:
             reset(ours)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
-        client.enter(told["client"], brick)
-        self.engine.attempts.adopt_stream(brick.attempt)
+        client.enter(told["client"], node)
+        self.engine.attempts.adopt_stream(node.attempt)
         try:
             attach(self._reactor, ours, client)
         except OSError:
-            brick.stop()
+            node.stop()
             return
-        brick.goes_to(client)
+        node.stream_to(client)
 
     def limit(self, processes: int) -> None:
         limits = self._config.limits.of(processes)
@@ -134,7 +135,7 @@
         configuration.check_shape(self._config.raw, config.raw)
         self._kept(self._config, config, LIVE)
         self._config = replace(config, limits=self._config.limits)
-        self.transport.retune(config.conn_idle_us, config.connect_timeout_us)
+        self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
         self.discovery.retune(config.zones, config.kinds)
         self.discovery.move(config.discovery)
         self.retune(config.settings)
--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -15,7 +15,7 @@
 
 from ..core.ports import Clock, DelayedCall, Logger, Reactor
 from ..net import Connection, dial, unread
-from .bricks import Line
+from .node_state import NodeAddress
 from .parser import BadMessage, Data, Head, Parser
 
 PATH = "/catalog/members"
@@ -45,7 +45,7 @@
 
 def read_list(
     data: Any, zones: list[str], kinds: list[str]
-) -> tuple[int, bool, list[Endpoint], dict[bytes, Line | None]]:
+) -> tuple[int, bool, list[Endpoint], dict[bytes, NodeAddress | None]]:
     """Revision, whether complete, lines for the module and for the connections, none for what is gone.
 
     Start times are Unix milliseconds; the clock of the head counts Unix microseconds, so 0 stays 0.
@@ -53,7 +53,7 @@
     try:
         version, full = int(data["revision"]), bool(data["complete"])
         nodes: list[Endpoint] = []
-        lines: dict[bytes, Line | None] = {}
+        lines: dict[bytes, NodeAddress | None] = {}
         for item in data["members"]:
             node, mode = str(item["id"]).encode(), MODES[item["phase"]]
             started = int(item.get("up_since_ms", 0)) * 1000
@@ -72,7 +72,9 @@
                 )
             )
             gone = mode is EndpointState.GONE
-            lines[node] = None if gone else Line(host, port, shard, mode is EndpointState.READY, started)
+            lines[node] = (
+                None if gone else NodeAddress(host, port, shard, mode is EndpointState.READY, started)
+            )
     except (KeyError, TypeError, ValueError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from None
     return version, full, nodes, lines
@@ -175,7 +177,7 @@
         zones: list[str],
         kinds: list[str],
         log: Logger,
-        listed: Callable[[dict[bytes, Line | None], bool], None],
+        listed: Callable[[dict[bytes, NodeAddress | None], bool], None],
         tell: Callable[[EndpointList], None],
         pushed_grace_us: int | None = None,
     ) -> None:
--- a/gaugesail/http/front.py
+++ b/gaugesail/http/front.py
@@ -18,7 +18,7 @@
 from ..core.ports import BodySink, BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..door import CloseReason, Door
 from ..net import Connection, Emptied, unread, waited_us
-from .bricks import READ_BYTES
+from .node_connection import READ_BYTES
 from .parser import WHOLE_BODY, BadMessage, Data, Head, Parser
 
 HEALTH_PATH = "/_health"
--- /dev/null
+++ b/gaugesail/http/node_pool.py
@@ -0,0 +1,398 @@
+"""The node transport over HTTP: addresses by the latest list, and connections that are used again.
+
+Each connection carries one request at a time; of the idle ones that are usable the latest used goes first.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
+
+from gaugesail.policy.events import AttemptResult
+from gaugesail.policy.settings import NodeId
+
+from ..buffers import BufferPool
+from ..core.ports import Attempt, AttemptListener, BodySink, BodySource, ClientRequest, Clock, Logger, Reactor
+from ..net import attach, dial
+from .idle_times import IdleTimes
+from .node_connection import NodeConnection
+from .node_request import NodeRequest
+from .node_state import NodeAddress, NodeState
+from .staged_upload import StagedUpload
+from .stream_handover import StreamState
+
+IDLE_SHARE = 0.6  # of the time after which the other side closes; a request written then would be reset
+SETTLE_US = 5_000  # after an answer: what else comes then must not meet the next request
+MAX_DIALS = 8  # to one node at once
+HEALTH_CHECK_US = 250_000
+
+
+class NodePool:
+    """Carries attempts, staged uploads and health checks to the nodes."""
+
+    def __init__(
+        self,
+        reactor: Reactor,
+        clock: Clock,
+        buffers: BufferPool,
+        log: Logger,
+        idle_us: int,
+        connect_timeout_us: int,
+        max_connections: int,
+    ) -> None:
+        self._reactor = reactor
+        self.clock = clock
+        self.buffers = buffers
+        self._log = log
+        self.change_timeouts(idle_us, connect_timeout_us)
+        self._max_connections = max_connections
+        self._addresses: dict[NodeId, NodeAddress] = {}
+        self._nodes: dict[NodeId, NodeState] = {}
+        self._in_maintenance: set[NodeId] = set()
+        self._closing = False
+        self.idle_times = IdleTimes()
+
+    @property
+    def connections(self) -> int:
+        """How many there are to all nodes, those that are being dialled included."""
+        return sum(node.connections for node in self._nodes.values())
+
+    def change_timeouts(self, idle_us: int, connect_timeout_us: int) -> None:
+        """Use other times: that after which nodes close idle connections, and that of a dial."""
+        self._idle_us = int(idle_us * IDLE_SHARE)
+        self._connect_timeout_s = connect_timeout_us / 1e6
+
+    def limit(self, connections: int) -> None:
+        """Set how many connections there may be; what is idle beyond that is closed."""
+        self._max_connections = connections
+        while self.connections > self._max_connections and self._close_longest_idle():
+            pass
+
+    # ---- the endpoint list ----
+
+    def update_addresses(self, addresses: dict[NodeId, NodeAddress | None], full: bool) -> None:
+        """Take the latest list, or changes, which have None for a node that is gone.
+
+        A node that drains, goes, moves or restarts gets nothing that waits.  Ids are never used again:
+        what is gone is forgotten.
+        """
+        if full:
+            for node_id in [node_id for node_id in self._addresses if node_id not in addresses]:
+                self._stop_waiting(node_id)
+                del self._addresses[node_id]
+        for node_id, address in addresses.items():
+            self._update_address(node_id, address)
+
+    def _update_address(self, node_id: NodeId, address: NodeAddress | None) -> None:
+        if address is None:
+            self._stop_waiting(node_id)
+            self._addresses.pop(node_id, None)
+            return
+        old = self._addresses.get(node_id)
+        self._addresses[node_id] = address
+        changed = old is not None and (
+            (old.host, old.port, old.started_us) != (address.host, address.port, address.started_us)
+        )
+        if not address.ready or changed:
+            self._stop_waiting(node_id)
+
+    def set_maintenance(self, node_id: NodeId, on: bool) -> None:
+        """Take a node out of use whatever the list says, or put it back.
+
+        What is in flight there may finish; what waits for it ends.
+        """
+        (self._in_maintenance.add if on else self._in_maintenance.discard)(node_id)
+        self._stop_waiting(node_id)
+
+    def _usable_address(self, node_id: NodeId) -> NodeAddress | None:
+        """Where a node is, if it may be sent anything new."""
+        address = self._addresses.get(node_id)
+        usable = address is not None and address.ready and node_id not in self._in_maintenance
+        return address if usable else None
+
+    def _stop_waiting(self, node_id: NodeId) -> None:
+        """Write nothing any more on the strength of the old address."""
+        node = self._nodes.get(node_id)
+        if node is None:
+            return
+        node.generation += 1
+        waiting = node.waiting
+        node.waiting = deque()
+        for dialled in list(node.dials):
+            dialled.cancel()
+        for connection in list(node.idle):
+            connection.abort()
+        for connection in list(node.busy):
+            connection.drop_upload()  # it has not begun to run
+        for request in waiting:
+            self.finish(request, AttemptResult.NO_CONNECTION)
+
+    # ---- attempts, uploads and health checks ----
+
+    def send(self, attempt: Attempt, listener: AttemptListener) -> None:
+        """Make an attempt; its end is reported to the listener."""
+        request = NodeRequest(listener, attempt.node_id, self.clock.now_us(), attempt.deadline_us, attempt)
+        address = self._usable_address(attempt.node_id)
+        if address is None:
+            self.finish(request, AttemptResult.NO_CONNECTION)
+        elif attempt.shard >= 0 and address.shard != attempt.shard:
+            self.finish(request, AttemptResult.NOT_STARTED)  # the node would reject it
+        elif (upload := attempt.payload.staged) is None:
+            self._enqueue(request)
+        elif upload.request is None or upload.request.node_id != attempt.node_id or not upload.send(request):
+            # Its body is with another node, or gone with a connection: it can't be written there again.
+            self.finish(request, AttemptResult.NOT_STARTED)
+
+    def stage_upload(self, node_id: NodeId, request: ClientRequest, source: BodySource) -> BodySink | None:
+        """Write a large request while it is received, short of its end; its client waits for a connection."""
+        if self._usable_address(node_id) is None:
+            return None
+        now_us = self.clock.now_us()
+        upload = StagedUpload(request.payload, request.timeout_us, source, self.finish)
+        request.payload.staged = upload
+        upload.request = NodeRequest(None, node_id, now_us, now_us, upload=upload)
+        source.pause()
+        self._enqueue(upload.request)
+        return upload
+
+    def check_health(self, node_id: NodeId, listener: AttemptListener) -> None:
+        """Ask a node whether it answers, within HEALTH_CHECK_US."""
+        now_us = self.clock.now_us()
+        request = NodeRequest(listener, node_id, now_us, now_us + HEALTH_CHECK_US)
+        if self._usable_address(node_id) is None:
+            self.finish(request, AttemptResult.NO_CONNECTION)
+            return
+        self.clock.call_later(HEALTH_CHECK_US, lambda: self.finish(request, AttemptResult.TIMEOUT))
+        self._enqueue(request)
+
+    def abort(self, attempt: Attempt) -> bool:
+        """Abort an attempt without a report; whether its last byte had been written."""
+        connection = attempt.connection
+        attempt.connection = None
+        if isinstance(connection, NodeConnection):
+            connection.abort()
+            return connection.written
+        node = self._nodes.get(attempt.node_id)
+        if node is not None:
+            node.waiting = deque(request for request in node.waiting if request.attempt is not attempt)
+        return False
+
+    def cancel_unwritten(self, attempt: Attempt) -> bool:
+        """Abort an attempt whose last byte has not been written; whether it was aborted."""
+        connection = attempt.connection
+        return isinstance(connection, NodeConnection) and not connection.written and not self.abort(attempt)
+
+    def take_over(self, descriptor: int, fields: dict[str, Any], listener: AttemptListener) -> NodeConnection:
+        """Adopt a connection with a streamed answer on it, which another process of this gateway began.
+
+        Raises OSError where the node has gone meanwhile.
+        """
+        state = StreamState.from_json(fields)
+        node_id = state.node_id.encode("latin-1")
+        now_us = self.clock.now_us()
+        node = self._nodes.setdefault(node_id, NodeState(node_id))
+        connection = NodeConnection(self, node, node.generation)
+        attempt = Attempt(0, 0, node_id, -1, state.client_request_id, None, now_us, 0, answer_started=True)
+        connection.take_over_stream(state, attempt, listener)
+        node.busy.add(connection)
+        try:
+            attach(self._reactor, descriptor, connection)
+        except OSError:
+            node.busy.discard(connection)
+            raise
+        return connection
+
+    def finish(self, request: NodeRequest, result: AttemptResult, answer: Any = None) -> None:
+        """Report the result of a request, once."""
+        if request.ended:
+            return
+        request.ended = True
+        if request.listener is None:
+            if request.upload is not None:
+                request.upload.connection_lost()
+        elif request.attempt is not None:
+            request.attempt.connection = None
+            request.listener.attempt_ended(request.attempt, result, answer)
+        else:
+            elapsed_us = self.clock.now_us() - request.created_us
+            request.listener.health_check_ended(request.node_id, result, elapsed_us)
+
+    # ---- what waits for a connection ----
+
+    def _enqueue(self, request: NodeRequest) -> None:
+        node = self._nodes.get(request.node_id)
+        if node is None:
+            node = self._nodes[request.node_id] = NodeState(request.node_id)
+        node.waiting.append(request)
+        self._start_waiting(node)
+
+    def _start_waiting(self, node: NodeState) -> None:
+        """Start what waits on usable connections; dial where there are too few."""
+        now_us = self.clock.now_us()
+        while node.waiting:
+            request = node.waiting[0]
+            if request.obsolete or not request.may_start():
+                node.waiting.popleft()
+                self.finish(request, AttemptResult.NOT_STARTED)
+                continue
+            connection = self._take_idle(node, now_us)
+            if connection is None:
+                break
+            node.waiting.popleft()
+            self._start(connection, node, request)
+        if node.waiting:
+            if node.idle and node.next_look is None:
+                wait_us = max(0, min(connection.usable_at_us for connection in node.idle) - now_us)
+                node.next_look = self.clock.call_later(wait_us, lambda: self._look_again(node))
+            self._dial(node)
+
+    def _take_idle(self, node: NodeState, now_us: int) -> NodeConnection | None:
+        """The latest used of the idle connections that are usable; those that are too old are closed."""
+        limit_us = min(self._idle_us, self.idle_times.limit_us())
+        for connection in reversed(list(node.idle)):
+            if connection.generation != node.generation or now_us - connection.idle_since_us >= limit_us:
+                connection.abort()
+            elif connection.usable_at_us <= now_us:
+                node.idle.remove(connection)
+                return connection
+        return None
+
+    def _look_again(self, node: NodeState) -> None:
+        node.next_look = None
+        self._start_waiting(node)
+
+    def _start(self, connection: NodeConnection, node: NodeState, request: NodeRequest) -> None:
+        """Check the address a last time before the first byte, as the node may drain by now, and write."""
+        address = self._usable_address(request.node_id)
+        if address is None:
+            connection.abort()
+            self.finish(request, AttemptResult.NO_CONNECTION)
+            return
+        node.busy.add(connection)
+        host = f"{address.host}:{address.port}"
+        if request.upload is not None:
+            request.upload.start(connection, request, host)
+        elif request.attempt is None:
+            connection.start(request, f"GET /ping HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
+        else:
+            connection.start(request, self._message(request, request.attempt, host))
+
+    def _message(self, request: NodeRequest, attempt: Attempt, host: str) -> bytes:
+        """The complete message of an attempt, which starts now."""
+        exchange = attempt.payload
+        body = exchange.body.read()
+        left_us = request.deadline_us - self.clock.now_us()
+        if request.listener is not None:
+            request.listener.attempt_started(attempt)
+        message: bytes = exchange.head(host, left_us, len(body)) + body
+        return message
+
+    # ---- dials ----
+
+    def _dial(self, node: NodeState) -> None:
+        address = self._usable_address(node.node_id)
+        if address is None or not self._needs_dial(node):
+            return
+        if self.connections >= self._max_connections and not self._close_longest_idle():
+            if not node.connections:  # none that it could wait for
+                self.finish(node.waiting.popleft(), AttemptResult.NO_CONNECTION)
+            return
+        generation = node.generation
+        dialled = dial(
+            self._reactor,
+            (address.host, address.port),
+            self._connect_timeout_s,
+            lambda: NodeConnection(self, node, generation),
+        )
+        node.dials.add(dialled)
+        dialled.addCallbacks(self._dialled, self._dial_failed, (node, dialled), {}, (node, dialled))
+        dialled.addErrback(self._dial_raised)
+
+    def _needs_dial(self, node: NodeState) -> bool:
+        """Whether another connection to a node is needed, by the counts of its connections and requests."""
+        waiting, dials = len(node.waiting), len(node.dials)
+        if self._closing or dials >= MAX_DIALS or dials >= waiting:
+            return False
+        # One more than wait: where each is used again at once, the next would wait until it has settled.
+        return dials + len(node.idle) <= waiting
+
+    def _dialled(self, connection: NodeConnection, node: NodeState, dialled: Deferred[Any]) -> None:
+        node.dials.discard(dialled)
+        if connection.lost:
+            self._dial_gave_nothing(node)
+        elif connection.generation != node.generation or self._closing:
+            connection.abort()
+        else:
+            self._add_idle(connection, self.clock.now_us(), 0)
+
+    def _dial_failed(self, failure: Failure, node: NodeState, dialled: Deferred[Any]) -> None:
+        node.dials.discard(dialled)
+        self._dial_gave_nothing(node)
+
+    def _dial_gave_nothing(self, node: NodeState) -> None:
+        """The request that has waited longest ends, where none of the connections left is for it."""
+        while node.waiting and node.waiting[0].obsolete:
+            node.waiting.popleft()
+        if len(node.waiting) > len(node.dials) + len(node.idle):
+            self.finish(node.waiting.popleft(), AttemptResult.NO_CONNECTION)
+        self._dial(node)
+
+    def _dial_raised(self, failure: Failure) -> None:
+        self._log.error("dial_raised", error=repr(failure.value))
+
+    def _close_longest_idle(self) -> bool:
+        """Close the longest idle connection of any node, to make room for a dial; whether there was one."""
+        idle = [connection for node in self._nodes.values() for connection in node.idle]
+        if not idle:
+            return False
+        min(idle, key=lambda connection: connection.idle_since_us).abort()
+        return True
+
+    # ---- connections ----
+
+    def connection_freed(self, connection: NodeConnection) -> None:
+        """A connection settles after its answer; then the next request that waits takes it."""
+        node = connection.node
+        node.busy.discard(connection)
+        if connection.generation != node.generation or self._closing or connection.lost:
+            connection.abort()
+            return
+        self._add_idle(connection, self.clock.now_us(), SETTLE_US)
+
+    def _add_idle(self, connection: NodeConnection, now_us: int, settle_us: int) -> None:
+        connection.idle_since_us = now_us
+        connection.usable_at_us = now_us + settle_us
+        connection.node.idle.append(connection)
+        self._start_waiting(connection.node)
+
+    def connection_ended(self, connection: NodeConnection) -> None:
+        """A connection is closed; a request that waits may have waited for it."""
+        node = connection.node
+        node.busy.discard(connection)
+        if connection in node.idle:
+            node.idle.remove(connection)
+        if node.waiting and node.next_look is None:
+            node.next_look = self.clock.call_later(0, lambda: self._look_again(node))
+
+    def sweep(self) -> None:
+        """Close what has been idle for long, end answers that stall, and forget nodes that are gone."""
+        now_us = self.clock.now_us()
+        self.idle_times.decay()
+        for node_id, node in list(self._nodes.items()):
+            for connection in [busy for busy in node.busy if busy.stalled(now_us)]:
+                connection.end_stalled()
+            for connection in list(node.idle):
+                if now_us - connection.idle_since_us >= self._idle_us:
+                    connection.abort()
+            if node_id not in self._addresses and not node.connections and not node.waiting:
+                del self._nodes[node_id]
+
+    def close(self) -> None:
+        """Dial no more and close what is idle; what is in flight may finish."""
+        self._closing = True
+        for node in self._nodes.values():
+            for connection in list(node.idle):
+                connection.abort()
--- /dev/null
+++ b/gaugesail/http/staged_upload.py
@@ -0,0 +1,147 @@
+"""A large request that is written to a node while it is received, all but its end.
+
+The end goes with the attempt, so that until then the node has not begun, and what is given up never ran.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import Enum
+from typing import Any
+
+from gaugesail.policy.events import AttemptResult
+
+from ..core.ports import BodySource
+from .node_connection import NodeConnection
+from .node_request import NodeRequest
+
+END_OF_CHUNKS = b"0\r\n\r\n"
+
+
+class UploadState(Enum):
+    """How far a staged upload has come."""
+
+    RECEIVING = "receiving"  # or complete, and waiting for its attempt
+    SENT = "sent"  # its end was written: it may run
+    BROKEN = "broken"  # it never will run
+
+
+class StagedUpload:
+    """The sink of a large request's body; it passes the node's back-pressure on to the client."""
+
+    def __init__(
+        self,
+        exchange: Any,
+        timeout_us: int,
+        source: BodySource,
+        finish: Callable[[NodeRequest, AttemptResult], None],
+    ) -> None:
+        self._exchange = exchange
+        self._timeout_us = timeout_us
+        self._source = source
+        self._finish = finish
+        self._connection: NodeConnection | None = None
+        self._held_back = b""  # the end of what has come
+        self._complete = False
+        self._paused = False
+        self._waiting: NodeRequest | None = None  # the attempt, while the connection is dialled
+        self._state = UploadState.RECEIVING
+        self.request: NodeRequest | None = None
+
+    def start(self, connection: NodeConnection, request: NodeRequest, host: str) -> None:
+        """Write on a connection what came until now, and let the client go on."""
+        self._connection = connection
+        body = self._exchange.body
+        head = self._exchange.head(host, self._timeout_us, self._source.length)
+        connection.start_upload(request, head, self)
+        received = body.read()
+        body.release()
+        self.write(received)
+        if self._complete and self._waiting is not None:
+            self._send_end(connection, self._waiting)
+        elif not (self._paused or self._complete):
+            self._source.resume()
+
+    # ---- the transport tells how the node reads ----
+
+    def pauseProducing(self) -> None:
+        """The node reads no faster."""
+        self._paused = True
+        if self._state is UploadState.RECEIVING and not self._complete:
+            self._source.pause()
+
+    def resumeProducing(self) -> None:
+        """The node reads on."""
+        self._paused = False
+        if self._state is UploadState.RECEIVING and not self._complete:
+            self._source.resume()
+
+    def stopProducing(self) -> None:
+        """The connection is lost, which its protocol hears too."""
+
+    # ---- the client's side ----
+
+    def write(self, data: bytes) -> None:
+        """Pass on the next bytes; without chunks the very last byte is held back."""
+        if self._state is not UploadState.RECEIVING or not data:
+            return
+        if self._connection is None:
+            self._exchange.body.append(data)
+        elif self._source.length is None:
+            self._connection.link.write(b"%x\r\n%b\r\n" % (len(data), data))
+        else:
+            self._connection.link.write(self._held_back + data[:-1])
+            self._held_back = data[-1:]
+
+    def finish(self) -> None:
+        """All has been received.  Its end is held back until the attempt."""
+        self._complete = True
+        if self._source.length is None:
+            self._held_back = END_OF_CHUNKS
+
+    def fail(self) -> None:
+        """The client left, or the request has its answer: without its end it never ran."""
+        if self._state is not UploadState.RECEIVING:
+            return
+        self._state = UploadState.BROKEN
+        self._held_back = b""
+        if self.request is not None:
+            self.request.ended = True
+        if self._connection is not None:
+            self._connection.abort()
+
+    # ---- the node's side ----
+
+    def connection_lost(self) -> None:
+        """The node is gone, or does not take it: the client need not go on."""
+        if self._state is not UploadState.RECEIVING:
+            return
+        self._state = UploadState.BROKEN
+        if not self._complete:
+            self._source.stop()
+        elif self._waiting is not None:
+            self._finish(self._waiting, AttemptResult.NO_CONNECTION)
+
+    def send(self, attempt: NodeRequest) -> bool:
+        """Write its end, as the attempt: from here on it may run.  False where it can't be written."""
+        if self._state is not UploadState.RECEIVING or not self._complete:
+            return False
+        if self._connection is None:
+            self._waiting = attempt
+        else:
+            self._send_end(self._connection, attempt)
+        return True
+
+    def _send_end(self, connection: NodeConnection, attempt: NodeRequest) -> None:
+        if attempt.obsolete:
+            self.fail()
+            return
+        if not attempt.may_start():
+            self.fail()
+            self._finish(attempt, AttemptResult.NOT_STARTED)
+            return
+        self._state = UploadState.SENT
+        if attempt.listener is not None and attempt.attempt is not None:
+            attempt.listener.attempt_started(attempt.attempt)
+        connection.finish_upload(attempt, self._held_back)
+        self._held_back = b""
--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -18,7 +18,7 @@
     deny_first_byte,
 )
 from gaugesail.core.trace import MAX_STEPS, Step, Trace
-from gaugesail.http.bricks import BrickPool
+from gaugesail.http.node_pool import NodePool
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from gaugesail.policy.settings import Plan, RequestClass, Settings
 from tests.support.live_head import turned
@@ -114,8 +114,8 @@
     with turned() as rig:
         gateway = rig.head.engine.policy.gateway
         monkeypatch.setattr(gateway, "_retire", lambda node: None)
-        monkeypatch.setattr(BrickPool, "_usable", lambda self, node: self._lines.get(node))
-        monkeypatch.setattr(BrickPool, "_stop", lambda self, node: None)
+        monkeypatch.setattr(NodePool, "_usable_address", lambda self, node: self._addresses.get(node))
+        monkeypatch.setattr(NodePool, "_stop_waiting", lambda self, node: None)
         rig.watch.send(rig.drain(rig.bricks[0], 2))
         rig.pass_time(0.4)
         rig.client().send(rig.ask("late"))
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -11,7 +11,7 @@
 
 from gaugesail import net
 from gaugesail.core.deadlines import RequestDeadline
-from gaugesail.http import bricks
+from gaugesail.http import node_connection
 from gaugesail.http.front import ClientConnection
 
 from ..support.live_head import STEP_S, End, HeldDials, Turned, chunk, turned
@@ -508,7 +508,7 @@
         warm(rig, 1)
         brick, client, body = rig.bricks[0], rig.client(), bytes(range(256)) * 255
         brick.ends[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        inside = next(iter(next(iter(rig.head.transport._bricks.values())).idle))
+        inside = next(iter(next(iter(rig.head.transport._nodes.values())).idle))
         inside.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(rig.ask("large", "write", body=body))
         rig.pass_time(0.02)
@@ -536,7 +536,7 @@
                 rig.leap(0.15)
             return whole
 
-        monkeypatch.setattr(bricks, "send_now", slowly)
+        monkeypatch.setattr(node_connection, "send_now", slowly)
         for n, client in enumerate(clients):
             client.send(rig.ask(f"many{n}"))
         rig.pass_time(0.3)
@@ -573,7 +573,7 @@
         began.setdefault(name, rig.clock.now_us())
         return whole
 
-    monkeypatch.setattr(bricks, "send_now", sent)
+    monkeypatch.setattr(node_connection, "send_now", sent)
     loud, served, number = [rig.client() for _ in range(4)], 0, 0
     try:
         until = rig.now + 8.0
@@ -622,7 +622,7 @@
         warm(rig, 1)
         brick, client, body = rig.bricks[0], rig.client(), b"b" * 65_000
         brick.ends[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        inside = next(iter(next(iter(rig.head.transport._bricks.values())).idle))
+        inside = next(iter(next(iter(rig.head.transport._nodes.values())).idle))
         inside.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(rig.ask("left", "write", body=body))
         rig.pass_time(0.02)
--- a/tests/http/test_connection_edges.py
+++ b/tests/http/test_connection_edges.py
@@ -140,7 +140,7 @@
     with turned() as rig:
         client = served(rig)
         (ours,) = rig.head.front._open
-        (brick,) = rig.head.transport._bricks.values()
+        (brick,) = rig.head.transport._nodes.values()
         links = [ours.link, brick.idle[0].link, *(call.link for call in rig.head.discovery._calls)]
         assert len(links) == 3 and not client.ended
         for link in links:
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -17,8 +17,9 @@
 
 from gaugesail import config
 from gaugesail.buffers import Body, BufferPool, PoolEmpty
-from gaugesail.http.bricks import BrickConnection, IdleBook
 from gaugesail.http.discovery import BadList, read_list, split_address
+from gaugesail.http.idle_times import IdleTimes
+from gaugesail.http.node_connection import NodeConnection
 from gaugesail.http.parser import BadMessage, Data, End, Head, Parser
 from gaugesail.listening import ListeningPort
 from gaugesail.policy.events import AttemptResult
@@ -109,10 +110,11 @@
 def test_an_answer_that_comes_before_the_requests_last_byte_is_not_its_answer() -> None:
     ends: list[Any] = []
     clock = SimpleNamespace(now_us=lambda: 1)
-    pool: Any = SimpleNamespace(clock=clock, buffers=BufferPool(9), freed=ends.append, ended=lambda _: None)
+    pool: Any = SimpleNamespace(clock=clock, buffers=BufferPool(9), connection_freed=ends.append)
+    pool.connection_ended = lambda _: None
     pool.finish, pool.max_answer = lambda _, *end: ends.append(end), 100
     for written, result in ((False, AttemptResult.NO_CONNECTION), (True, AttemptResult.SERVED)):
-        connection, link = BrickConnection(pool, cast(Any, None), 0), cast(Any, StringTransport)()
+        connection, link = NodeConnection(pool, cast(Any, None), 0), cast(Any, StringTransport)()
         connection.transport = link
         connection.start(cast(Any, SimpleNamespace(attempt=None)), b"GET / HTTP/1.1\r\n\r\n")
         for _ in range(2 if written else 1):  # the first pull comes with registering
@@ -253,20 +255,20 @@
 
 
 def test_connections_idle_for_as_long_as_those_that_were_reset_are_not_used() -> None:
-    book = IdleBook()
+    times = IdleTimes()
     for _ in range(50):
-        book.ended(30_000, False)
+        times.record(30_000, False)
     for _ in range(4):
-        book.ended(300_000, True)
-    assert book.most_us() == 160_000, "4 of 14 are too many"
-    book.ended(5_000, True)
-    assert book.most_us() == 160_000
+        times.record(300_000, True)
+    assert times.limit_us() == 160_000, "4 of 14 are too many"
+    times.record(5_000, True)
+    assert times.limit_us() == 160_000
     for _ in range(200):
-        book.fade()
-    assert book.most_us() > 15_000_000, "it is forgotten"
+        times.decay()
+    assert times.limit_us() > 15_000_000, "it is forgotten"
     for _ in range(9):
-        book.ended(2_000, True)
-    assert book.most_us() > 15_000_000, "what is reset at once is not reset for having been idle"
+        times.record(2_000, True)
+    assert times.limit_us() > 15_000_000, "what is reset at once is not reset for having been idle"
 
 
 def test_a_brick_that_closes_early_and_unseen_soon_gets_fresh_connections() -> None:
@@ -277,4 +279,4 @@
             text += f"close b1 b{n}\nexpect b1 request b{n} within 0.02\n" if name == "b" else ""
             text += f"send b1 answer {name}{n} 200 x\nexpect c1 200\nwait 0.3\n"
     pool = play(text).head.transport
-    assert pool.idle_book.most_us() == 160_000
+    assert pool.idle_times.limit_us() == 160_000
--- a/tests/http/test_process_stall.py
+++ b/tests/http/test_process_stall.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gaugesail.http import bricks
+from gaugesail.http import node_pool
 
 from ..support.live_head import End, HeldDials, Turned, turned
 
@@ -51,7 +51,7 @@
         brick, clients = rig.bricks[0], [rig.client(), rig.client()]
         clients[0].send(rig.ask("first"))
         brick.request("first")
-        HeldDials(monkeypatch, bricks)  # there is this one connection alone
+        HeldDials(monkeypatch, node_pool)  # there is this one connection alone
         rig.pass_time(0.05)
         brick.answer("first")
         clients[0].take(b"\r\n\r\nok")
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -112,15 +112,15 @@
 
 def test_replaced_bricks_leave_nothing_behind() -> None:
     head = play(f"{ASKED}send b1 answer a 200 x\nexpect c1 200").head
-    before = len(head.transport._lines), len(head.transport._bricks)
+    before = len(head.transport._addresses), len(head.transport._nodes)
     for n in range(1000):
         name = f"s-{n}"
         line = {"id": name, "host_port": "127.0.0.1:1", "cell": 0, "phase": "Ready"}
         head.discovery.heard({"revision": 9, "complete": False, "members": [line]})
-        head.transport._bricks[name.encode()] = type(head.transport._bricks[b"b1"])(name.encode())
+        head.transport._nodes[name.encode()] = type(head.transport._nodes[b"b1"])(name.encode())
         head.discovery.heard({"revision": 9, "complete": False, "members": [line | {"phase": "Gone"}]})
     head.transport.sweep()
-    assert (len(head.transport._lines), len(head.transport._bricks)) == before
+    assert (len(head.transport._addresses), len(head.transport._nodes)) == before
 
 
 def test_a_huge_body_is_answered_before_it_is_read_and_its_sender_may_read_the_answer() -> None:
--- a/tests/support/live_head.py
+++ b/tests/support/live_head.py
@@ -23,7 +23,7 @@
 from gaugesail import config as configuration
 from gaugesail.app import Head
 from gaugesail.core.clock import ReactorClock
-from gaugesail.http import bricks
+from gaugesail.http import node_pool
 from gaugesail.logs import make_logger
 from gaugesail.rehearsal import defaults
 
@@ -316,7 +316,7 @@
 class HeldDials:
     """Connections to bricks come up when the test lets them."""
 
-    def __init__(self, monkeypatch: Any, module: Any = bricks) -> None:
+    def __init__(self, monkeypatch: Any, module: Any = node_pool) -> None:
         self._dial = module.dial
         self.held: list[tuple[Any, tuple[Any, ...]]] = []
         self.on = True
