--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -25,12 +25,11 @@
 from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
+from .notices import Notice, NoticeField
 from .quota_ledger import Pair
 from .replica import Replica, elsewhere
 from .store_fencing import KnownStore, StoreFence
 
-Notices = tuple[tuple[str, dict[str, Any]], ...]
-
 
 class PersistentState(msgspec.Struct):
     """All that a head keeps beside its log, written as one."""
@@ -80,7 +79,7 @@
     save: StoreWrite | None = None
     shares: QuotaUpdate | None = None
     sends: list[tuple[str, Message]] = field(default_factory=list)
-    notices: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+    notices: list[Notice] = field(default_factory=list)
 
 
 def amount_of(plan: str, volume: int) -> str:
@@ -91,14 +90,14 @@
 def shares_of(told: QuotaUpdate) -> QuotaChanged:
     """What the gateway is told: by plan and volume, in units."""
     parts = []
-    for amount, rate, burst in told.parts:
+    for amount, rate, burst in told.allocations:
         plan, _, volume = amount.rpartition("/")
         parts.append((plan, int(volume, 16), rate / 1000, burst / 1000))
     floors = told.floors
     return QuotaChanged(
-        told.until, tuple(parts),
+        told.lease_until, tuple(parts),
         None if floors is None else tuple((plan, rate / 1000, burst / 1000) for plan, rate, burst in floors),
-        told.anew,
+        told.replaces_all,
     )  # fmt: skip
 
 
@@ -111,7 +110,7 @@
     ) -> None:  # fmt: skip
         self.charter, self.digest, self.name = charter, digest, name
         self.process, self._rng, self._born = process, random.Random(seed), now
-        self.keeper = name in charter.keepers and loaded is not None
+        self.keeper = name in charter.replicas and loaded is not None
         self.holds_store = loaded is not None
         kept = loaded.kept if loaded is not None else PersistentState("")
         self._loaded_saves = kept.saves
@@ -120,7 +119,7 @@
         self.kept = kept
         self.members = Membership(name, address, process, kept.generation, self._rng, now)
         self.founding = Bootstrap(
-            name, kept.store, charter.keepers, digest, BootstrapRecord(kept.fleet, kept.seats, kept.bound)
+            name, kept.store, charter.replicas, digest, BootstrapRecord(kept.fleet, kept.seats, kept.bound)
         )
         self.witness = StoreFence({store: KnownStore(*item) for store, item in kept.known.items()}, now)
         self.seat: Replica | None = None
@@ -129,7 +128,7 @@
         self._floor_kept = floor
         self._changed = self.holds_store  # the life counts before anything is said
         self._anew = False
-        self._notices: list[tuple[str, dict[str, Any]]] = []
+        self._notices: list[Notice] = []
         self._out: list[tuple[str, Message]] = []
         self._answers: dict[int, tuple[bool, str]] = {}  # what became of ours
         self._petitions = 0
@@ -138,7 +137,7 @@
         if self.keeper:
             assert loaded is not None
             self._sit(now, loaded.snapshot, loaded.log)
-        self.members.join(list(charter.keepers))
+        self.members.join(list(charter.replicas))
 
     def _sit(self, now: int, snapshot: Snapshot, log: list[LogEntry]) -> None:
         """Take up a keeper's log as it was kept."""
@@ -181,11 +180,11 @@
 
     def state(self, wholes: Mapping[str, Pair], quantum: int) -> None:
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
-        self.holder.state(wholes, quantum)
+        self.holder.set_limits(wholes, quantum)
 
     def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
-        self.holder.want(now, asked)
+        self.holder.record_demand(now, asked)
         return self.tick(now)
 
     def leave(self, now: int) -> StepOutput:
@@ -329,7 +328,7 @@
         self.founding.renew(fresh)
         self.witness.restart(now)
         self.seat = None
-        self.holder.renew(now, fresh)
+        self.holder.replace_store(now, fresh)
         self._floor_kept = self.holder.floor
         self._changed = self._anew = True
 
@@ -343,7 +342,7 @@
         self._note("store_failed", why=why)
         self._fall(now)
         self.holds_store = False
-        self.holder.unkept(self._floor_kept)
+        self.holder.floor_not_persisted(self._floor_kept)
 
     # ---- the end of a step ----
 
@@ -358,21 +357,19 @@
             self._said.add("usurped")
             self._note("name_taken", head=self.name)
         out.save = self._save()
-        out.shares = self.holder.spendable()
+        out.shares = self.holder.take_quota_update()
         if seat is not None:
             for to, said in seat.take_out():
                 if isinstance(said, m.OperatorCommandResult) and to == self.name:
                     self._answers[said.number] = said.done, said.why
                 else:
                     out.sends.append((to, said))
-            for event, fields in seat.notes:
-                self._note(event, **fields)
-            seat.notes.clear()
-        out.sends += self.holder.take_out() + self.members.out() + self._out
+            self._notices += seat.notices
+            seat.notices.clear()
+        out.sends += self.holder.take_messages() + self.members.out() + self._out
         self._out = []
-        for event, fields in self.holder.notes:
-            self._note(event, **fields)
-        self.holder.notes.clear()
+        self._notices += self.holder.notices
+        self.holder.notices.clear()
         out.notices, self._notices = self._notices, []
         return out
 
@@ -382,17 +379,17 @@
             return None
         kept, raft = self.kept, self.seat.raft if self.seat is not None else None
         log = raft.take_save() if raft is not None else None
-        changed = self._changed or self.witness.dirty or self.founding.dirty or self.holder.floor_dirty
+        changed = self._changed or self.witness.dirty or self.founding.dirty or self.holder.floor_changed
         if log is None and not changed:
             return None
-        self._changed = self.witness.dirty = self.founding.dirty = self.holder.floor_dirty = False
+        self._changed = self.witness.dirty = self.founding.dirty = self.holder.floor_changed = False
         founded, floor = self.founding.kept, self.holder.floor
         kept.saves += 1
         kept.fleet, kept.seats, kept.bound = founded.fleet, founded.seats, founded.bound
         kept.known = {
             store: (known.life, known.saves, known.process) for store, known in self.witness.known.items()
         }
-        kept.slot, kept.version, kept.wholes = floor.slot, floor.version, floor.wholes
+        kept.slot, kept.version, kept.wholes = floor.slot, floor.limits_version, floor.limits
         kept.of_fleet = floor.fleet
         self._floor_kept = floor
         if raft is not None:
@@ -405,15 +402,15 @@
 
     def _likely(self) -> list[str]:
         """Keepers to ask, the likeliest to lead first; who is thought to be gone comes last."""
-        names = sorted({name_of(seat) for seat in self._seats()} or self.charter.keepers)
+        names = sorted({name_of(seat) for seat in self._seats()} or self.charter.replicas)
         gone = {name for name in names if (self.members.state(name) or MemberState.ALIVE) >= MemberState.GONE}
         return sorted(names, key=lambda name: (name != self.leader, name in gone, name))
 
     def _say(self, to: str, message: Message) -> None:
         self._out.append((to, message))
 
-    def _note(self, event: str, **fields: Any) -> None:
-        self._notices.append((event, fields))
+    def _note(self, event: str, **fields: NoticeField) -> None:
+        self._notices.append(Notice(event, fields))
 
     # ---- what staff see ----
 
@@ -442,12 +439,12 @@
         told: dict[str, Any] = {
             "head": self.name, "leader": self.leader, "leads": self.leads, "keeper": self.seat is not None,
             "own": {
-                "session": holder.session, "lease_s": round(max(0, holder.until - now) / 1e6, 2),
-                "slot": holder.floor.slot, "refused": holder.refused,
+                "session": holder.session, "lease_s": round(max(0, holder.lease_until - now) / 1e6, 2),
+                "slot": holder.floor.slot, "refused": holder.refusal_reason,
                 "floors": {plan: {"rate": rate / 1000, "burst": burst / 1000}
                            for plan, rate, burst in holder.floors()},
-                "parts": {held.amount: {"rate": held.rate / 1000, "burst": held.burst / 1000}
-                          for held in holder.book.values()},
+                "parts": {held.quota_name: {"rate": held.rate / 1000, "burst": held.burst / 1000}
+                          for held in holder.allocations.values()},
             },
         }  # fmt: skip
         return told | (self.seat.view(now) if self.seat is not None else {})
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -206,7 +206,7 @@
         It is submitted when it is complete, and runs when the policy starts its attempt.  None where there is
         no node to write it to.
         """
-        node_id = self.policy.gateway.holder(request.shard)
+        node_id = self.policy.gateway.node_of(request.shard)
         if node_id is None or node_id in self.in_maintenance:
             return None
         return self._transport.stage_upload(node_id, request, source)
@@ -270,7 +270,7 @@
     def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
         under a limit that was asked for."""
-        return self.policy.gateway.amounts.take_demand(self._clock.now_us())
+        return self.policy.gateway.rate_limits.take_demand(self._clock.now_us())
 
     def set_sibling_process(self, present: bool) -> None:
         """Another process of this gateway works beside this one, or no longer does."""
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -285,8 +285,8 @@
         if node is None:
             return
         out = call(node)
-        for event, _ in out.notices:
-            self.notices[event] += 1
+        for notice in out.notices:
+            self.notices[notice.event] += 1
         things: list[Callable[[], None]] = []
         if out.save is not None:
             # What is kept is what it was then.
@@ -341,7 +341,7 @@
             return
         asked = {
             amount_of(plan, volume): (units, spent, saved, 1000)
-            for plan, volume, units, spent, saved in self.gateway.amounts.take_demand(self.now())
+            for plan, volume, units, spent, saved in self.gateway.rate_limits.take_demand(self.now())
         }
         self.step(lambda node: node.want(self.now(), asked))
 
@@ -420,7 +420,7 @@
     ) -> None:  # fmt: skip
         self.rng, self.now = random.Random(seed), 0
         names = [f"h{n}" for n in range(heads)]
-        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), most_heads=heads)
+        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), max_gateways=heads)
         self.limit, self.most_units = limit, most_units
         self.mounts = float(heads if mounts is None else mounts)
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -545,7 +545,7 @@
             rate = burst = 0.0
             for head in alive:
                 if head.gateway is not None:
-                    mine = head.gateway.amounts.allowance(head.now(), "plan", volume)
+                    mine = head.gateway.rate_limits.allowance(head.now(), "plan", volume)
                     rate, burst = rate + mine[0], burst + mine[1]
             most = max([judge.rate, *(item[1] for item in judge.later)])
             judge.fill(self.now)
