--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -19,9 +19,10 @@
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
 from .handover import Takeover
-from .http.bricks import BrickConnection, BrickPool
 from .http.discovery import DiscoveryClient
 from .http.front import ClientConnection, ClientFront
+from .http.node_connection import NodeConnection
+from .http.node_pool import NodePool
 from .net import attach, detach, reset
 from .operations import Operations
 from .service import Service
@@ -45,7 +46,7 @@
         )
         log = self._log
         self._config = config
-        self.transport = BrickPool(
+        self.transport = NodePool(
             reactor,
             self.clock,
             self.buffers,
@@ -61,7 +62,7 @@
             config.zones,
             config.kinds,
             log,
-            self.transport.listed,
+            self.transport.update_addresses,
             lambda news: self.engine.update_endpoints(news),
             config.settings.drain_grace_us if config.pushed else None,
         )
@@ -99,31 +100,31 @@
         for client in self.front.streams:
             client.move(self._moved)
 
-    def _moved(self, client: ClientConnection, brick: BrickConnection) -> None:
+    def _moved(self, client: ClientConnection, node: NodeConnection) -> None:
         if self._handover.successor is None:
             client.stay()
             return
-        told = {"client": client.leave(), "brick": brick.leave()}
-        self._handover.hand_over_answer([detach(client.link), detach(brick.link)], told)
+        state = {"client": client.leave(), "brick": node.hand_over_stream().to_json()}
+        self._handover.hand_over_answer([detach(client.link), detach(node.link)], state)
         self.front.closed(client)
 
     def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
         """Go on with a large answer.  Where either side has gone meanwhile, the other ends with it."""
         client_descriptor, node_descriptor = descriptors
         try:
-            brick = self.transport.adopt(node_descriptor, state["brick"], self.engine.attempts)
+            node = self.transport.take_over(node_descriptor, state["brick"], self.engine.attempts)
         except OSError:
             reset(client_descriptor)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
-        client.enter(state["client"], brick)
-        self.engine.attempts.adopt_stream(brick.attempt)
+        client.enter(state["client"], node)
+        self.engine.attempts.adopt_stream(node.attempt)
         try:
             attach(self._reactor, client_descriptor, client)
         except OSError:
-            brick.stop()
+            node.stop()
             return
-        brick.goes_to(client)
+        node.stream_to(client)
 
     def limit(self, processes: int) -> None:
         limits = self._config.limits.of(processes)
@@ -135,7 +136,7 @@
         configuration.check_shape(self._config.raw, config.raw)
         self._kept(self._config, config, LIVE)
         self._config = replace(config, limits=self._config.limits)
-        self.transport.retune(config.conn_idle_us, config.connect_timeout_us)
+        self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
         self.discovery.retune(config.zones, config.kinds)
         self.discovery.move(config.discovery)
         self.retune(config.settings)
