--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -66,7 +66,7 @@
             lambda news: self.engine.update_endpoints(news),
             config.settings.drain_grace_us if config.pushed else None,
         )
-        self.needs_list = config.pushed
+        self.waits_for_list = config.pushed
         self.engine = Engine(config.settings, config.seed, self.clock, self.transport, self.discovery, log)
         self.front = ClientFront(
             self.engine,
@@ -80,7 +80,7 @@
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
-    def known(self, told: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
         # Another service may count its revisions from anywhere: the process before must have used the same.
         same = told.get("discovery") == self.discovery.host
         news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
@@ -93,7 +93,7 @@
         return takeover
 
     @property
-    def passing_answers(self) -> bool:
+    def has_streams(self) -> bool:
         return bool(self.front.streams)
 
     def hand_over_answers(self) -> None:
@@ -131,15 +131,15 @@
         self.front.limit(limits.client_connections, limits.client_overflow)
         self.transport.limit(limits.node_connections)
 
-    def reload(self, config: configuration.Config) -> None:
+    def apply_configuration(self, config: configuration.Config) -> None:
         """Take the file whole or not at all."""
         configuration.check_shape(self._config.raw, config.raw)
-        self._kept(self._config, config, LIVE)
+        self._warn_of_restart(self._config, config, LIVE)
         self._config = replace(config, limits=self._config.limits)
         self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
         self.discovery.retune(config.zones, config.kinds)
         self.discovery.move(config.discovery)
-        self.retune(config.settings)
+        self.change_settings(config.settings)
         classes = ",".join(spec.name for spec in config.settings.classes)
         self._log.info("reloaded", discovery=self.discovery.host, classes=classes)
 
@@ -172,7 +172,7 @@
     """
     # Ours before anything can send one, in place of Twisted's: by default SIGHUP ends the process, and
     # Twisted's SIGTERM stops at once.  What comes before the reactor runs is carried out when it does.
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: head.hang_up(load)))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: head.reload_from(load)))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(lambda: head.stop()))
     load: Callable[[], Any] = configuration.load
@@ -201,7 +201,7 @@
             head = IscsiHead(reactor, load(), log, clock)
         else:
             head = Head(reactor, load(), log, clock)
-        head.companion = companion
+        head.fleet = companion
     except ValueError as error:
         log.error("bad_configuration", error=str(error))
         return 2
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -12,7 +12,7 @@
 
 from ..core.ports import Clock, Logger
 from ..net import Connection
-from ..operations import NotYet
+from ..operations import StateNotKnown
 from .parser import BadMessage, Data, Head, Parser
 
 MOST_CALLS = 16  # connections at once; their descriptors are kept out of the clients' part
@@ -63,7 +63,7 @@
                     return
         except BadMessage as error:
             self._answer(error.status if error.status < 500 else 400, str(error))
-        except NotYet as error:
+        except StateNotKnown as error:
             self._answer(503, str(error))
         except OSError as error:  # what cannot be kept for the next process is not done
             self._front.log.error("state_not_written", error=repr(error))
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -83,23 +83,23 @@
     def limit(self, processes: int) -> None:
         self.front.limit(self._sessions(processes))
 
-    def _begin(self, inherited: Takeover | None) -> None:
-        super()._begin(inherited)
+    def _open(self, inherited: Takeover | None) -> None:
+        super()._open(inherited)
         self.front.address = self.address
 
-    def known(self, told: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
         return self.listing(EndpointListKind.CACHED)
 
     def listing(self, kind: EndpointListKind) -> EndpointList:
         self.transport.listed(self._operator.nodes)
         return EndpointList(kind, tuple(line.node for line in self._operator.nodes.values()))
 
-    def reload(self, operator: Operator) -> None:
+    def apply_configuration(self, operator: Operator) -> None:
         """Take nodes, classes, plans, rules and what extents say of them; all else waits for a restart."""
         if operator.geometry != self._operator.geometry:
             raise OperatorError("[[lun]]: its size cannot change while the head runs")
-        self._kept(self._operator, operator, LIVE)
+        self._warn_of_restart(self._operator, operator, LIVE)
         self._operator = self.front.operator = operator
-        self.retune(operator.settings)
+        self.change_settings(operator.settings)
         self._log.info("reloaded", nodes=len(operator.nodes))
         self.engine.update_endpoints(self.listing(EndpointListKind.FULL))
--- a/gaugesail/listening.py
+++ b/gaugesail/listening.py
@@ -12,10 +12,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from .core.ports import Clock, DelayedCall
+from twisted.internet.defer import Deferred
+from twisted.internet.error import CannotListenError
+
+from .core.ports import Clock, DelayedCall, Logger
 
 SHORTAGES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-AGAIN_US = 20_000  # after a shortage, until the next accept
+ACCEPT_RETRY_US = 20_000  # after a shortage, until the next accept
+# A predecessor that was told to end does so, or is killed, the longest deadline and 0.7 s later; a gateway
+# has 30 s to be ready.
+ADDRESS_TIMEOUT_US = 25_000_000
+ADDRESS_RETRY_US = 50_000
 
 
 class _PatientSocket(socket.socket):
@@ -60,7 +67,7 @@
         self._accept()
         if self.short and self._again is None:
             self._port.stopReading()
-            self._again = self._clock.call_later(AGAIN_US, self._resume)
+            self._again = self._clock.call_later(ACCEPT_RETRY_US, self._resume)
 
     def _resume(self) -> None:
         self._again = None
@@ -76,3 +83,33 @@
         """Accept what the kernel has accepted for us: closing the port would reset it, and its request."""
         if self._accept is not None:
             self._accept_some()
+
+
+def retry_while_in_use(clock: Clock, log: Logger, listen: Callable[[], None]) -> Deferred[None]:
+    """Call ``listen`` until its address is free: a predecessor on its way out may have it for a while yet.
+
+    The Deferred fails with what ``listen`` raised; with CannotListenError only after ``ADDRESS_TIMEOUT_US``.
+    """
+    done: Deferred[None] = Deferred()
+    last_try_at = clock.now_us() + ADDRESS_TIMEOUT_US
+    waits_logged = False
+
+    def attempt() -> None:
+        nonlocal waits_logged
+        try:
+            listen()
+        except CannotListenError as error:
+            if clock.now_us() >= last_try_at:
+                done.errback()
+                return
+            if not waits_logged:
+                waits_logged = True
+                log.warning("address_awaited", error=repr(error))
+            clock.call_later(ADDRESS_RETRY_US, attempt)
+        except Exception:
+            done.errback()
+        else:
+            done.callback(None)
+
+    attempt()
+    return done
--- a/gaugesail/rehearsal/worlds.py
+++ b/gaugesail/rehearsal/worlds.py
@@ -117,7 +117,9 @@
         """The file that the daemon was started with is another, and SIGHUP tells it so."""
         head, environ = self.heads[-1], self._environ
         iscsi = isinstance(head, IscsiHead)
-        head.hang_up(lambda: read_operator(config, environ) if iscsi else configuration.read(config, environ))
+        head.reload_from(
+            lambda: read_operator(config, environ) if iscsi else configuration.read(config, environ)
+        )
 
     def stop(self) -> None:
         """SIGTERM, to the process that has run for longest."""
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -9,7 +9,6 @@
 from typing import Any, Protocol
 
 from twisted.internet.defer import Deferred
-from twisted.internet.error import CannotListenError
 
 from gaugesail.policy.events import EndpointList
 from gaugesail.policy.settings import Settings
@@ -21,34 +20,47 @@
 from .door import MOVED_LAST_US
 from .handover import Handover, Takeover, adopt_port
 from .http.management import ACCEPTS, MOST_CALLS, ManagementFront
-from .listening import ListeningPort
+from .listening import ListeningPort, retry_while_in_use
 from .logs import LimitedLogger
 from .operations import Operations
 from .state import OperatorCall, StateFile
 
-ACCEPT_US = 450_000  # after SIGTERM: new connections come for up to 0.4 s
-LAST_ACCEPT_US = 1_500_000  # and later where they had to wait for a place
-ACCEPT_STEP_US = 20_000
-SERVE_US = 700_000  # after SIGTERM: until then, connections in use are kept
-LEAST_LONGEST_US = 3_000_000  # SIGKILL comes the longest deadline after SIGTERM, and this at the least,
-END_US = 500_000  # and 0.7 s more: by then all has its answer
-LAST_US = 150_000  # for the answers to be read: what is left then has nothing to wait for
-ABLE_US, ABLE_STEP_US = 3_000_000, 20_000  # how long a next process waits for its watch before it serves
-# How long it waits for its address, which the process before may have yet: one that was told to end does so,
-# or is killed, the longest deadline and 0.7 s later.  A head has 30 s to be ready.
-ADDRESS_US, ADDRESS_STEP_US = 25_000_000, 50_000
-SWEEP_US = 250_000
-REPORT_EVERY = 40  # sweeps
-BACKLOG = 512
-
-
-class Companion(Protocol):
-    """What works beside the engine for as long as a head lives: its place among other heads."""
-
-    def start(self, engine: Engine) -> None: ...
-    def retune(self, settings: Settings) -> None: ...
-    def leave(self) -> None: ...
-    def close(self) -> None: ...
+STOP_ACCEPTING_AFTER_US = 450_000  # after SIGTERM: new connections come for up to 0.4 s
+STOP_ACCEPTING_BY_US = 1_500_000  # and later where they had to wait for a place
+ACCEPT_RETRY_US = 20_000
+CLOSE_IDLE_AFTER_US = 700_000  # after SIGTERM: until then, connections in use are kept
+SHORTEST_KILL_DELAY_US = 3_000_000  # SIGKILL comes the longest deadline after SIGTERM, and this at the least,
+ANSWER_THE_REST_AFTER_US = 500_000  # and 0.7 s more: by then all has its answer
+READ_ANSWERS_US = 150_000  # for the answers to be read: what is left then has nothing to wait for
+LIST_TIMEOUT_US, LIST_RETRY_US = (
+    3_000_000,
+    20_000,
+)  # how long a next process waits for its watch before it serves
+SWEEP_INTERVAL_US = 250_000
+CONFIRM_RETRY_US = 20_000
+SWEEPS_PER_REPORT = 40  # sweeps
+LISTEN_BACKLOG = 512
+
+
+class FleetMember(Protocol):
+    """This gateway's place among others, where it has one (``--fleet``)."""
+
+    def start(self, engine: Engine) -> None:
+        """The gateway is about to serve."""
+        ...
+
+    def retune(self, settings: Settings) -> None:
+        """Other settings are in force."""
+        ...
+
+    def leave(self) -> None:
+        """The gateway ends in order: what it holds of the fleet goes back."""
+        ...
+
+    def close(self) -> None:
+        """The process ends."""
+        ...
+
     def call(self, method: str, path: list[str]) -> tuple[int, str]:
         """Carry out an operator's call under /fleet: a status and its text."""
         ...
@@ -72,8 +84,8 @@
         self.clock = clock
         self._log = LimitedLogger(log, clock.now_us)
         # A quarter of the memory for buffers: the interpreter and the books take about 30 MB.
-        self._most_buffers = max(64, memory_mb * 1024 * 1024 // 4 // BUFFER_BYTES)
-        self.buffers = BufferPool(self._most_buffers)
+        self._max_buffers = max(64, memory_mb * 1024 * 1024 // 4 // BUFFER_BYTES)
+        self.buffers = BufferPool(self._max_buffers)
         self.engine: Engine
         self.front: Any
         self.transport: Any
@@ -84,14 +96,14 @@
         self._management: ManagementFront | None = None
         self._handover = Handover(reactor, clock, self._log, folder, listen, self)
         self._port: Any = None
-        self._listening: ListeningPort
-        self._stopping, self._stop_at, self._able_by = False, 0, 0
+        self._listener: ListeningPort
+        self._stopping, self._stopping_since, self._serve_by = False, 0, 0
         self._replaced = False
         self._wanted: Settings  # what is in force, or will be when clients have left what was before
         self._sweeps = 0
         self._reported: Counter[str] = Counter()
-        self.companion: Companion | None = None
-        self.needs_list = False  # what it starts with may be older than what binds it
+        self.fleet: FleetMember | None = None
+        self.waits_for_list = False  # what it starts with may be older than what binds it
 
     # ---- start ----
 
@@ -101,48 +113,23 @@
         The Deferred fires when the address is ours, and fails where it cannot be had.
         """
         if self.management_address is None:
-            return self._handover.request_takeover().addCallback(self._take_address)
+            return self._handover.request_takeover().addCallback(self._open_address)
         host, port = self.management_address
-        free = self._when_free(lambda: self._listen_for_calls(host, port))
-        return free.addCallback(lambda _: self._handover.request_takeover()).addCallback(self._take_address)
-
-    def _take_address(self, takeover: Takeover | None) -> Deferred[Any]:
-        return self._when_free(lambda: self._begin(takeover))
+        free = retry_while_in_use(self.clock, self._log, lambda: self._listen_for_calls(host, port))
+        return free.addCallback(lambda _: self._handover.request_takeover()).addCallback(self._open_address)
 
-    def _when_free(self, listen: Callable[[], None]) -> Deferred[Any]:
-        """The process before this one may be on its way out and have the address for a while yet."""
-        done: Deferred[Any] = Deferred()
-        last, waits = self.clock.now_us() + ADDRESS_US, False
+    def _open_address(self, takeover: Takeover | None) -> Deferred[Any]:
+        return retry_while_in_use(self.clock, self._log, lambda: self._open(takeover))
 
-        def attempt() -> None:
-            nonlocal waits
-            try:
-                listen()
-            except CannotListenError as error:
-                if self.clock.now_us() >= last:
-                    done.errback()
-                    return
-                if not waits:
-                    waits = True
-                    self._log.warning("address_awaited", error=repr(error))
-                self.clock.call_later(ADDRESS_STEP_US, attempt)
-            except Exception:
-                done.errback()
-            else:
-                done.callback(None)
-
-        attempt()
-        return done
-
-    def _begin(self, takeover: Takeover | None) -> None:
+    def _open(self, takeover: Takeover | None) -> None:
         if self._stopping:  # meanwhile it was told to end: nothing was taken, and nothing will be
             if takeover is not None:
                 os.close(takeover.descriptor)
             return
         host, port = self._listen
         if takeover is None:
-            self._port = self._reactor.listenTCP(port, self.front, backlog=BACKLOG, interface=host)
-            if self.needs_list:
+            self._port = self._reactor.listenTCP(port, self.front, backlog=LISTEN_BACKLOG, interface=host)
+            if self.waits_for_list:
                 self._port.stopReading()
         else:
             self._port = adopt_port(self._reactor, takeover.descriptor, self.front)
@@ -150,28 +137,28 @@
         self.address = (host, self._port.getHost().port)
         self.front.port = self._port
         front = self.front
-        self._listening = ListeningPort(
+        self._listener = ListeningPort(
             self._port, self.clock, lambda: front.room, lambda: front.accepting and not front.held
         )
         self.operations.restore()
-        self.engine.start(self.known(takeover.state if takeover is not None else {}))
-        if self.companion is not None:
-            self.companion.start(self.engine)
-        self.clock.call_later(SWEEP_US, self._sweep)
-        if takeover is None and not self.needs_list:
+        self.engine.start(self.initial_endpoints(takeover.state if takeover is not None else {}))
+        if self.fleet is not None:
+            self.fleet.start(self.engine)
+        self.clock.call_later(SWEEP_INTERVAL_US, self._sweep)
+        if takeover is None and not self.waits_for_list:
             self._serve()
         else:
-            self._able_by = self.clock.now_us() + ABLE_US
-            self._serve_when_able()
+            self._serve_by = self.clock.now_us() + LIST_TIMEOUT_US
+            self._serve_when_listed()
 
-    def _serve_when_able(self) -> None:
+    def _serve_when_listed(self) -> None:
         """What comes waits, or is left to the process before this one, until our list is fresh."""
         if self._stopping:
             return
-        if self.discovery.up or self.clock.now_us() >= self._able_by:
+        if self.discovery.up or self.clock.now_us() >= self._serve_by:
             self._serve()
         else:
-            self.clock.call_later(ABLE_STEP_US, self._serve_when_able)
+            self.clock.call_later(LIST_RETRY_US, self._serve_when_listed)
 
     def _serve(self) -> None:
         self.front.listening = True
@@ -185,13 +172,13 @@
         if self._stopping:
             return
         self._management = calls = ManagementFront(self.operations, self.clock, self._log)
-        if self.companion is not None:
-            calls.fleet = self.companion.call
-        listener = self._reactor.listenTCP(port, calls, backlog=BACKLOG, interface=host)
+        if self.fleet is not None:
+            calls.fleet = self.fleet.call
+        listener = self._reactor.listenTCP(port, calls, backlog=LISTEN_BACKLOG, interface=host)
         ListeningPort(listener, self.clock, lambda: min(ACCEPTS, MOST_CALLS), lambda: True)
         self.management_address = host, listener.getHost().port
 
-    def known(self, told: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
         """The list to start with; ``told`` is what the process before this one handed over."""
         raise NotImplementedError
 
@@ -207,7 +194,7 @@
         """Both count as one head: each has half of what is limited."""
         self._log.info("sibling_process_started" if present else "sibling_process_ended")
         self.engine.set_sibling_process(present)
-        self.buffers.trim(self._most_buffers // 2 if present else self._most_buffers)
+        self.buffers.trim(self._max_buffers // 2 if present else self._max_buffers)
         self.limit(2 if present else 1)
 
     def predecessor_clients(self, clients: int) -> None:
@@ -227,7 +214,7 @@
         if on:
             self.hand_over_answers()
         elif self._stopping:
-            self._refuse_new()  # who waits in the kernel for the one that has gone is this one's again
+            self._stop_accepting()  # who waits in the kernel for the one that has gone is this one's again
 
     def hand_over_answers(self) -> None:
         """Hand to the next process what would not end in the time that this one has."""
@@ -242,34 +229,34 @@
 
     # ---- a new configuration ----
 
-    def hang_up(self, load: Callable[[], Any]) -> None:
+    def reload_from(self, load: Callable[[], Any]) -> None:
         """SIGHUP: read the configuration again; whatever is wrong with it, the one in force stays."""
         try:
-            self.reload(load())
+            self.apply_configuration(load())
         except ValueError as error:
             self._log.error("bad_configuration", error=str(error))
 
-    def reload(self, config: Any) -> None:
+    def apply_configuration(self, config: Any) -> None:
         """Take what may change while the head runs from its configuration, read again."""
         raise NotImplementedError
 
-    def retune(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """Other settings.  Clients use both for a while: what either forbids is not done until then."""
         if settings == self._wanted:
             return
         self._wanted = settings
-        self._use(transition_settings(self.engine.settings, settings))
+        self._apply_settings(transition_settings(self.engine.settings, settings))
         self.clock.call_later(
-            TRANSITION_US, lambda: self._use(settings) if settings is self._wanted else None
+            TRANSITION_US, lambda: self._apply_settings(settings) if settings is self._wanted else None
         )
 
-    def _use(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         self.engine.change_settings(settings)
         self.front.retune(settings)
-        if self.companion is not None:
-            self.companion.retune(settings)
+        if self.fleet is not None:
+            self.fleet.retune(settings)
 
-    def _kept(self, old: Any, new: Any, live: set[str]) -> None:
+    def _warn_of_restart(self, old: Any, new: Any, live: set[str]) -> None:
         """Log which entries of a configuration differ and wait for a restart."""
         names = [item.name for item in fields(old) if getattr(old, item.name) != getattr(new, item.name)]
         if waiting := sorted(set(names) - live):
@@ -280,46 +267,50 @@
     def stop(self) -> Deferred[None]:
         """Finish in order: accept a while, serve a while, close what is idle, finish what was taken."""
         if not self._stopping:
-            self._stopping, self._stop_at = True, self.clock.now_us()
+            self._stopping, self._stopping_since = True, self.clock.now_us()
             self.operations.stopping = True
             self._log.info("stopping", open=self.engine.open_requests, clients=self.front.connections)
-            self.clock.call_later(ACCEPT_US, self._refuse_new)
-            self.clock.call_later(SERVE_US, self._close_idle)
-            self.clock.call_later(self.longest_us() + END_US, self._end)
+            self.clock.call_later(STOP_ACCEPTING_AFTER_US, self._stop_accepting)
+            self.clock.call_later(CLOSE_IDLE_AFTER_US, self._close_idle)
+            self.clock.call_later(
+                self.longest_deadline_us() + ANSWER_THE_REST_AFTER_US, self._answer_the_rest
+            )
         return self.stopped
 
-    def _end(self) -> None:
+    def _answer_the_rest(self) -> None:
         self.front.end()
         self.engine.fail_all()
-        self.clock.call_later(LAST_US, self._last)
+        self.clock.call_later(READ_ANSWERS_US, self._finish_when_read)
 
-    def _last(self) -> None:
+    def _finish_when_read(self) -> None:
         """Connections may linger, as that of a client that sends on behind its answer: it is not served."""
-        if self.passing_answers:
-            self.clock.call_later(LAST_US, self._last)  # for as long as nobody kills it
+        if self.has_streams:
+            self.clock.call_later(READ_ANSWERS_US, self._finish_when_read)  # for as long as nobody kills it
         else:
             self._finished()
 
     @property
-    def passing_answers(self) -> bool:
+    def has_streams(self) -> bool:
         """An answer is on its way to its client."""
         return False
 
-    def longest_us(self) -> int:
+    def longest_deadline_us(self) -> int:
         """The longest deadline, as the platform counts it before it kills."""
-        return max(LEAST_LONGEST_US, *(spec.deadline_us for spec in self.engine.settings.classes))
+        return max(SHORTEST_KILL_DELAY_US, *(spec.deadline_us for spec in self.engine.settings.classes))
 
-    def _refuse_new(self) -> None:
+    def _stop_accepting(self) -> None:
         if self._replaced or self._port is None:
             return  # the next process accepts
         # What came in time but waits in the kernel, as all places were in use, must not be reset.
-        if self.front.held and self.clock.now_us() < self._stop_at + LAST_ACCEPT_US:
-            self.clock.call_later(ACCEPT_STEP_US, self._refuse_new)
+        if self.front.held and self.clock.now_us() < self._stopping_since + STOP_ACCEPTING_BY_US:
+            self.clock.call_later(ACCEPT_RETRY_US, self._stop_accepting)
             return
-        self._listening.accept_pending()
-        waits = self.front.held or self._listening.short
-        if waits and self.clock.now_us() < self._stop_at + LAST_ACCEPT_US:
-            self.clock.call_later(ACCEPT_STEP_US, self._refuse_new)  # more may wait than there were places
+        self._listener.accept_pending()
+        waits = self.front.held or self._listener.short
+        if waits and self.clock.now_us() < self._stopping_since + STOP_ACCEPTING_BY_US:
+            self.clock.call_later(
+                ACCEPT_RETRY_US, self._stop_accepting
+            )  # more may wait than there were places
             return
         self.front.listening = self.front.accepting = False
         self._port.stopListening()
@@ -327,23 +318,26 @@
 
     def _close_idle(self) -> None:
         # Clients of a process that is replaced are in no hurry: each request that crosses a close costs one.
-        if self._replaced and self.clock.now_us() < self._stop_at + MOVED_LAST_US:
-            self.clock.call_later(SWEEP_US, self._close_idle)
+        if self._replaced and self.clock.now_us() < self._stopping_since + MOVED_LAST_US:
+            self.clock.call_later(SWEEP_INTERVAL_US, self._close_idle)
             if self.front.connections:
                 return
         self.front.close_idle()
-        if self.companion is not None:
-            self.companion.leave()
+        if self.fleet is not None:
+            self.fleet.leave()
 
     def _finished(self) -> None:
-        if self._handover.unconfirmed and self.clock.now_us() < self._stop_at + self.longest_us():
-            self.clock.call_later(ABLE_STEP_US, self._finished)  # what was handed over must have arrived
+        if (
+            self._handover.unconfirmed
+            and self.clock.now_us() < self._stopping_since + self.longest_deadline_us()
+        ):
+            self.clock.call_later(LIST_RETRY_US, self._finished)  # what was handed over must have arrived
             return
         if self.stopped.called:
             return
         closed = [self.discovery.close, self.transport.close, self._handover.close]
-        if self.companion is not None:
-            closed.append(self.companion.close)
+        if self.fleet is not None:
+            closed.append(self.fleet.close)
         for close in closed:
             try:
                 close()
@@ -353,7 +347,7 @@
         self.stopped.callback(None)
 
     def _sweep(self) -> None:
-        self.clock.call_later(SWEEP_US, self._sweep)
+        self.clock.call_later(SWEEP_INTERVAL_US, self._sweep)
         self.front.sweep()
         self.transport.sweep()
         self.operations.sweep()
@@ -363,18 +357,22 @@
             self._handover.report_clients(self.front.connections)
             self.hand_over_answers()
         self._sweeps += 1
-        if self._sweeps % REPORT_EVERY == 0:
-            counts = self.engine.counts + self.engine.rejections + self.engine.rules.violations
-            fresh = dict(counts - self._reported)
-            self._reported = Counter(counts)
-            self._log.info(
-                "counts",
-                open=self.engine.open_requests,
-                out=self.engine.attempts_in_flight,
-                clients=self.front.connections,
-                nodes=self.transport.connections,
-                buffers=self.buffers.out,
-                maintenance=len(self.engine.in_maintenance),
-                lines_dropped=self._log.dropped,
-                **fresh,
-            )
+        if self._sweeps % SWEEPS_PER_REPORT == 0:
+            self._report_counts()
+
+    def _report_counts(self) -> None:
+        """Log the state of now, and what was counted since the last report."""
+        counts = self.engine.counts + self.engine.rejections + self.engine.rules.violations
+        fresh = dict(counts - self._reported)
+        self._reported = Counter(counts)
+        self._log.info(
+            "counts",
+            open=self.engine.open_requests,
+            out=self.engine.attempts_in_flight,
+            clients=self.front.connections,
+            nodes=self.transport.connections,
+            buffers=self.buffers.out,
+            maintenance=len(self.engine.in_maintenance),
+            lines_dropped=self._log.dropped,
+            **fresh,
+        )
--- a/tests/http/test_connection_edges.py
+++ b/tests/http/test_connection_edges.py
@@ -345,7 +345,7 @@
     with turned() as rig:
         client, brick, place = rig.client(), rig.bricks[0], Place(rig)
         config: dict[str, Any] = rig.config | {"discovery": place.address}
-        rig.head.hang_up(lambda: configuration.read(config, {}))
+        rig.head.reload_from(lambda: configuration.read(config, {}))
         rig.watch = rig.watched(place)
         rig.watch.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + rig.told(True, [brick], 1))
         rig.watch.send(rig.drain(brick, 2))
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -72,7 +72,7 @@
 
 def reload(rig: Turned, address: str) -> None:
     fresh = rig.config | {"discovery": address}
-    rig.head.hang_up(lambda: configuration.read(fresh, {}))
+    rig.head.reload_from(lambda: configuration.read(fresh, {}))
 
 
 # ---- the sum of what a head waits ----
@@ -526,7 +526,7 @@
         if mood == "move":
             self.here = 1 - self.here
             fresh = self.config | {"discovery": f"127.0.0.1:{501 + self.here}"}
-            self.head.hang_up(lambda: configuration.read(fresh, {}))
+            self.head.reload_from(lambda: configuration.read(fresh, {}))
             return
         if mood == "standstill":
             self.head_reactor.until = self.memory.seconds() + self.draw.uniform(0.5, 8.0)
--- a/tests/http/test_endpoint_list_edges.py
+++ b/tests/http/test_endpoint_list_edges.py
@@ -176,7 +176,7 @@
 
 def reload(rig: Turned, place: Place) -> None:
     fresh = rig.config | {"discovery": place.address}
-    rig.head.hang_up(lambda: configuration.read(fresh, {}))
+    rig.head.reload_from(lambda: configuration.read(fresh, {}))
 
 
 def test_discovery_down_into_the_first_second_of_a_process() -> None:
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -181,7 +181,7 @@
         rig.bricks[0].request("a")
         rig.head.stop()
         rig.pass_time(after)
-        rig.head.hang_up(lambda: configuration.read(rig.config | {"seed": "9"}, {}))
+        rig.head.reload_from(lambda: configuration.read(rig.config | {"seed": "9"}, {}))
         rig.bricks[0].answer("a")
         client.take(b"\r\n\r\nok")
         ends(rig)
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -15,7 +15,7 @@
 from gaugesail.core.listed_nodes import MAX_LISTED_NODES
 from gaugesail.core.settings_transition import transition_settings
 from gaugesail.handover import Handover, HandoverConnection
-from gaugesail.operations import NotYet, Operations
+from gaugesail.operations import Operations, StateNotKnown
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from gaugesail.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from gaugesail.rehearsal.memory import MemoryReactor
@@ -82,12 +82,12 @@
     old, new = play(REPLACED + "wait 0.1\nexpect c1 nothing").heads
     reactor = old._reactor
     assert not old.front.accepting and new.front.accepting and old.front.moved.on
-    assert old.buffers.limit == new.buffers.limit == old._most_buffers // 2
+    assert old.buffers.limit == new.buffers.limit == old._max_buffers // 2
     new._port.stopListening()
     new._handover._connections[0].link.abortConnection()
     reactor.run_until(lambda: False, 4.0)
     assert old.front.accepting and not old.front.leaving and old.front.connections == 1
-    assert old.buffers.limit == old._most_buffers and len(reactor.ports[old._port.getHost()]) == 1
+    assert old.buffers.limit == old._max_buffers and len(reactor.ports[old._port.getHost()]) == 1
 
 
 def test_a_next_process_that_dies_before_it_serves_changes_nothing(tmp_path: Path) -> None:
@@ -97,10 +97,10 @@
     link._handover._requested = Deferred()
     factory = type("One", (Factory,), {"noisy": False, "buildProtocol": lambda self, addr: link})()
     world.reactor.connectUNIX(str(tmp_path / "gaugesail-127.0.0.1-0.sock"), factory)
-    assert world.until(lambda: old.buffers.limit < old._most_buffers, 1.0)
+    assert world.until(lambda: old.buffers.limit < old._max_buffers, 1.0)
     link.link.abortConnection()
     world.until(lambda: False, 0.1)
-    assert old.front.accepting and not old.front.leaving and old.buffers.limit == old._most_buffers
+    assert old.front.accepting and not old.front.leaving and old.buffers.limit == old._max_buffers
 
 
 def test_a_dead_peer_a_silent_one_and_noise_keep_no_process_from_starting(tmp_path: Path) -> None:
@@ -145,10 +145,10 @@
     renamed = noise.replace('"give_up_us"', '"give_up"', 1)
     for text in ("", "{", "[]", "null", noise[: len(noise) // 2], renamed):
         file.write_text(text)
-        head.hang_up(lambda: config.load({"BALANCER_CONFIG": str(file)}))
+        head.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
         assert head.engine.settings is wanted and "level=error event=bad_configuration" in last_line(head)
     file.write_text(reads)
-    head.hang_up(lambda: config.load({"BALANCER_CONFIG": str(file)}))
+    head.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
     assert head.engine.settings.classes[0].name == "reads" and "event=reloaded" in last_line(head)
 
 
@@ -203,7 +203,7 @@
     engine, front = Mock(in_maintenance=set()), Mock()
     operations = Operations(engine, front, StateFile(str(tmp_path), ("", 1)), Mock(), Mock())
     for call in (lambda: operations.drain(True), lambda: operations.maintain(b"b1", True)):
-        with pytest.raises(NotYet):
+        with pytest.raises(StateNotKnown):
             call()
     assert not list(tmp_path.iterdir()) and not engine.mock_calls
 
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -119,7 +119,7 @@
 def test_a_process_that_does_not_end_in_its_time_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """It keeps a connection that is idle."""
     monkeypatch.setattr(Service, "_close_idle", nothing)
-    monkeypatch.setattr(Service, "_last", nothing)
+    monkeypatch.setattr(Service, "_finish_when_read", nothing)
     found(ENDS, "it has not ended in its time")
 
 
@@ -134,7 +134,7 @@
 
 
 def test_a_port_that_closes_too_soon_after_the_signal_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gaugesail.service.ACCEPT_US", 150_000)
+    monkeypatch.setattr("gaugesail.service.STOP_ACCEPTING_AFTER_US", 150_000)
     found(ENDS + "wait 1", "nobody can come in")
 
 
