--- /dev/null
+++ b/gaugesail/coordination/gateway_floor.py
@@ -0,0 +1,89 @@
+"""What a gateway may spend of each plan without any lease: the floor that is bound to its store.
+
+It is its own for good once it is persisted, so that a gateway that reaches no leader still serves something.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from .fleet_terms import FleetTerms
+from .lease_messages import LeaseResponse
+from .quota_ledger import RateBurst
+
+PlanRates = tuple[tuple[str, int, int], ...]  # plan, rate and burst in thousandths
+
+
+@dataclass(slots=True)
+class HeadFloor:
+    """The floor as it is persisted: its slot in the ledger, and the limits that it goes by."""
+
+    slot: int = -1  # -1: none
+    limits_version: int = 0  # index of the entry that made the limits
+    limits: dict[str, RateBurst] = field(default_factory=dict)  # by plan
+    fleet: str = ""  # that gave the slot
+
+
+class GatewayFloor:
+    """The floor of this gateway while its process runs.
+
+    ``changed``: ``current`` has to be persisted before anything is spent by it; whoever writes it clears
+    the flag.
+    """
+
+    def __init__(self, terms: FleetTerms, store: str, persisted: HeadFloor) -> None:
+        self._terms = terms
+        self.store = store  # "": there is none, so that no floor may be spent
+        self.current = persisted
+        self.changed = False
+        self._frozen = False  # the store takes no more writes
+
+    def rates(self, stated_limits: PlanRates) -> PlanRates:
+        """What may be spent of each volume of a plan without a lease.
+
+        The floor of the lesser of two limits: the agreed one, and that of this gateway's own file.
+        """
+        if self.current.slot < 0 or not self.store:
+            return ()
+        own = {plan: (rate, burst) for plan, rate, burst in stated_limits}
+        floors = []
+        for plan, agreed in sorted(self.current.limits.items()):
+            stated = own.get(plan, agreed)
+            rate, burst = self._terms.floor(min(agreed[0], stated[0]), min(agreed[1], stated[1]))
+            floors.append((plan, rate, burst))
+        return tuple(floors)
+
+    def accept(self, response: LeaseResponse) -> None:
+        """Go by the slot and the limits that a leader tells, unless they are older than the current ones."""
+        current = self.current
+        told = response.floor_slot, response.limits_version
+        if not self.store or self._frozen or told == (current.slot, current.limits_version):
+            return
+        if response.limits_version < current.limits_version and response.floor_slot == current.slot:
+            return
+        limits = {plan: (rate, burst) for plan, rate, burst in response.limits}
+        self.current = HeadFloor(response.floor_slot, response.limits_version, limits, response.fleet)
+        self.changed = True
+
+    def forget_other_fleet(self, fleet: str) -> None:
+        """A slot that another fleet of this name has given means nothing in this one."""
+        if self.current.fleet != fleet:
+            self.current = HeadFloor()
+            self.changed = bool(self.store)
+
+    def replace_store(self, store: str) -> None:
+        """Another store, which no floor is bound to."""
+        self.store = store
+        self.current = HeadFloor()
+
+    def not_persisted(self, persisted: HeadFloor) -> None:
+        """The store takes no more writes: the lesser of what it has and the current holds, unchanged."""
+        current = self.current
+        limits = {}
+        for plan, (rate, burst) in persisted.limits.items():
+            if plan in current.limits:
+                limits[plan] = min(rate, current.limits[plan][0]), min(burst, current.limits[plan][1])
+        same = (persisted.slot, persisted.fleet) == (current.slot, current.fleet)
+        slot = persisted.slot if same else -1
+        self.current = HeadFloor(slot, persisted.limits_version, limits, persisted.fleet)
+        self._frozen = True
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -1,429 +1,271 @@
-"""The leader's office: renews leases, closes those that have surely run out, and divides what there is.
+"""What the leader does with leases: opens sessions, renews their leases, and closes those that have run out.
 
-It lasts for one term.  What it does rests on its ledger, in which every entry of earlier terms stands, and on
-its own clock alone: a lease is counted from after it was given, by ``Charter.count_us``, and one that an
-earlier leader gave from when this one began to serve.  Less is asked of a holder, and written down once it
-says that it has; more is written down first and told then.
+It lasts for one term.  It rests on the ledger, in which every entry of earlier terms stands, and on this
+leader's own clock.  Its limits are agreed in limits_agreement.py, its quota is divided in quota_allocator.py.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from dataclasses import dataclass, field
-
 from .consensus import RaftNode
 from .fleet_terms import FleetTerms
-from .messages import (
+from .lease_messages import LeaseRequest, LeaseResponse, LeaseStatus
+from .limits_agreement import LimitsAgreement
+from .log_commands import (
     AcknowledgeFloor,
     AllocateQuota,
     CloseSession,
-    HeldQuota,
-    LeaseRequest,
-    LeaseResponse,
-    LeaseStatus,
-    Message,
+    Command,
     OpenSession,
-    QuotaDemand,
-    QuotaOrder,
-    QuotaOrders,
     SetLimits,
     SettleLimits,
 )
+from .messages import Message
 from .notices import Notice, NoticeField
-from .quota_division import QuotaClaim, divide
-from .quota_ledger import Pair, QuotaLedger, plan_of
-
-RETELL_US = 250_000  # an order that its holder's book does not show yet
-MOST_ORDERS = 24  # in one message
-MOST_DIVIDED = 200  # amounts in one step
-COMPLY_US = 1_000_000  # in which who has more than is left gives it up, or is renewed no more
-SLACK = 50  # parts of the whole: a burst that is over by less is left
-
-
-@dataclass(slots=True, eq=False)
-class SessionLease:
-    """What the office knows of one session."""
-
-    expires_at: int  # its lease has surely run out then
-    gateway: str
-    confirmation_round: int = 0  # the ask that waits for this round
-    unanswered_request: LeaseRequest | None = None
-    unconfirmed: dict[str, int] = field(
-        default_factory=dict
-    )  # amounts its book does not show, when last said
-    release_targets: dict[str, Pair] = field(default_factory=dict)  # what it is asked to come down to
-    demands: dict[str, QuotaDemand] = field(default_factory=dict)
-    limits: tuple[tuple[str, int, int], ...] = ()
-    max_request: int = 0
-    closing: bool = False
+from .proposed_commands import ProposedCommands
+from .quota_allocator import QuotaAllocator
+from .quota_ledger import QuotaLedger, Session
+from .session_lease import SessionLease
 
 
 class LeaseManager:
-    """The leader's books and duties in one term."""
+    """The leases of all sessions, as one leader counts them in one term.  Times in microseconds.
+
+    ``just_started``: this replica may not know of leases that an earlier leader has granted, because its
+    process or its log is new; then it grants no quota until those have run out.
+    """
 
     def __init__(
         self,
-        charter: FleetTerms,
+        terms: FleetTerms,
         digest: str,
         fleet: str,
         ledger: QuotaLedger,
         raft: RaftNode,
         now: int,
-        fresh: bool,
+        just_started: bool,
     ) -> None:
-        self._charter, self._digest, self._ledger, self._raft = charter, digest, ledger, raft
+        self._terms = terms
+        self._digest = digest
         self._fleet = fleet
-        self.term, self._leader = raft.term, raft.seat.rpartition("#")[0]
-        # Whoever led before may have renewed any of these up to the moment at which this term's entry was
-        # committed.
-        until = now + charter.lease_with_drift_us
-        # And whoever led an earlier fleet of this name, or entries that a store has lost, may have given what
-        # stands nowhere: a keeper that has just started divides nothing for as long.
-        self._quiet_until = until if fresh else 0
-        self.leases = {n: SessionLease(until, session.gateway) for n, session in ledger.sessions.items()}
-        for amount, stakes in ledger.allocations.items():
-            for number in stakes:
-                self.leases[number].unconfirmed[amount] = now - RETELL_US
-        self._pending: dict[str, set[int]] = {}  # sessions with an entry on its way, by amount
-        self._opening: dict[int, tuple[str, LeaseRequest]] = {}  # by process
-        self._settle_at = until
-        self._dirty: dict[str, None] = dict.fromkeys(ledger.allocations)
-        self._over: dict[str, int] = {}  # amounts that are given beyond their whole, and since when
-        self._proposed: dict[str, int] = {}  # duties that have an entry on its way
-        self._out: list[tuple[str, Message]] = []
+        self._ledger = ledger
+        self._raft = raft
+        self.term = raft.term
+        self._leader = raft.seat.rpartition("#")[0]
+        self._opening: dict[int, LeaseRequest] = {}  # requests that wait for a session, by process
+        self._proposals = ProposedCommands(raft)
+        self._outbox: list[tuple[str, Message]] = []
         self._notices: list[Notice] = []
-        self._retell_at = now
+        # An earlier leader may have renewed any lease until the first entry of this term was committed.
+        earlier_leases_end = terms.grantor_lease_end(now)
+        self.leases = {
+            number: SessionLease(earlier_leases_end, session.gateway)
+            for number, session in ledger.sessions.items()
+        }
+        self._limits = LimitsAgreement(terms, ledger, self.leases, self._proposals, earlier_leases_end)
+        self._allocator = QuotaAllocator(
+            terms, fleet, ledger, self.leases, self._proposals, self._outbox, now
+        )
+        if just_started:
+            self._allocator.grant_nothing_before(earlier_leases_end)
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        found, self._out = self._out, []
-        return found
+        """What is to be sent, by receiver, since the last call."""
+        messages = list(self._outbox)
+        self._outbox.clear()
+        return messages
 
     def take_notices(self) -> list[Notice]:
-        found, self._notices = self._notices, []
-        return found
+        """What operators are to be told since the last call."""
+        notices, self._notices = self._notices, []
+        return notices
 
     @property
     def next_at(self) -> int:
-        times = [lease.expires_at + 1 for lease in self.leases.values() if not lease.closing]
-        return min([self._retell_at, *times])
+        """When ``tick`` has something to do."""
+        expiries = [lease.expires_at + 1 for lease in self.leases.values() if not lease.closing]
+        return min([self._allocator.next_at, *expiries])
+
+    # ---- requests ----
+
+    def request(self, now: int, sender: str, request: LeaseRequest) -> None:
+        """Take in a holder's request.  A renewal is answered once a round that begins now is confirmed."""
+        session = self._ledger.session_of_process(request.process)
+        if request.terms_digest != self._digest:
+            self._respond(sender, request, LeaseStatus.TERMS_DIFFER)
+        elif request.fleet == self._fleet and request.last_seen_index > self._raft.last:
+            # This log has lost entries.  What the holder has by those is not renewed: told so, it gives up
+            # all of it, and may then have what this log says.
+            self._notify("stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.last)
+            self._respond(sender, request, LeaseStatus.UNKNOWN_SESSION)
+        elif session is None:
+            self._request_without_session(sender, request)
+        else:
+            self._request_of_session(now, sender, session, request)
 
-    # ---- asks ----
+    def _request_without_session(self, sender: str, request: LeaseRequest) -> None:
+        if request.session:
+            self._respond(sender, request, LeaseStatus.UNKNOWN_SESSION)
+        elif request.leaving:
+            self._respond(sender, request, LeaseStatus.LEFT)
+        else:
+            self._opening[request.process] = request
+            self._proposals.propose_once(OpenSession(sender, request.process, request.store))
 
-    def request(self, now: int, sender: str, ask: LeaseRequest) -> None:
-        """A holder asks.  It is answered once a round that begins now is confirmed."""
-        if ask.terms_digest != self._digest:
-            self._answer(sender, ask, LeaseStatus.TERMS_DIFFER)
-            return
-        session = self._ledger.session_of_process(ask.process)
-        if ask.fleet == self._fleet and ask.last_seen_index > self._raft.last:
-            # This log has lost entries: the stores are older than the fleet.  What the holder has by those is
-            # not renewed; told so it gives up all, and may then have what this log says.
-            self._note("stores_are_old", head=sender, seen=ask.last_seen_index, last=self._raft.last)
-            self._answer(sender, ask, LeaseStatus.UNKNOWN_SESSION)
-            return
-        if session is None:
-            if ask.session:
-                self._answer(sender, ask, LeaseStatus.UNKNOWN_SESSION)
-            elif ask.leaving:
-                self._answer(sender, ask, LeaseStatus.LEFT)
-            else:
-                self._opening[ask.process] = sender, ask
-                self._once(f"open {ask.process}", OpenSession(sender, ask.process, ask.store))
-            return
+    def _request_of_session(self, now: int, sender: str, session: Session, request: LeaseRequest) -> None:
         lease = self.leases[session.number]
         if lease.closing:
-            return  # from the moment that its end is proposed nothing of it is renewed
-        if ask.leaving:
-            self._shut(session.number)
-            self._note("session_left", head=session.gateway, session=session.number)
-            self._answer(sender, ask, LeaseStatus.LEFT)
             return
-        self._learn(now, session.number, lease, ask)
-        if lease.unanswered_request is None or ask.number > lease.unanswered_request.number:
-            lease.unanswered_request, lease.confirmation_round = ask, self._raft.confirm()
-
-    def _learn(self, now: int, number: int, lease: SessionLease, ask: LeaseRequest) -> None:
-        """What the holder says of itself: its wholes, its floor, its book and its wants."""
-        lease.max_request = ask.max_request
-        if ask.limits != lease.limits:
-            lease.limits = ask.limits
-            self._agree(now)
+        if request.leaving:
+            self._close(session.number)
+            self._notify("session_closed", head=session.gateway, session=session.number)
+            self._respond(sender, request, LeaseStatus.LEFT)
+            return
+        self._record_statements(session.number, lease, request)
+        if lease.unanswered_request is None or request.number > lease.unanswered_request.number:
+            self._await_confirmation(lease, request)
+
+    def _await_confirmation(self, lease: SessionLease, request: LeaseRequest) -> None:
+        """Answer this request once a majority has confirmed that this replica still leads."""
+        lease.unanswered_request = request
+        lease.confirmation_round = self._raft.confirm()
+
+    def _record_statements(self, number: int, lease: SessionLease, request: LeaseRequest) -> None:
+        """What the holder says of itself: its limits, its floor, what it holds and what it wants."""
+        lease.max_request = request.max_request
+        if request.limits != lease.limits:
+            lease.limits = request.limits
+            self._limits.propose_agreed()
+        self._acknowledge_floor(number, request)
+        for held in request.held:
+            self._allocator.holding_reported(number, lease, held)
+        for demand in request.demands:
+            self._allocator.demand_reported(lease, demand)
+
+    def _acknowledge_floor(self, number: int, request: LeaseRequest) -> None:
+        """The holder's floor goes by newer limits: what is reserved for it by the older is free."""
         session = self._ledger.sessions[number]
         slot = self._ledger.floor_slots.get(session.floor_slot)
-        if (
-            slot is not None
-            and ask.floor_slot == session.floor_slot
-            and slot.limits_versions[0] < ask.floor_version
-        ):
-            self._once(f"floor {ask.floor_slot}", AcknowledgeFloor(ask.floor_slot, ask.floor_version))
-        for held in ask.held:
-            self._booked(number, lease, held)
-        for demand in ask.demands:
-            if demand.rate > 0:
-                lease.demands[demand.quota_name] = demand
-            else:
-                lease.demands.pop(demand.quota_name, None)
-            self._dirty[demand.quota_name] = None
-
-    def _booked(self, number: int, lease: SessionLease, held: HeldQuota) -> None:
-        """What the holder's book says of one part: an order has come, or it has released some."""
-        stake = self._ledger.allocations.get(held.quota_name, {}).get(number)
-        if stake is None or held.version != stake.version:
+        if slot is None or request.floor_slot != session.floor_slot:
             return
-        rate, burst = min(held.rate, stake.rate), min(held.burst, stake.burst)
-        if (rate, burst) != (stake.rate, stake.burst):
-            self._propose(held.quota_name, number, rate, burst, stake.version)
-        elif held.quota_name not in lease.release_targets:
-            lease.unconfirmed.pop(held.quota_name, None)
+        if slot.limits_versions[0] < request.floor_version:
+            self._proposals.propose_once(AcknowledgeFloor(request.floor_slot, request.floor_version))
 
-    def _answer(self, to: str, ask: LeaseRequest, status: LeaseStatus, session: int = 0) -> None:
+    def _respond(self, to: str, request: LeaseRequest, status: LeaseStatus, number: int = 0) -> None:
         ledger = self._ledger
-        found = ledger.sessions.get(session)
-        wholes = tuple((plan, *pair) for plan, pair in sorted(ledger.limits.items()))
-        slot = found.floor_slot if found is not None else -1
-        self._out.append(
-            (to, LeaseResponse(ask.process, ask.number, status, session, self.term, self._leader, slot,
-                        ledger.limits_version, wholes, self._fleet))
-        )  # fmt: skip
+        session = ledger.sessions.get(number)
+        response = LeaseResponse(
+            process=request.process,
+            number=request.number,
+            status=status,
+            session=number,
+            term=self.term,
+            leader=self._leader,
+            floor_slot=session.floor_slot if session is not None else -1,
+            limits_version=ledger.limits_version,
+            limits=tuple((plan, *pair) for plan, pair in sorted(ledger.limits.items())),
+            fleet=self._fleet,
+        )
+        self._outbox.append((to, response))
 
     # ---- the log ----
 
-    def _once(
-        self, duty: str, command: OpenSession | CloseSession | SettleLimits | SetLimits | AcknowledgeFloor
-    ) -> None:
-        """Propose something that is not on its way yet."""
-        if duty not in self._proposed and (index := self._raft.propose(command)) is not None:
-            self._proposed[duty] = index
-
-    def _propose(self, amount: str, session: int, rate: int, burst: int, held: int) -> None:
-        pending = self._pending.setdefault(amount, set())
-        if session not in pending:
-            pending.add(session)
-            self._raft.propose(AllocateQuota(amount, session, rate, burst, held))
-
-    def _shut(self, number: int) -> None:
-        self.leases[number].closing = True
-        self._once(f"close {number}", CloseSession(number))
-
-    def entry_applied(self, now: int, index: int, command: object, done: bool) -> None:
-        """An entry of this term has been carried out."""
+    def entry_applied(self, now: int, index: int, command: Command, done: bool) -> None:
+        """The ledger has applied an entry; ``done``: it changed something."""
         match command:
             case OpenSession():
-                session = self._ledger.session_of_process(command.process)
-                waiting = self._opening.pop(command.process, None)
-                if session is not None and session.number not in self.leases:
-                    # No lease yet: it is given with the answer, and counted from there.
-                    lease = SessionLease(now + self._charter.lease_with_drift_us, session.gateway)
-                    self.leases[session.number] = lease
-                    self._note(
-                        "session_opens", head=session.gateway, session=session.number, slot=session.floor_slot
-                    )
-                    if waiting is not None:
-                        self._learn(now, session.number, lease, waiting[1])
-                        lease.unanswered_request, lease.confirmation_round = waiting[1], self._raft.confirm()
-                self._proposed.pop(f"open {command.process}", None)
+                self._session_opened(now, command)
             case CloseSession():
-                tenant_gone = self.leases.pop(command.session, None)
-                self._proposed.pop(f"close {command.session}", None)
-                self._dirty.update(dict.fromkeys(tenant_gone.demands if tenant_gone else ()))
-                self._dirty.update(dict.fromkeys(self._wanted()))
-                self._agree(now)
+                self._session_ended(command)
             case AllocateQuota():
-                self._parted(now, command, done)
+                self._allocator.allocation_applied(now, command, done)
             case SetLimits():
-                self._settle_at = now + self._charter.lease_with_drift_us
-                self._proposed.pop("wholes", None)
-                self._dirty.update(dict.fromkeys(self._wanted()))
-                self._note("wholes", version=self._ledger.limits_version, settled=self._ledger.settled)
-                if not self._ledger.allocations:
-                    self._settle_at = now  # nothing that was given under the old ones is left
+                self._limits.limits_applied(now)
+                self._limits_changed(command)
             case SettleLimits():
-                self._proposed.pop("settle", None)
-                self._dirty.update(dict.fromkeys(self._wanted()))
-                self._note("wholes", version=self._ledger.limits_version, settled=self._ledger.settled)
+                self._limits_changed(command)
             case AcknowledgeFloor():
-                self._proposed.pop(f"floor {command.floor_slot}", None)
-                self._dirty.update(dict.fromkeys(self._wanted()))
-
-    def _parted(self, now: int, part: AllocateQuota, done: bool) -> None:
-        pending = self._pending.get(part.quota_name, set())
-        pending.discard(part.session)
-        if not pending:
-            self._pending.pop(part.quota_name, None)
-        self._dirty[part.quota_name] = None
-        lease = self.leases.get(part.session)
-        if done and lease is not None:
-            lower = lease.release_targets.get(part.quota_name)
-            if lower is not None and part.rate <= lower[0] and part.burst <= lower[1]:
-                del lease.release_targets[part.quota_name]
-            lease.unconfirmed[part.quota_name] = now
-            self._tell(now, part.session, lease, [part.quota_name])
-
-    def _wanted(self) -> Iterable[str]:
-        """All amounts that anybody has or wants."""
-        return {amount for lease in self.leases.values() for amount in lease.demands} | set(
-            self._ledger.allocations
-        )
-
-    # ---- wholes ----
-
-    def _agree(self, now: int) -> None:
-        """The least that any live session's file says is the limit of a plan.
-
-        While one has not told a leader what its file says, that may be less than all others: then nothing
-        rises.
-        """
-        whole = all(lease.limits for lease in self.leases.values())
-        least: dict[str, Pair] = {} if whole else dict(self._ledger.stated_limits)
-        for lease in self.leases.values():
-            for plan, rate, burst in lease.limits:
-                old = least.get(plan, (rate, burst))
-                least[plan] = min(rate, old[0]), min(burst, old[1])
-        if least and {**self._ledger.stated_limits, **least} != self._ledger.stated_limits:
-            told = {**self._ledger.stated_limits, **least}
-            self._once("wholes", SetLimits(tuple((plan, *pair) for plan, pair in sorted(told.items()))))
+                self._proposals.applied(command)
+                self._allocator.divide_all_again()
+
+    def _session_opened(self, now: int, command: OpenSession) -> None:
+        """A session has no lease until its first request is answered, and is closed if that never is."""
+        self._proposals.applied(command)
+        session = self._ledger.session_of_process(command.process)
+        request = self._opening.pop(command.process, None)
+        if session is None or session.number in self.leases:
+            return
+        lease = SessionLease(self._terms.grantor_lease_end(now), session.gateway)
+        self.leases[session.number] = lease
+        self._notify("session_opened", head=session.gateway, session=session.number, slot=session.floor_slot)
+        if request is not None:
+            self._record_statements(session.number, lease, request)
+            self._await_confirmation(lease, request)
+
+    def _session_ended(self, command: CloseSession) -> None:
+        self._proposals.applied(command)
+        lease = self.leases.pop(command.session, None)
+        if lease is not None:
+            self._allocator.divide_again(lease.demands)
+        self._allocator.divide_all_again()
+        self._limits.propose_agreed()
+
+    def _limits_changed(self, command: SetLimits | SettleLimits) -> None:
+        self._proposals.applied(command)
+        self._allocator.divide_all_again()
+        self._notify("limits_changed", version=self._ledger.limits_version, settled=self._ledger.settled)
 
     # ---- time ----
 
     def tick(self, now: int) -> None:
-        """Answer what is confirmed, close what has run out, tell again, divide."""
+        """Renew and close leases, settle and agree limits, divide quota, and send again what is due."""
         if not self._raft.serving or self._raft.term != self.term:
             return
-        if now >= self._quiet_until > 0:
-            self._quiet_until = 0
-            self._dirty.update(dict.fromkeys(self._wanted()))
+        self._renew_and_expire(now)
+        self._limits.settle_due(now)
+        self._limits.propose_agreed()
+        self._allocator.divide_due(now)
+        self._allocator.resend_unconfirmed(now)
+
+    def _renew_and_expire(self, now: int) -> None:
+        """Renew the leases whose requests are confirmed; close the sessions whose leases have run out."""
         confirmed = self._raft.confirmed
         for number, lease in self.leases.items():
-            if (
-                lease.unanswered_request is not None
-                and confirmed >= lease.confirmation_round
-                and self._may_renew(now, number, lease)
-            ):
-                ask, lease.unanswered_request = lease.unanswered_request, None
-                # Counted from here, after it was given; the holder counts from before it asked.
-                lease.expires_at = now + self._charter.lease_with_drift_us
-                self._answer(lease.gateway, ask, LeaseStatus.RENEWED, number)
+            request = lease.unanswered_request
+            is_confirmed = confirmed >= lease.confirmation_round
+            if request is not None and is_confirmed and self._may_renew(now, number, lease):
+                lease.unanswered_request = None
+                lease.expires_at = self._terms.grantor_lease_end(now)
+                self._respond(lease.gateway, request, LeaseStatus.RENEWED, number)
             elif now > lease.expires_at and not lease.closing:
-                self._note("session_expired", head=lease.gateway, session=number)
-                self._shut(number)
-        stated = all(lease.limits for lease in self.leases.values())
-        if not self._ledger.settled and now >= self._settle_at and stated:
-            self._once("settle", SettleLimits(self._ledger.limits_version))
-        if "wholes" not in self._proposed:
-            self._agree(now)
-        # One amount is divided again once the entries of the last time are carried out.
-        due = [amount for amount in self._dirty if amount not in self._pending]
-        for amount in due[:MOST_DIVIDED]:
-            del self._dirty[amount]
-            self._divide(now, amount)
-        if now >= self._retell_at:
-            self._retell_at = now + RETELL_US
-            for number, lease in self.leases.items():
-                late = [amount for amount, said in lease.unconfirmed.items() if now - said >= RETELL_US]
-                if late:
-                    self._tell(now, number, lease, late)
+                self._notify("session_expired", head=lease.gateway, session=number)
+                self._close(number)
 
     def _may_renew(self, now: int, number: int, lease: SessionLease) -> bool:
-        """Not one that is being closed; nor one that keeps what a lowered whole has no room for: its lease is
-        of the old figure, and runs out.
+        """Whether a lease is renewed: not once its end is proposed, nor while a release is overdue.
+
+        A holder that keeps what a lowered limit has no room for spends by the old limit: its lease runs out.
         """
-        stale = any(
-            now - self._over.get(amount, now) > COMPLY_US
-            for amount in lease.release_targets
-            if number in self._ledger.allocations.get(amount, {})
-        )
-        return not lease.closing and not stale
+        return not lease.closing and not self._allocator.release_is_overdue(now, number, lease)
 
-    # ---- dividing ----
+    def _close(self, number: int) -> None:
+        """Propose a session's end; from here on its lease is not renewed."""
+        self.leases[number].closing = True
+        self._proposals.propose_once(CloseSession(number))
 
-    def _divide(self, now: int, amount: str) -> None:
-        """Ask for what is too much, give what is too little as far as there is room."""
-        ledger, plan = self._ledger, plan_of(amount)
-        if min(ledger.available(amount)) < 0:
-            self._over.setdefault(amount, now)
-        else:
-            self._over.pop(amount, None)
-        stakes = ledger.allocations.get(amount, {})
-        most = ledger.leasable(plan)
-        floor = self._charter.floor(*ledger.limits.get(plan, (0, 0)))[1]
-        claims: dict[int, QuotaClaim] = {}
-        for number, lease in self.leases.items():
-            demand, stake = lease.demands.get(amount), stakes.get(number)
-            if lease.closing or (demand is None and stake is None):
-                continue
-            has = (stake.rate, stake.burst) if stake is not None else (0, 0)
-            own = floor if ledger.sessions[number].floor_slot >= 0 else 0
-            need = max(0, lease.max_request - own)
-            claims[number] = QuotaClaim(
-                0 if demand is None else demand.rate,
-                1 if demand is None else demand.priority_weight,
-                has,
-                need,
-            )
-        # What a session that is being closed still has is not to be had yet.
-        shut = [stake for number, stake in stakes.items() if number not in claims]
-        rate = max(0, most[0] - sum(stake.rate for stake in shut))
-        burst = max(0, most[1] - sum(stake.burst for stake in shut))
-        targets = divide(rate, burst, claims)
-        room_rate, room_burst = ledger.available(amount)
-        for number in sorted(targets, key=lambda n: (-claims[n].priority_weight, n)):
-            target, lease, stake = targets[number], self.leases[number], stakes.get(number)
-            has = claims[number].current
-            if has[0] > target[0] or has[1] > target[1] + most[1] // SLACK:
-                lower = min(has[0], target[0]), min(has[1], target[1])
-                if lease.release_targets.get(amount) != lower:
-                    lease.release_targets[amount] = lower
-                    lease.unconfirmed[amount] = now
-                    self._tell(now, number, lease, [amount])
-                continue
-            lease.release_targets.pop(amount, None)
-            more = max(0, min(target[0] - has[0], room_rate)), max(0, min(target[1] - has[1], room_burst))
-            if now >= self._quiet_until and (more[0] or more[1] > most[1] // SLACK):
-                room_rate, room_burst = room_rate - more[0], room_burst - more[1]
-                version = stake.version if stake is not None else 0
-                self._propose(amount, number, has[0] + more[0], has[1] + more[1], version)
-
-    def _tell(self, now: int, number: int, lease: SessionLease, amounts: Iterable[str]) -> None:
-        """What the ledger says of some parts, or what is asked of their holder."""
-        session, orders = self._ledger.sessions.get(number), list[QuotaOrder]()
-        for amount in list(amounts):
-            stake = self._ledger.allocations.get(amount, {}).get(number)
-            if stake is None:
-                lease.unconfirmed.pop(amount, None)
-                lease.release_targets.pop(amount, None)
-                continue
-            lease.unconfirmed[amount] = now
-            # What is asked for was reckoned from an earlier stake: nobody is told more than it has now.
-            lower = lease.release_targets.get(amount)
-            rate, burst = lower if lower is not None else (stake.rate, stake.burst)
-            rate, burst = min(rate, stake.rate), min(burst, stake.burst)
-            orders.append(QuotaOrder(amount, stake.version, rate, burst, lower is not None))
-        if session is not None:
-            for first in range(0, len(orders), MOST_ORDERS):
-                part = tuple(orders[first : first + MOST_ORDERS])
-                self._out.append((lease.gateway, QuotaOrders(session.process, number, self._fleet, part)))
-
-    # ---- what staff see ----
+    # ---- what operators see ----
 
     def lease_view(self, now: int, number: int) -> dict[str, float | str]:
-        """Until when a session is counted, in seconds from now, and whether it is being closed."""
+        """How long a session's lease is counted, in seconds from now, and whether it is being closed."""
         lease = self.leases[number]
-        left = round(max(0, lease.expires_at - now) / 1e6, 2)
-        return {"counted_s": left} | ({"why": "its end is being written down"} if lease.closing else {})
+        seconds = round(max(0, lease.expires_at - now) / 1e6, 2)
+        view: dict[str, float | str] = {"counted_s": seconds}
+        if lease.closing:
+            view["why"] = "its end is being written down"
+        return view
 
-    def demand_view(self, now: int, amount: str, number: int) -> dict[str, float | str]:
-        """What a session wants and uses of an amount, and why it has not that."""
-        lease = self.leases[number]
-        demand = lease.demands.get(amount)
-        told: dict[str, float | str] = {
-            "wanted": demand.rate / 1000 if demand is not None else 0.0,
-            "used": demand.used / 1000 if demand is not None else 0.0,
-        }
-        if amount in lease.release_targets:
-            told["why"] = "asked to give some up"
-        elif amount in lease.unconfirmed:
-            told["why"] = "told, and not yet in its book"
-        return told
+    def demand_view(self, quota_name: str, number: int) -> dict[str, float | str]:
+        """What a session wants and uses of a quota, in units a second, and why it has not that."""
+        return self._allocator.demand_view(quota_name, number)
 
-    def _note(self, event: str, **fields: NoticeField) -> None:
+    def _notify(self, event: str, **fields: NoticeField) -> None:
         self._notices.append(Notice(event, fields))
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -21,13 +21,16 @@
 from . import messages as m
 from .bootstrap import Bootstrap, BootstrapRecord, name_of, seat_of
 from .consensus import LogBroken, RaftNode, Snapshot
+from .demand_tracker import QuotaUsage
 from .fleet_terms import FleetTerms
-from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
+from .gateway_floor import HeadFloor
+from .lease_holder import LeaseHolder
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
 from .notices import Notice, NoticeField
-from .quota_ledger import Pair
+from .quota_ledger import RateBurst
 from .replica import Replica, elsewhere
+from .spending_rights import QuotaUpdate
 from .store_fencing import KnownStore, StoreFence
 
 
@@ -47,7 +50,7 @@
     known: dict[str, tuple[int, int, int]] = {}  # other stores' marks
     slot: int = -1
     version: int = 0
-    wholes: dict[str, Pair] = {}
+    wholes: dict[str, RateBurst] = {}
     of_fleet: str = ""  # that gave the floor
 
 
@@ -124,7 +127,7 @@
         self.witness = StoreFence({store: KnownStore(*item) for store, item in kept.known.items()}, now)
         self.seat: Replica | None = None
         floor = HeadFloor(kept.slot, kept.version, kept.wholes, kept.of_fleet)
-        self.holder = LeaseHolder(charter, digest, name, process, kept.store, floor, now, self._rng)
+        self.holder = LeaseHolder(charter, digest, process, kept.store, floor, now, self._rng)
         self._floor_kept = floor
         self._changed = self.holds_store  # the life counts before anything is said
         self._anew = False
@@ -178,11 +181,11 @@
             return name_of(self.seat.raft.leader)
         return self.holder.leader
 
-    def state(self, wholes: Mapping[str, Pair], quantum: int) -> None:
+    def state(self, wholes: Mapping[str, RateBurst], quantum: int) -> None:
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
         self.holder.set_limits(wholes, quantum)
 
-    def want(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
+    def want(self, now: int, asked: Mapping[str, QuotaUsage]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
         self.holder.record_demand(now, asked)
         return self.tick(now)
--- a/gaugesail/coordination/quota_ledger.py
+++ b/gaugesail/coordination/quota_ledger.py
@@ -1,7 +1,8 @@
-"""The ledger: who may spend how much of what, as one order of entries makes it, the same at every keeper.
+"""The ledger: which session may spend how much of each quota, as the log's commands make it.
 
-Nothing here knows a clock.  An entry that would make the parts and floors of one amount sum to more than the
-whole, or that rests on what is no longer so, changes nothing, whoever proposed it.
+Every replica that applies the same entries has the same ledger; nothing here knows a clock.  A command that
+would make the allocations and floors of one quota sum to more than its limit, or that rests on what is no
+longer so, changes nothing, whoever proposed it.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 import msgspec
 
 from .fleet_terms import FleetTerms
-from .messages import (
+from .log_commands import (
     AcknowledgeFloor,
     AllocateQuota,
     CloseSession,
@@ -22,285 +23,315 @@
     SettleLimits,
 )
 
-Pair = tuple[int, int]  # rate and burst, in thousandths
+RateBurst = tuple[int, int]  # thousandths of a unit a second, and of a unit
+NO_SLOT = -1
 
 
-def plan_of(amount: str) -> str:
-    """The plan of an amount, which is named PLAN/VOLUME."""
-    return amount.rpartition("/")[0]
+def plan_of(quota_name: str) -> str:
+    """The plan of a quota, which is named PLAN/VOLUME."""
+    return quota_name.rpartition("/")[0]
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One process of one head, from its opening to its close."""
+    """One process of one gateway, from its opening to its close."""
 
-    number: int
+    number: int  # index of the entry that opened it
     gateway: str
     process: int
-    floor_slot: int = -1  # of its floor
+    floor_slot: int = NO_SLOT
 
 
 @dataclass(slots=True, eq=False)
 class FloorSlot:
-    """One head's floor, bound to its store for good.  Its holder goes by one of ``versions``."""
+    """One gateway's floor, bound to its store for good."""
 
     gateway: str
     store: str
-    limits_versions: list[int]
+    limits_versions: list[int]  # its holder goes by the limits of one of these, in order
 
 
 @dataclass(slots=True, eq=False)
 class Allocation:
-    """What one session may spend of one amount."""
+    """What one session may spend of one quota."""
 
     rate: int
     burst: int
-    version: int
+    version: int  # index of the entry that made it
 
 
-class _Dump(msgspec.Struct):
-    """The whole ledger as it is kept."""
+class _Snapshot(msgspec.Struct):
+    """The ledger as it is stored; the names of the stored keys are those of the first version."""
 
-    version: int
-    wholes: dict[str, Pair]
-    wanted: dict[str, Pair]
+    limits_version: int = msgspec.field(name="version")
+    limits: dict[str, RateBurst] = msgspec.field(name="wholes")
+    stated_limits: dict[str, RateBurst] = msgspec.field(name="wanted")
     settled: bool
-    past: dict[int, dict[str, Pair]]
+    past_limits: dict[int, dict[str, RateBurst]] = msgspec.field(name="past")
     sessions: list[tuple[int, str, int, int]]
-    slots: dict[int, tuple[str, str, list[int]]]
-    parts: dict[str, dict[int, tuple[int, int, int]]]
+    floor_slots: dict[int, tuple[str, str, list[int]]] = msgspec.field(name="slots")
+    allocations: dict[str, dict[int, tuple[int, int, int]]] = msgspec.field(name="parts")
+
+
+def _read_snapshot(state: bytes) -> _Snapshot:
+    if not state:
+        return _Snapshot(0, {}, {}, True, {}, [], {}, {})
+    return msgspec.msgpack.decode(state, type=_Snapshot)
 
 
 @dataclass(slots=True, eq=False)
 class QuotaLedger:
-    """The state that the log makes."""
+    """The state machine of the log."""
 
     terms: FleetTerms
-    limits_version: int = 0  # index of the entry that made the wholes what they are
-    limits: dict[str, Pair] = field(default_factory=dict)  # in force, by plan
-    stated_limits: dict[str, Pair] = field(default_factory=dict)  # what the files say
-    settled: bool = True  # both are the same
+    limits_version: int = 0  # index of the entry that made the limits what they are
+    limits: dict[str, RateBurst] = field(default_factory=dict)  # in force, by plan
+    stated_limits: dict[str, RateBurst] = field(default_factory=dict)  # by the gateways' files
+    settled: bool = True  # the limits in force are those that are stated
     sessions: dict[int, Session] = field(default_factory=dict)
     floor_slots: dict[int, FloorSlot] = field(default_factory=dict)
-    allocations: dict[str, dict[int, Allocation]] = field(default_factory=dict)
-    _past: dict[int, dict[str, Pair]] = field(default_factory=dict)  # wholes that a slot may go by
-    _floors: dict[str, Pair] = field(default_factory=dict)  # all of a plan's, reckoned when first wanted
-    _sums: dict[str, Pair] = field(default_factory=dict)  # of an amount's parts
+    allocations: dict[str, dict[int, Allocation]] = field(default_factory=dict)  # by quota and session
+    _past_limits: dict[int, dict[str, RateBurst]] = field(default_factory=dict)  # that a floor may go by
+    _reserved: dict[str, RateBurst] = field(default_factory=dict)  # reserved_for_floors, as computed
+    _allocated: dict[str, RateBurst] = field(default_factory=dict)  # allocated, as computed
 
     # ---- reading ----
 
     def session_of_process(self, process: int) -> Session | None:
         """The session of one process."""
-        return next((item for item in self.sessions.values() if item.process == process), None)
-
-    def reserved_for_floors(self, plan: str) -> Pair:
-        """What is set aside for all floors of one plan: each slot's largest that its holder may go by."""
-        if (found := self._floors.get(plan)) is None:
-            now = self.terms.floor(*self.limits.get(plan, (0, 0)))
-            rate = burst = 0
-            for number in range(self.terms.max_gateways):
-                slot = self.floor_slots.get(number)
-                pairs = [now]
-                for version in slot.limits_versions if slot is not None else []:
-                    pairs.append(self.terms.floor(*self._past.get(version, {}).get(plan, (0, 0))))
-                rate += max(pair[0] for pair in pairs)
-                burst += max(pair[1] for pair in pairs)
-            found = self._floors[plan] = rate, burst
-        return found
-
-    def leasable(self, plan: str) -> Pair:
-        """What may be given in parts, of one amount of a plan."""
-        whole, floors = self.limits.get(plan, (0, 0)), self.reserved_for_floors(plan)
-        return max(0, whole[0] - floors[0]), max(0, whole[1] - floors[1])
-
-    def allocated(self, amount: str) -> Pair:
-        """What is given of one amount."""
-        if (found := self._sums.get(amount)) is None:
-            stakes = self.allocations.get(amount, {}).values()
-            found = self._sums[amount] = (
-                sum(stake.rate for stake in stakes), sum(stake.burst for stake in stakes)
-            )  # fmt: skip
-        return found
-
-    def available(self, amount: str) -> Pair:
-        """What more may be given of one amount; under zero after its whole was lowered."""
-        most, given = self.leasable(plan_of(amount)), self.allocated(amount)
-        return most[0] - given[0], most[1] - given[1]
-
-    def floor_of(self, slot: int, plan: str) -> Pair:
-        """The largest floor that the holder of a slot may go by."""
-        found = self.floor_slots.get(slot)
-        pairs = [(0, 0)]
-        for version in found.limits_versions if found is not None else []:
-            pairs.append(self.terms.floor(*self._past.get(version, {}).get(plan, (0, 0))))
-        return max(pair[0] for pair in pairs), max(pair[1] for pair in pairs)
+        return next((session for session in self.sessions.values() if session.process == process), None)
+
+    def reserved_for_floors(self, plan: str) -> RateBurst:
+        """What is set aside for all floors of a plan: of each, the largest that its holder may go by.
+
+        A slot that nobody has counts with the current limits, so that a gateway may always have it.
+        """
+        reserved = self._reserved.get(plan)
+        if reserved is None:
+            floors = [self._largest_floor(slot, plan) for slot in range(self.terms.max_gateways)]
+            reserved = sum(floor[0] for floor in floors), sum(floor[1] for floor in floors)
+            self._reserved[plan] = reserved
+        return reserved
+
+    def _largest_floor(self, number: int, plan: str) -> RateBurst:
+        slot = self.floor_slots.get(number)
+        floors = [self.terms.floor(*self.limits.get(plan, (0, 0)))]
+        for version in slot.limits_versions if slot is not None else []:
+            past = self._past_limits.get(version, {}).get(plan, (0, 0))
+            floors.append(self.terms.floor(*past))
+        return max(floor[0] for floor in floors), max(floor[1] for floor in floors)
+
+    def leasable(self, plan: str) -> RateBurst:
+        """What may be allocated of one quota of a plan: its limit without the floors."""
+        limit = self.limits.get(plan, (0, 0))
+        reserved = self.reserved_for_floors(plan)
+        return max(0, limit[0] - reserved[0]), max(0, limit[1] - reserved[1])
+
+    def allocated(self, quota_name: str) -> RateBurst:
+        """The sum of the allocations of one quota."""
+        allocated = self._allocated.get(quota_name)
+        if allocated is None:
+            allocations = self.allocations.get(quota_name, {}).values()
+            rate = sum(allocation.rate for allocation in allocations)
+            burst = sum(allocation.burst for allocation in allocations)
+            allocated = self._allocated[quota_name] = rate, burst
+        return allocated
+
+    def available(self, quota_name: str) -> RateBurst:
+        """What more may be allocated of one quota; negative after its limit was lowered."""
+        leasable = self.leasable(plan_of(quota_name))
+        allocated = self.allocated(quota_name)
+        return leasable[0] - allocated[0], leasable[1] - allocated[1]
 
     # ---- the log ----
 
     def apply(self, index: int, command: Command) -> bool:
-        """Carry out one entry; False where it changes nothing."""
+        """Apply the command of one entry; False where it changes nothing."""
         match command:
             case OpenSession():
-                return self._open(index, command)
+                return self._open_session(index, command)
             case CloseSession():
-                return self._close(command.session)
+                return self._close_session(command.session)
             case AllocateQuota():
-                return self._part(index, command)
+                return self._allocate(index, command)
             case SetLimits():
-                return self._wholes(index, command)
+                return self._set_limits(index, command)
             case SettleLimits():
-                return self._settle(index, command.limits_version)
+                return self._settle_limits(index, command.limits_version)
             case AcknowledgeFloor():
-                return self._floor_at(command)
+                return self._acknowledge_floor(command)
             case ForgetHead():
-                return self._forget(command.gateway)
+                return self._forget_gateway(command.gateway)
         return False
 
-    def _open(self, index: int, command: OpenSession) -> bool:
+    def _open_session(self, index: int, command: OpenSession) -> bool:
         if self.session_of_process(command.process) is not None:
             return False
-        slot = self._slot(command.gateway, command.store) if command.store else -1
+        slot = self._assign_floor_slot(command.gateway, command.store) if command.store else NO_SLOT
         self.sessions[index] = Session(index, command.gateway, command.process, slot)
         return True
 
-    def _slot(self, head: str, store: str) -> int:
-        """The floor bound to a store, or a free one bound to it now; -1 where none is free."""
-        free = -1
+    def _assign_floor_slot(self, gateway: str, store: str) -> int:
+        """The slot bound to a store, or a free one that is bound to it now; NO_SLOT where none is free."""
+        free = NO_SLOT
         for number in range(self.terms.max_gateways):
             slot = self.floor_slots.get(number)
-            if slot is None:
-                free = number if free < 0 else free
-            elif (slot.gateway, slot.store) == (head, store):
+            if slot is not None and (slot.gateway, slot.store) == (gateway, store):
                 return number
-        if free >= 0:
-            self.floor_slots[free] = FloorSlot(head, store, [self.limits_version])
-            self._past[self.limits_version] = self.limits
-            self._floors.clear()
+            if slot is None and free == NO_SLOT:
+                free = number
+        if free != NO_SLOT:
+            self.floor_slots[free] = FloorSlot(gateway, store, [self.limits_version])
+            self._past_limits[self.limits_version] = self.limits
+            self._reserved.clear()
         return free
 
-    def _close(self, number: int) -> bool:
+    def _close_session(self, number: int) -> bool:
         if self.sessions.pop(number, None) is None:
             return False
-        for amount in [amount for amount, stakes in self.allocations.items() if number in stakes]:
-            self._drop(amount, number)
+        held = [name for name, allocations in self.allocations.items() if number in allocations]
+        for quota_name in held:
+            self._free(quota_name, number)
         return True
 
-    def _drop(self, amount: str, session: int) -> None:
-        stakes = self.allocations[amount]
-        del stakes[session]
-        self._sums.pop(amount, None)
-        if not stakes:
-            del self.allocations[amount]
-
-    def _part(self, index: int, command: AllocateQuota) -> bool:
-        amount, session = command.quota_name, command.session
-        stake = self.allocations.get(amount, {}).get(session)
-        rate, burst, held = (stake.rate, stake.burst, stake.version) if stake is not None else (0, 0, 0)
-        # What it rests on has changed since, or its session is over: another entry came first.
-        if (
-            session not in self.sessions
-            or command.replaced_version != held
-            or min(command.rate, command.burst) < 0
-        ):
-            return False
-        room = self.available(amount)
-        # The one place where more is given: never beyond the whole, whatever the leader thought.
-        if command.rate - rate > max(0, room[0]) or command.burst - burst > max(0, room[1]):
+    def _free(self, quota_name: str, session: int) -> None:
+        allocations = self.allocations[quota_name]
+        del allocations[session]
+        self._allocated.pop(quota_name, None)
+        if not allocations:
+            del self.allocations[quota_name]
+
+    def _allocate(self, index: int, command: AllocateQuota) -> bool:
+        """Replace one allocation; the one place where a session gets more, never beyond the limit."""
+        quota_name = command.quota_name
+        current = self.allocations.get(quota_name, {}).get(command.session)
+        if not self._is_current(command, current) or not self._fits(command, current):
             return False
         if not command.rate and not command.burst:
-            if stake is not None:
-                self._drop(amount, session)
-            return stake is not None
-        self.allocations.setdefault(amount, {})[session] = Allocation(command.rate, command.burst, index)
-        self._sums.pop(amount, None)
+            if current is not None:
+                self._free(quota_name, command.session)
+            return current is not None
+        allocation = Allocation(command.rate, command.burst, index)
+        self.allocations.setdefault(quota_name, {})[command.session] = allocation
+        self._allocated.pop(quota_name, None)
         return True
 
-    def _wholes(self, index: int, command: SetLimits) -> bool:
-        """What is less holds for whatever is given from here on; what is more has to be settled first."""
-        wanted = {plan: (rate, burst) for plan, rate, burst in command.limits}
-        if wanted == self.stated_limits:
+    def _is_current(self, command: AllocateQuota, current: Allocation | None) -> bool:
+        """Whether what the command rests on is still so: its session, and the allocation it replaces."""
+        version = current.version if current is not None else 0
+        if command.session not in self.sessions or command.replaced_version != version:
             return False
-        self.stated_limits = wanted
-        lower = dict(self.limits)
-        for plan, (rate, burst) in wanted.items():
-            old = self.limits.get(plan, (0, 0))
-            lower[plan] = min(rate, old[0]), min(burst, old[1])
-        self._turn(index, lower)
+        return command.rate >= 0 and command.burst >= 0
+
+    def _fits(self, command: AllocateQuota, current: Allocation | None) -> bool:
+        """Whether what the command adds is available; less always fits."""
+        available = self.available(command.quota_name)
+        more_rate = command.rate - (current.rate if current is not None else 0)
+        more_burst = command.burst - (current.burst if current is not None else 0)
+        return more_rate <= max(0, available[0]) and more_burst <= max(0, available[1])
+
+    def _set_limits(self, index: int, command: SetLimits) -> bool:
+        """A limit that falls holds for every allocation from here on; one that rises has to be settled."""
+        stated = {plan: (rate, burst) for plan, rate, burst in command.limits}
+        if stated == self.stated_limits:
+            return False
+        self.stated_limits = stated
+        limits = dict(self.limits)
+        for plan, (rate, burst) in stated.items():
+            current = self.limits.get(plan, (0, 0))
+            limits[plan] = min(rate, current[0]), min(burst, current[1])
+        self._change_limits(index, limits)
         return True
 
-    def _settle(self, index: int, version: int) -> bool:
+    def _settle_limits(self, index: int, version: int) -> bool:
+        """The stated limits hold in full, unless they have changed since ``version``."""
         if version != self.limits_version or self.settled:
             return False
-        self._turn(index, {**self.limits, **self.stated_limits})
+        self._change_limits(index, {**self.limits, **self.stated_limits})
         return True
 
-    def _turn(self, index: int, wholes: dict[str, Pair]) -> None:
-        self.limits_version, self.limits = index, wholes
-        self.settled = all(wholes[plan] == pair for plan, pair in self.stated_limits.items())
-        self._past[index] = wholes
+    def _change_limits(self, index: int, limits: dict[str, RateBurst]) -> None:
+        self.limits_version = index
+        self.limits = limits
+        self.settled = all(limits[plan] == stated for plan, stated in self.stated_limits.items())
+        self._past_limits[index] = limits
         for slot in self.floor_slots.values():
-            slot.limits_versions.append(index)  # its holder may go by these from when it hears of them
-        self._forget_past()
+            slot.limits_versions.append(index)  # its holder may go by these once it hears of them
+        self._forget_past_limits()
 
-    def _floor_at(self, command: AcknowledgeFloor) -> bool:
-        """The holder goes by no older version any more."""
+    def _acknowledge_floor(self, command: AcknowledgeFloor) -> bool:
+        """The holder of a slot goes by no limits older than these any more."""
         slot = self.floor_slots.get(command.floor_slot)
-        if (
-            slot is None
-            or command.limits_version not in slot.limits_versions
-            or slot.limits_versions[0] == command.limits_version
-        ):
+        version = command.limits_version
+        if slot is None or version not in slot.limits_versions or slot.limits_versions[0] == version:
             return False
-        slot.limits_versions = [
-            version for version in slot.limits_versions if version >= command.limits_version
-        ]
-        self._forget_past()
+        slot.limits_versions = [known for known in slot.limits_versions if known >= version]
+        self._forget_past_limits()
         return True
 
-    def _forget_past(self) -> None:
-        used = {version for slot in self.floor_slots.values() for version in slot.limits_versions} | {
-            self.limits_version
+    def _forget_past_limits(self) -> None:
+        """Keep only the limits that a floor may still go by."""
+        used = {version for slot in self.floor_slots.values() for version in slot.limits_versions}
+        used |= {self.limits_version}
+        self._past_limits = {
+            version: limits for version, limits in self._past_limits.items() if version in used
         }
-        self._past = {version: wholes for version, wholes in self._past.items() if version in used}
-        self._floors.clear()
-
-    def _forget(self, head: str) -> bool:
-        """A head is gone for good; not one that has a session."""
-        busy = {session.floor_slot for session in self.sessions.values()}
-        gone = [n for n, slot in self.floor_slots.items() if slot.gateway == head and n not in busy]
-        for number in gone:
+        self._reserved.clear()
+
+    def _forget_gateway(self, gateway: str) -> bool:
+        """Free the floor slots of a gateway that is gone for good; not one that a session has."""
+        in_use = {session.floor_slot for session in self.sessions.values()}
+        freed = [
+            number
+            for number, slot in self.floor_slots.items()
+            if slot.gateway == gateway and number not in in_use
+        ]
+        for number in freed:
             del self.floor_slots[number]
-        self._forget_past()
-        return bool(gone)
+        self._forget_past_limits()
+        return bool(freed)
 
-    # ---- keeping ----
+    # ---- snapshots ----
 
     def dump(self) -> bytes:
-        """The whole of it, for a snapshot."""
-        return msgspec.msgpack.encode(
-            _Dump(
-                self.limits_version, self.limits, self.stated_limits, self.settled, self._past,
-                [
-                    (item.number, item.gateway, item.process, item.floor_slot)
-                    for item in self.sessions.values()
-                ],
-                {n: (slot.gateway, slot.store, slot.limits_versions) for n, slot in self.floor_slots.items()},
-                {
-                    amount: {n: (stake.rate, stake.burst, stake.version) for n, stake in stakes.items()}
-                    for amount, stakes in self.allocations.items()
-                },
-            )
-        )  # fmt: skip
+        """The ledger as it is stored in a snapshot of the log."""
+        sessions = [
+            (session.number, session.gateway, session.process, session.floor_slot)
+            for session in self.sessions.values()
+        ]
+        floor_slots = {
+            number: (slot.gateway, slot.store, slot.limits_versions)
+            for number, slot in self.floor_slots.items()
+        }
+        allocations = {
+            quota_name: {number: (item.rate, item.burst, item.version) for number, item in by_session.items()}
+            for quota_name, by_session in self.allocations.items()
+        }
+        snapshot = _Snapshot(
+            self.limits_version,
+            self.limits,
+            self.stated_limits,
+            self.settled,
+            self._past_limits,
+            sessions,
+            floor_slots,
+            allocations,
+        )
+        return msgspec.msgpack.encode(snapshot)
 
     def load(self, state: bytes) -> None:
-        """Become what was dumped; nothing is the beginning."""
-        told = msgspec.msgpack.decode(state, type=_Dump) if state else _Dump(0, {}, {}, True, {}, [], {}, {})
-        self.limits_version, self.limits, self.stated_limits = told.version, told.wholes, told.wanted
-        self.settled, self._past = told.settled, told.past
-        self.sessions = {item[0]: Session(*item) for item in told.sessions}
-        self.floor_slots = {n: FloorSlot(*item) for n, item in told.slots.items()}
+        """Become what ``dump`` has written; empty bytes are the empty ledger.  MsgspecError."""
+        snapshot = _read_snapshot(state)
+        self.limits_version = snapshot.limits_version
+        self.limits = snapshot.limits
+        self.stated_limits = snapshot.stated_limits
+        self.settled = snapshot.settled
+        self._past_limits = snapshot.past_limits
+        self.sessions = {item[0]: Session(*item) for item in snapshot.sessions}
+        self.floor_slots = {number: FloorSlot(*item) for number, item in snapshot.floor_slots.items()}
         self.allocations = {
-            amount: {n: Allocation(*stake) for n, stake in stakes.items()}
-            for amount, stakes in told.parts.items()
+            quota_name: {number: Allocation(*item) for number, item in by_session.items()}
+            for quota_name, by_session in snapshot.allocations.items()
         }
-        self._floors, self._sums = {}, {}
+        self._reserved = {}
+        self._allocated = {}
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -175,7 +175,7 @@
                     "parts": [
                         {"head": ledger.sessions[n].gateway, "session": n, "rate": stake.rate / 1000,
                          "burst": stake.burst / 1000}
-                        | (office.demand_view(now, amount, n) if office is not None else {})
+                        | (office.demand_view(amount, n) if office is not None else {})
                         for n, stake in sorted(stakes.items())
                     ],
                 }
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -18,6 +18,7 @@
 
 from twisted.internet.error import CannotListenError
 
+from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.messages import ForgetHead, Message
 from gaugesail.coordination.node import FleetNode, StepOutput, StoredState, amount_of, shares_of
 from gaugesail.policy.settings import Settings
@@ -262,7 +263,7 @@
             return
         worth = {plan.name: max(1, round(plan.priority_weight * 1000)) for plan in self._terms.plans}
         asked = {
-            amount_of(plan, volume): (units, spent, saved, worth.get(plan, 1000))
+            amount_of(plan, volume): QuotaUsage(units, spent, saved, worth.get(plan, 1000))
             for plan, volume, units, spent, saved in self._engine.wants()
         }
         self._step(lambda node, now: node.want(now, asked))
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from gaugesail.coordination.fleet_terms import MOST_KEEPERS, FleetTerms
+from gaugesail.coordination.fleet_terms import MAX_REPLICAS, FleetTerms
 
 from ..http.discovery import BadList, split_address
 
@@ -32,7 +32,7 @@
     name: Name
     head: Name
     listen: str
-    keepers: Annotated[list[Name], Meta(min_length=1, max_length=MOST_KEEPERS)]
+    keepers: Annotated[list[Name], Meta(min_length=1, max_length=MAX_REPLICAS)]
     key: str = ""
     key_file: str = ""
     advertise: str = ""
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -19,8 +19,8 @@
 import msgspec
 
 from gaugesail.coordination.consensus import Snapshot
+from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import QuotaUpdate
 from gaugesail.coordination.messages import Message
 from gaugesail.coordination.node import (
     FleetNode,
@@ -30,6 +30,7 @@
     amount_of,
     shares_of,
 )
+from gaugesail.coordination.spending_rights import QuotaUpdate
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
 from gaugesail.policy.events import (
     AttemptEnded,
@@ -340,7 +341,7 @@
         if self.asleep or self.gateway is None:
             return
         asked = {
-            amount_of(plan, volume): (units, spent, saved, 1000)
+            amount_of(plan, volume): QuotaUsage(units, spent, saved, 1000)
             for plan, volume, units, spent, saved in self.gateway.amounts.take_demand(self.now())
         }
         self.step(lambda node: node.want(self.now(), asked))
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -22,14 +22,16 @@
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.bootstrap import name_of, seat_of
 from gaugesail.coordination.consensus import RaftNode, Role, Snapshot
+from gaugesail.coordination.demand_tracker import DemandEstimate
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import DemandEstimate, HeadFloor, LeaseHolder
-from gaugesail.coordination.quota_ledger import Pair
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
+from gaugesail.coordination.quota_ledger import RateBurst
 from gaugesail.coordination.replica import Replica
 
 NAMES = ("h0", "h1", "h2")
 AMOUNT = "p/1"
-WHOLE: Pair = (100_000, 60_000)
+WHOLE: RateBurst = (100_000, 60_000)
 QUANTUM = 4_000
 NEVER = 1 << 60
 LEASE_US = 4_000_000
@@ -111,7 +113,7 @@
 ) -> Cell:
     charter = _charter()
     keeper = Replica(charter, "d", FLEET, _raft(name, now, keepers, term, vote, list(log)), -10 * LEASE_US)
-    holder = LeaseHolder(charter, "d", name, process, f"s-{name}", HeadFloor(), now, Still())
+    holder = LeaseHolder(charter, "d", process, f"s-{name}", HeadFloor(), now, Still())
     holder.set_limits({"p": WHOLE}, QUANTUM)
     return Cell(keeper, holder, process, term, vote, list(log))
 
@@ -150,13 +152,17 @@
         for other in raft._others.values():
             other.heard_at = other.sent_at = now
         if office is not None:
-            office._retell_at = NEVER
+            office._allocator._resend_at = NEVER
             for lease in office.leases.values():
                 lease.unconfirmed = dict.fromkeys(lease.unconfirmed, 0)
-        holder._ask_at, holder._waits, holder._mute, holder._whom = NEVER, None, set(), ""
-        holder._wanted_at = now
-        for want in holder._wants.values():
-            want.at = now
+        schedule = holder._schedule
+        schedule.next_at = NEVER
+        schedule._waiting_since = None
+        schedule._passed_over = set()
+        schedule._preferred = ""
+        holder._demands._recorded_at = now
+        for estimate in holder._demands._estimates.values():
+            estimate.requested_at = now
 
     def act(self, room: Room, name: str) -> Room:
         """Settle a head and put what it says into the air; what it says to itself it hears at once."""
@@ -226,7 +232,7 @@
 
     def ask(self, room: Room, name: str, whom: str) -> Room:
         holder = room.cells[name].holder
-        holder._ask_at = room.now
+        holder._schedule.next_at = room.now
         holder.tick(room.now, [whom])
         return self.act(room, name)
 
@@ -275,15 +281,17 @@
         room.air = ()
         self.want(room, "h2", 200_000)
         for cell in room.cells.values():
-            cell.holder._sent = {n: at for n, at in cell.holder._sent.items() if n == cell.holder._number}
+            schedule = cell.holder._schedule
+            schedule._sent_at = {n: at for n, at in schedule._sent_at.items() if n == schedule.number}
         return room
 
     def want(self, room: Room, name: str, rate: int) -> None:
-        room.cells[name].holder._wants[AMOUNT] = DemandEstimate(1000, room.now, float(rate), float(rate))
+        estimates = room.cells[name].holder._demands._estimates
+        estimates[AMOUNT] = DemandEstimate(1000, room.now, float(rate), float(rate))
 
     # ---- what must hold ----
 
-    def spendable(self, room: Room) -> Pair:
+    def spendable(self, room: Room) -> RateBurst:
         """What all heads may spend now: parts whose lease runs by its holder's count, and all floors."""
         rate = burst = 0
         for cell in room.cells.values():
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -14,7 +14,8 @@
 from gaugesail.coordination.bootstrap import seat_of
 from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
 from gaugesail.coordination.node import FleetNode, PersistentState, StepOutput
 from gaugesail.coordination.quota_ledger import QuotaLedger
 
@@ -528,7 +529,7 @@
 
 def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
     """One that has asked at 0."""
-    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", "h", 7, "s", HeadFloor(), 0, random.Random(1))
+    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", 7, "s", HeadFloor(), 0, random.Random(1))
     holder.set_limits({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
     said = holder.take_messages()[0][1]
--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -12,7 +12,16 @@
 from typing import Any
 from unittest.mock import patch
 
-from ..coordination import consensus, lease_holder, lease_manager, node, quota_ledger, store_fencing
+from ..coordination import (
+    consensus,
+    lease_holder,
+    lease_manager,
+    node,
+    quota_allocator,
+    quota_ledger,
+    spending_rights,
+    store_fencing,
+)
 from ..coordination import messages as m
 from ..coordination.fleet_terms import FleetTerms
 from ..policy import rate_limits
@@ -36,31 +45,29 @@
     return lambda self, now, sender, answer, asked, newest: old(self, now, sender, answer, now, newest)
 
 
-def _ordered_twice(self: Any, now: int, message: m.QuotaOrders) -> None:
-    """Each order adds what it says to what is there."""
-    for order in message.orders:
-        have = self.allocations.get(order.quota_name)
-        self._seen = max(self._seen, order.version)
-        rate, burst = order.rate, order.burst
-        if have is not None and order.version == have.version and not order.release:
-            rate, burst = have.rate + rate, have.burst + burst
-        self.allocations[order.quota_name] = m.HeldQuota(order.quota_name, order.version, rate, burst)
-        self._fresh[order.quota_name] = None
-        self._changed[order.quota_name] = 0
-    self._hurry(now)
+def _ordered_twice(self: Any, order: m.QuotaOrder) -> None:
+    """An order adds what it says to what is there."""
+    held = self.allocations.get(order.quota_name)
+    rate = order.rate
+    burst = order.burst
+    if held is not None and order.version == held.version and not order.release:
+        rate += held.rate
+        burst += held.burst
+    self.allocations[order.quota_name] = m.HeldQuota(order.quota_name, order.version, rate, burst)
+    self._changed[order.quota_name] = None
+    self._unreported[order.quota_name] = 0
 
 
 def _ordered_any(old: Any) -> Any:
     """An older order is taken in as if it were the latest."""
 
-    def ordered(self: Any, now: int, message: m.QuotaOrders) -> None:
-        for order in message.orders:
-            have = self.allocations.get(order.quota_name)
-            if have is not None and order.version < have.version:
-                self.allocations[order.quota_name] = m.HeldQuota(order.quota_name, order.version, 0, 0)
-        old(self, now, message)
+    def apply_order(self: Any, order: m.QuotaOrder) -> None:
+        held = self.allocations.get(order.quota_name)
+        if held is not None and order.version < held.version:
+            self.allocations[order.quota_name] = m.HeldQuota(order.quota_name, order.version, 0, 0)
+        old(self, order)
 
-    return ordered
+    return apply_order
 
 
 def _no_wait(old: Any) -> Any:
@@ -75,44 +82,44 @@
     return init
 
 
-def _unasked(self: Any, now: int, number: int, lease: Any, amounts: Any) -> None:
+def _unasked(self: Any, now: int, number: int, lease: Any, quota_names: Any) -> None:
     """What a holder is asked to give up is written down at once."""
-    for amount, (rate, burst) in list(lease.release_targets.items()):
-        stake = self._ledger.allocations.get(amount, {}).get(number)
-        if stake is not None:
-            self._propose(amount, number, min(rate, stake.rate), min(burst, stake.burst), stake.version)
-    _TELL(self, now, number, lease, amounts)
+    for quota_name, (rate, burst) in list(lease.release_targets.items()):
+        allocation = self._ledger.allocations.get(quota_name, {}).get(number)
+        if allocation is not None:
+            rate = min(rate, allocation.rate)
+            burst = min(burst, allocation.burst)
+            self._propose(quota_name, number, rate, burst, allocation.version)
+    _SEND_ORDERS(self, now, number, lease, quota_names)
 
 
-_TELL = lease_manager.LeaseManager._tell
+_SEND_ORDERS = quota_allocator.QuotaAllocator._send_orders
 
 
-def _part_anyway(self: Any, index: int, command: m.AllocateQuota) -> bool:
+def _allocate_anyway(self: Any, index: int, command: m.AllocateQuota) -> bool:
     """The sum is not looked at."""
     if command.session not in self.sessions:
         return False
     self.allocations.setdefault(command.quota_name, {})[command.session] = quota_ledger.Allocation(
         command.rate, command.burst, index
     )
-    self._sums.pop(command.quota_name, None)
+    self._allocated.pop(command.quota_name, None)
     return True
 
 
-def _told_early(self: Any, amount: str, session: int, rate: int, burst: int, held: int) -> None:
+def _told_early(self: Any, quota_name: str, session: int, rate: int, burst: int, replaced: int) -> None:
     """A grant is told when it is proposed."""
-    pending = self._pending.setdefault(amount, set())
-    if session in pending:
-        return
-    pending.add(session)
-    index = self._raft.propose(m.AllocateQuota(amount, session, rate, burst, held))
-    found, lease = self._ledger.sessions.get(session), self.leases[session]
+    command = m.AllocateQuota(quota_name, session, rate, burst, replaced)
+    index = self._proposals.propose_allocation(command)
+    found = self._ledger.sessions.get(session)
     if index is not None and found is not None:
-        order = m.QuotaOrder(amount, index, rate, burst, False)
-        self._out.append((lease.gateway, m.QuotaOrders(found.process, session, self._fleet, (order,))))
+        order = m.QuotaOrder(quota_name, index, rate, burst, False)
+        message = m.QuotaOrders(found.process, session, self._fleet, (order,))
+        self._outbox.append((self._leases[session].gateway, message))
 
 
-def _keep_book(old: Any) -> Any:
-    """Parts of an earlier session are spent under the next."""
+def _keep_allocations(old: Any) -> Any:
+    """Allocations of an earlier session are spent under the next."""
 
     def drop(self: Any) -> None:
         allocations = dict(self.allocations)
@@ -120,7 +127,7 @@
         old(self)
         self.allocations = allocations
         self.lease_until = lease_until
-        self._anew = False
+        self._replaces_all = False
 
     return drop
 
@@ -164,8 +171,8 @@
     """Whoever opens a session has the first floor."""
     if 0 not in self.floor_slots:
         self.floor_slots[0] = quota_ledger.FloorSlot(head, store, [self.limits_version])
-        self._past[self.limits_version] = self.limits
-        self._floors.clear()
+        self._past_limits[self.limits_version] = self.limits
+        self._reserved.clear()
     return 0
 
 
@@ -207,7 +214,7 @@
     def tick(self: Any, now: int) -> None:
         old(self, now)
         for lease in self.leases.values():
-            lease.expires_at = min(lease.expires_at, now + self._charter.lease_with_drift_us // 2)
+            lease.expires_at = min(lease.expires_at, now + self._terms.lease_with_drift_us // 2)
 
     return tick
 
@@ -221,21 +228,21 @@
     Plant("lease_from_receipt", "a lease is counted from when its answer came",
           lambda: [_method(lease_holder.LeaseHolder, "_renewed", _receipt)]),
     Plant("grant_twice", "a grant that comes twice counts twice",
-          lambda: [patch.object(lease_holder.LeaseHolder, "_ordered", _ordered_twice)]),
+          lambda: [patch.object(spending_rights.SpendingRights, "apply_order", _ordered_twice)]),
     Plant("older_grant", "a grant older than what stands is taken in",
-          lambda: [_method(lease_holder.LeaseHolder, "_ordered", _ordered_any)]),
+          lambda: [_method(spending_rights.SpendingRights, "apply_order", _ordered_any)]),
     Plant("no_wait_after_election", "a new leader does not wait for the leases of the one before",
           lambda: [_method(lease_manager.LeaseManager, "__init__", _no_wait)]),
     Plant("lower_unasked", "a part is taken down before its holder has given it up",
-          lambda: [patch.object(lease_manager.LeaseManager, "_tell", _unasked)]),
+          lambda: [patch.object(quota_allocator.QuotaAllocator, "_send_orders", _unasked)]),
     Plant("no_drift", "the drift of clocks is left out",
           lambda: [patch.object(FleetTerms, "lease_with_drift_us", property(lambda self: self.lease_us))]),
     Plant("no_sum", "the ledger takes a part without looking at the sum",
-          lambda: [patch.object(quota_ledger.QuotaLedger, "_part", _part_anyway)]),
+          lambda: [patch.object(quota_ledger.QuotaLedger, "_allocate", _allocate_anyway)]),
     Plant("told_before_committed", "a grant is told before a majority has it",
-          lambda: [patch.object(lease_manager.LeaseManager, "_propose", _told_early)]),
+          lambda: [patch.object(quota_allocator.QuotaAllocator, "_propose", _told_early)]),
     Plant("book_kept", "the parts of a session that is over are spent on",
-          lambda: [_method(lease_holder.LeaseHolder, "_drop", _keep_book)]),
+          lambda: [_method(spending_rights.SpendingRights, "drop", _keep_allocations)]),
     Plant("expired_spent", "a part is spent after its lease",
           lambda: [_method(rate_limits.RateLimits, "update_quota", _forever)]),
     Plant("minority", "one keeper alone is a majority",
@@ -245,7 +252,7 @@
     Plant("any_log_elected", "who lacks entries is elected",
           lambda: [patch.object(consensus.RaftNode, "_longer", lambda self, vote: True)]),
     Plant("floor_twice", "two heads have one floor",
-          lambda: [patch.object(quota_ledger.QuotaLedger, "_slot", _floor_any)]),
+          lambda: [patch.object(quota_ledger.QuotaLedger, "_assign_floor_slot", _floor_any)]),
     Plant("old_store_trusted", "an old copy of a store votes",
           lambda: [patch.object(store_fencing.StoreFence, "good", lambda self, others: True),
                    patch.object(store_fencing, "judge", lambda known, mark: True)]),
--- a/gaugesail/rehearsal/fleet/trial.py
+++ b/gaugesail/rehearsal/fleet/trial.py
@@ -210,7 +210,7 @@
     def _up(self) -> bool:
         lines = [head.log.read_text(errors="replace") if head.log.exists() else "" for head in
                  self.heads.values()]  # fmt: skip
-        wanted = ["listening"] + (["fleet_lease_held"] if self.trial.fleet else [])
+        wanted = ["listening"] + (["fleet_lease_acquired"] if self.trial.fleet else [])
         return all(word in text for text in lines for word in wanted)
 
     def _tails(self) -> list[str]:
--- a/tests/coordination/test_leases_and_bootstrap.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -13,9 +13,12 @@
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.bootstrap import Bootstrap, BootstrapRecord, name_of, seat_of, store_of
 from gaugesail.coordination.consensus import RaftNode, Snapshot
+from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
-from gaugesail.coordination.lease_manager import COMPLY_US, LeaseManager
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
+from gaugesail.coordination.lease_manager import LeaseManager
+from gaugesail.coordination.quota_allocator import RELEASE_TIMEOUT_US
 from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.measure.planted import planted
 from gaugesail.policy.events import QuotaChanged
@@ -231,7 +234,7 @@
         leader.ask(1, session, demands=want(200_000))
     less = (("p", 20_000, 80_000),)
     leader.ask(1, session, demands=want(200_000), limits=less)
-    leader.now += COMPLY_US
+    leader.now += RELEASE_TIMEOUT_US
     leader.ask(1, session, demands=want(200_000), limits=less)
     leader.now += 1000
     said = leader.ask(1, session, demands=want(200_000), limits=less)
@@ -317,7 +320,7 @@
         self.leader = Leader()
         self.air: list[tuple[int, Any]] = []  # for which holder, 0: the leader
         self.holders = {
-            n: LeaseHolder(CHARTER, "d", f"h{n}", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
+            n: LeaseHolder(CHARTER, "d", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
             for n in (1, 2)
         }
         for one in self.holders.values():
@@ -332,7 +335,8 @@
     @rule(n=st.sampled_from([1, 2]), rate=st.sampled_from([0, 20, 60, 200]))
     def want(self, n: int, rate: int) -> None:
         one, now = self.holders[n], self.leader.now
-        one.record_demand(now, {"p/1": (rate / 10, rate / 10, 0.0, 1000)} if rate else {})
+        usage = QuotaUsage(rate / 10, rate / 10, 0.0, 1000)
+        one.record_demand(now, {"p/1": usage} if rate else {})
         one.tick(now, ["a"])
         self.say()
 
--- a/tests/coordination/test_quota.py
+++ b/tests/coordination/test_quota.py
@@ -10,7 +10,8 @@
 
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
 from gaugesail.coordination.quota_division import QuotaClaim, divide
 from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.coordination.store_fencing import KnownStore, StoreFence, judge
@@ -248,7 +249,7 @@
 
 
 def holder(store: str = "s", now: int = 0) -> LeaseHolder:
-    made = LeaseHolder(CHARTER, "d", "h", 7, store, HeadFloor(), now, random.Random(1))
+    made = LeaseHolder(CHARTER, "d", 7, store, HeadFloor(), now, random.Random(1))
     made.set_limits({"p": (100_000, 80_000)}, 8000)
     return made
 
