--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -18,9 +18,11 @@
 from .core.clock import ReactorClock, boot_ns, use_monotonic_time
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
-from .http.bricks import BrickConnection, BrickPool
+from .handover import Takeover
 from .http.discovery import DiscoveryClient
 from .http.front import ClientConnection, ClientFront
+from .http.node_connection import NodeConnection
+from .http.node_pool import NodePool
 from .net import attach, detach, reset
 from .operations import Operations
 from .service import Service
@@ -44,7 +46,7 @@
         )
         log = self._log
         self._config = config
-        self.transport = BrickPool(
+        self.transport = NodePool(
             reactor,
             self.clock,
             self.buffers,
@@ -60,8 +62,8 @@
             config.zones,
             config.kinds,
             log,
-            self.transport.listed,
-            lambda news: self.engine.listed(news),
+            self.transport.update_addresses,
+            lambda news: self.engine.update_endpoints(news),
             config.settings.drain_grace_us if config.pushed else None,
         )
         self.needs_list = config.pushed
@@ -76,7 +78,7 @@
             limits.client_overflow,
             self._finished,
         )
-        self.operations = Operations(self.engine, self.front, self._state, self._handover.tell, log)
+        self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def known(self, told: dict[str, Any]) -> EndpointList:
         # Another service may count its revisions from anywhere: the process before must have used the same.
@@ -84,45 +86,45 @@
         news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
         return news
 
-    def bequeath(self) -> tuple[int, dict[str, Any]] | None:
-        legacy = super().bequeath()
-        if legacy is not None:
-            legacy[1].update(discovery=self.discovery.host, list=self.discovery.latest)
-        return legacy
+    def offer_takeover(self) -> Takeover | None:
+        takeover = super().offer_takeover()
+        if takeover is not None:
+            takeover.state.update(discovery=self.discovery.host, list=self.discovery.latest)
+        return takeover
 
     @property
     def passing_answers(self) -> bool:
         return bool(self.front.streams)
 
-    def pass_on(self) -> None:
+    def hand_over_answers(self) -> None:
         for client in self.front.streams:
             client.move(self._moved)
 
-    def _moved(self, client: ClientConnection, brick: BrickConnection) -> None:
-        if self._handover.next is None:
+    def _moved(self, client: ClientConnection, node: NodeConnection) -> None:
+        if self._handover.successor is None:
             client.stay()
             return
-        told = {"client": client.leave(), "brick": brick.leave()}
-        self._handover.pass_on([detach(client.link), detach(brick.link)], told)
+        state = {"client": client.leave(), "brick": node.hand_over_stream().to_json()}
+        self._handover.hand_over_answer([detach(client.link), detach(node.link)], state)
         self.front.closed(client)
 
-    def take(self, fds: list[int], told: dict[str, Any]) -> None:
+    def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
         """Go on with a large answer.  Where either side has gone meanwhile, the other ends with it."""
-        ours, theirs = fds
+        client_descriptor, node_descriptor = descriptors
         try:
-            brick = self.transport.adopt(theirs, told["brick"], self.engine)
+            node = self.transport.take_over(node_descriptor, state["brick"], self.engine.attempts)
         except OSError:
-            reset(ours)  # an end in order could pass for the answer's own
+            reset(client_descriptor)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
-        client.enter(told["client"], brick)
-        self.engine.adopt(brick.attempt)
+        client.enter(state["client"], node)
+        self.engine.attempts.adopt_stream(node.attempt)
         try:
-            attach(self._reactor, ours, client)
+            attach(self._reactor, client_descriptor, client)
         except OSError:
-            brick.stop()
+            node.stop()
             return
-        brick.goes_to(client)
+        node.stream_to(client)
 
     def limit(self, processes: int) -> None:
         limits = self._config.limits.of(processes)
@@ -134,7 +136,7 @@
         configuration.check_shape(self._config.raw, config.raw)
         self._kept(self._config, config, LIVE)
         self._config = replace(config, limits=self._config.limits)
-        self.transport.retune(config.conn_idle_us, config.connect_timeout_us)
+        self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
         self.discovery.retune(config.zones, config.kinds)
         self.discovery.move(config.discovery)
         self.retune(config.settings)
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -24,6 +24,7 @@
 from .proposed_commands import ProposedCommands
 from .quota_allocator import QuotaAllocator
 from .quota_ledger import QuotaLedger, Session
+from .replica_id import name_of
 from .session_lease import SessionLease
 
 
@@ -50,7 +51,7 @@
         self._ledger = ledger
         self._raft = raft
         self.term = raft.term
-        self._leader = raft.seat.rpartition("#")[0]
+        self._leader = name_of(raft.replica_id)
         self._opening: dict[int, LeaseRequest] = {}  # requests that wait for a session, by process
         self._proposals = ProposedCommands(raft)
         self._outbox: list[tuple[str, Message]] = []
@@ -92,10 +93,12 @@
         session = self._ledger.session_of_process(request.process)
         if request.terms_digest != self._digest:
             self._respond(sender, request, LeaseStatus.TERMS_DIFFER)
-        elif request.fleet == self._fleet and request.last_seen_index > self._raft.last:
+        elif request.fleet == self._fleet and request.last_seen_index > self._raft.last_index:
             # This log has lost entries.  What the holder has by those is not renewed: told so, it gives up
             # all of it, and may then have what this log says.
-            self._notify("stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.last)
+            self._notify(
+                "stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.last_index
+            )
             self._respond(sender, request, LeaseStatus.UNKNOWN_SESSION)
         elif session is None:
             self._request_without_session(sender, request)
@@ -127,7 +130,7 @@
     def _await_confirmation(self, lease: SessionLease, request: LeaseRequest) -> None:
         """Answer this request once a majority has confirmed that this replica still leads."""
         lease.unanswered_request = request
-        lease.confirmation_round = self._raft.confirm()
+        lease.confirmation_round = self._raft.request_round()
 
     def _record_statements(self, number: int, lease: SessionLease, request: LeaseRequest) -> None:
         """What the holder says of itself: its limits, its floor, what it holds and what it wants."""
@@ -228,7 +231,7 @@
 
     def _renew_and_expire(self, now: int) -> None:
         """Renew the leases whose requests are confirmed; close the sessions whose leases have run out."""
-        confirmed = self._raft.confirmed
+        confirmed = self._raft.confirmed_round
         for number, lease in self.leases.items():
             request = lease.unanswered_request
             is_confirmed = confirmed >= lease.confirmation_round
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -9,7 +9,7 @@
 from ..core.clock import ReactorClock
 from ..core.engine import Engine
 from ..core.ports import Clock, Logger, Reactor
-from ..handover import Inheritance
+from ..handover import Takeover
 from ..http.management import MOST_CALLS
 from ..operations import Operations
 from ..service import Service
@@ -34,9 +34,9 @@
     def watch(self, on: bool) -> None:
         pass  # a reload is told in any case
 
-    def fetch(self) -> None:
+    def poll(self) -> None:
         self._head.clock.call_later(
-            0, lambda: self._head.engine.listed(self._head.listing(EndpointListKind.FULL))
+            0, lambda: self._head.engine.update_endpoints(self._head.listing(EndpointListKind.FULL))
         )
 
     def close(self) -> None:
@@ -74,7 +74,7 @@
             self._sessions(1),
             self._finished,
         )
-        self.operations = Operations(self.engine, self.front, self._state, self._handover.tell, log)
+        self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def _sessions(self, processes: int) -> int:
         sockets = self._operator.sockets // processes - (MOST_CALLS if self._operator.management else 0)
@@ -83,7 +83,7 @@
     def limit(self, processes: int) -> None:
         self.front.limit(self._sessions(processes))
 
-    def _begin(self, inherited: Inheritance | None) -> None:
+    def _begin(self, inherited: Takeover | None) -> None:
         super()._begin(inherited)
         self.front.address = self.address
 
@@ -102,4 +102,4 @@
         self._operator = self.front.operator = operator
         self.retune(operator.settings)
         self._log.info("reloaded", nodes=len(operator.nodes))
-        self.engine.listed(self.listing(EndpointListKind.FULL))
+        self.engine.update_endpoints(self.listing(EndpointListKind.FULL))
--- a/tests/compatibility/test_fleet_records.py
+++ b/tests/compatibility/test_fleet_records.py
@@ -75,7 +75,7 @@
     loaded = store.open()
     store.close()
     assert not store.notes, "put aside"
-    assert msgspec.msgpack.encode(loaded.kept).hex() == LEDGER["kept"]
+    assert msgspec.msgpack.encode(loaded.state).hex() == LEDGER["kept"]
     assert (loaded.snapshot.index, loaded.snapshot.term) == (8, 2)
     assert loaded.snapshot.state.hex() == LEDGER["dump"]
-    assert [plain(entry) for entry in loaded.log] == [row["values"] for row in ENTRIES.values()]
+    assert [plain(entry) for entry in loaded.entries] == [row["values"] for row in ENTRIES.values()]
--- a/tests/policy/test_short_deadlines.py
+++ b/tests/policy/test_short_deadlines.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gaugesail.policy.events import RequestReceived
-from gaugesail.policy.recovery import MOST_ASKED
+from gaugesail.policy.first_requests import MAX_REMEMBERED
 
 from ..support import gateway_driver
 from ..support.gateway_driver import SEC
@@ -34,7 +34,7 @@
     rig = rigged(True)
     asked = rig.ask(give_up=900_000, is_retry=True)
     assert not rig.sends
-    assert asked not in rig.gateway.jobs
+    assert asked not in rig.gateway.pending
 
 
 def ask(number: int, give_up: int, units: float = 1.0) -> RequestReceived:
@@ -69,10 +69,10 @@
 
 def test_what_is_remembered_of_requests_is_bounded() -> None:
     recovery = rigged(False).gateway.recovery
-    for number in range(MOST_ASKED + 100):
+    for number in range(MAX_REMEMBERED + 100):
         request = RequestReceived(number, 0, 200 * SEC, 0, volume_id=number, key=9)
         recovery.first_received_at(100 * SEC, request, 0, 185 * SEC)
-    assert len(recovery._asked) == MOST_ASKED
+    assert len(recovery.first_requests) == MAX_REMEMBERED
     marked = rigged(True).gateway.recovery
     marked.first_received_at(100 * SEC, ask(1, 115 * SEC), 0, 100 * SEC)
-    assert not marked._asked
+    assert not marked.first_requests
