--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -21,14 +21,17 @@
 from . import messages as m
 from .bootstrap import Bootstrap, BootstrapRecord
 from .consensus import LogBroken, RaftNode, Snapshot
+from .demand_tracker import QuotaUsage
 from .fleet_terms import FleetTerms
-from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
+from .gateway_floor import HeadFloor
+from .lease_holder import LeaseHolder
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
 from .notices import Notice, NoticeField
-from .quota_ledger import Pair
+from .quota_ledger import RateBurst
 from .replica import Replica, redirect
 from .replica_id import make_replica_id, name_of
+from .spending_rights import QuotaUpdate
 from .store_fencing import KnownStore, StoreFence
 
 
@@ -50,7 +53,7 @@
     )  # other stores' marks
     floor_slot: int = msgspec.field(default=-1, name="slot")
     floor_version: int = msgspec.field(default=0, name="version")
-    floor_limits: dict[str, Pair] = msgspec.field(default_factory=dict, name="wholes")
+    floor_limits: dict[str, RateBurst] = msgspec.field(default_factory=dict, name="wholes")
     floor_fleet: str = msgspec.field(default="", name="of_fleet")  # that gave the floor
 
 
@@ -133,7 +136,7 @@
         )
         self.replica: Replica | None = None
         floor = HeadFloor(kept.floor_slot, kept.floor_version, kept.floor_limits, kept.floor_fleet)
-        self.lease_holder = LeaseHolder(charter, digest, name, process, kept.store_id, floor, now, self._rng)
+        self.lease_holder = LeaseHolder(charter, digest, process, kept.store_id, floor, now, self._rng)
         self._floor_kept = floor
         self._changed = self.has_store  # the life counts before anything is said
         self._anew = False
@@ -189,11 +192,11 @@
             return name_of(self.replica.raft.leader)
         return self.lease_holder.leader
 
-    def set_limits(self, wholes: Mapping[str, Pair], quantum: int) -> None:
+    def set_limits(self, wholes: Mapping[str, RateBurst], quantum: int) -> None:
         """What this head's own file says of limits: rate and burst by plan, and its largest request."""
         self.lease_holder.set_limits(wholes, quantum)
 
-    def report_demand(self, now: int, asked: Mapping[str, tuple[float, float, float, int]]) -> StepOutput:
+    def report_demand(self, now: int, asked: Mapping[str, QuotaUsage]) -> StepOutput:
         """Units asked for, sent and saved up, and what one is worth, by amount, since the last call."""
         self.lease_holder.record_demand(now, asked)
         return self.tick(now)
