--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -174,7 +174,7 @@
         self.stop_after: int | None = None  # steps, and then it sleeps (or dies)
         self.dies = False
         self._wake_at = 0
-        self.sent_bytes = self.sent_messages = 0
+        self.sent_bytes = 0
         self.open: dict[int, float] = {}
         self.notices: Counter[str] = Counter()
 
@@ -488,7 +488,6 @@
         if to == head.name:
             self.at(self.now, lambda: self._deliver(head.name, to, process, message))
             return
-        head.sent_messages += 1
         if self.weigh:
             head.sent_bytes += len(self.pack(message)) + ENVELOPE
         line = self.line(head.name, to)
--- a/gaugesail/lab/nodes.py
+++ b/gaugesail/lab/nodes.py
@@ -95,10 +95,6 @@
         part = (self._time.seconds() - self.started_at) / self.machine.cold_s
         return min(1.0, self.machine.cold_from + (1 - self.machine.cold_from) * part)
 
-    @property
-    def holds(self) -> int:
-        return len(self._running) + len(self._waiting)
-
     # ---- requests ----
 
     def take(self, core_s: float, ended: Callable[[str], None]) -> Work:
--- a/gaugesail/lab/troubles.py
+++ b/gaugesail/lab/troubles.py
@@ -5,7 +5,6 @@
 import random
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from .fleet import SECOND, Disk, FleetWorld, LabHead, Limit, Line
 
@@ -38,18 +37,6 @@
         name = self._rng.choices(self._names, self._weights)[0]
         world.ask(name, float(self._rng.choice(SIZES)), self._volume)
 
-    @property
-    def busiest(self) -> str:
-        return self._names[self._weights.index(max(self._weights))]
-
-
-@dataclass(slots=True)
-class Span:
-    """How long a trouble lasts, in seconds."""
-
-    low: float
-    high: float
-
 
 class Troubles:
     """Draws faults and plays them: each kind is a method, and is counted."""
@@ -57,7 +44,6 @@
     def __init__(self, world: FleetWorld, seed: int, twins: bool = True) -> None:
         self.world, self.rng = world, random.Random(seed)
         self.faults: Counter[str] = Counter()
-        self._copies: dict[str, Disk] = {}
         self._kinds: list[tuple[Callable[[], None], float]] = [
             (self.crash, 3), (self.crash_mid_step, 3), (self.sleep, 2), (self.sleep_mid_step, 3),
             (self.leader_sleeps, 2), (self.cut, 3), (self.cut_one_way, 3), (self.halves, 2),
--- a/gaugesail/measure/budgets.py
+++ b/gaugesail/measure/budgets.py
@@ -31,7 +31,6 @@
 GAP_S = 2.0  # between two faults
 BACK_AT = 0.9  # of the whole: a dead head's part is in use again
 FIND_SCHEDULES = 40
-WORST_BACK_S = 10.0
 
 
 def world_of(heads: int, seed: int, drift: float = 0.0, fleet: bool = True, keepers: int = 3) -> FleetWorld:
