--- a/gaugesail/__main__.py
+++ b/gaugesail/__main__.py
@@ -2,11 +2,12 @@
 
 import sys
 
-from .app import run
 from .logs import make_logger
+from .runner import run
 
 
 def main() -> int:
+    """Run one gateway; the exit code of the process."""
     from twisted.internet import reactor  # importing it installs it: only the main program does
 
     return run(reactor, make_logger(), sys.argv[1:])
--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -2,20 +2,13 @@
 
 from __future__ import annotations
 
-import gc
-import signal
-import time
-from collections.abc import Callable
 from dataclasses import replace
 from typing import Any
 
-from twisted.internet.defer import maybeDeferred
-from twisted.logger import globalLogBeginner
-
 from gaugesail.policy.events import EndpointList
 
 from . import config as configuration
-from .core.clock import ReactorClock, boot_ns, use_monotonic_time
+from .core.clock import ReactorClock
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
 from .handover import Takeover
@@ -81,12 +74,14 @@
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
+        """The list to start with: the predecessor's if it used the same discovery, or the configuration's."""
         # Another service may count its revisions from anywhere: the process before must have used the same.
         same = told.get("discovery") == self.discovery.host
         news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
         return news
 
     def offer_takeover(self) -> Takeover | None:
+        """Add the latest list, and which discovery it came from."""
         takeover = super().offer_takeover()
         if takeover is not None:
             takeover.state.update(discovery=self.discovery.host, list=self.discovery.latest)
@@ -94,9 +89,11 @@
 
     @property
     def has_streams(self) -> bool:
+        """An answer is streamed to its client."""
         return bool(self.front.streams)
 
     def hand_over_answers(self) -> None:
+        """Hand streamed answers to the successor, each once its client's buffer is empty."""
         for client in self.front.streams:
             client.move(self._moved)
 
@@ -127,6 +124,7 @@
         node.stream_to(client)
 
     def limit(self, processes: int) -> None:
+        """Keep within the descriptors of one of so many processes."""
         limits = self._config.limits.of(processes)
         self.front.limit(limits.client_connections, limits.client_overflow)
         self.transport.limit(limits.node_connections)
@@ -142,85 +140,3 @@
         self.change_settings(config.settings)
         classes = ",".join(spec.name for spec in config.settings.classes)
         self._log.info("reloaded", discovery=self.discovery.host, classes=classes)
-
-
-def _twisted_event(log: Logger, event: Any) -> None:
-    failure = event.get("log_failure")
-    if failure is not None:
-        log.error("callback_raised", error=repr(failure.value), trace=failure.getTraceback()[-2000:])
-
-
-def _shares(config: Any) -> Any:
-    """A configuration of either wire, for a head that divides limits with others."""
-    return replace(config, settings=replace(config.settings, fleet_quota=True))
-
-
-def _among_others(arguments: list[str]) -> tuple[list[str], str | None]:
-    """The arguments but ``--fleet FILE``, and that file."""
-    if "--fleet" not in arguments:
-        return arguments, None
-    at = arguments.index("--fleet")
-    if at + 1 == len(arguments):
-        raise ValueError("--fleet: a file is needed")
-    return arguments[:at] + arguments[at + 2 :], arguments[at + 1]
-
-
-def run(reactor: Any, log: Logger, arguments: list[str]) -> int:
-    """Run a head until SIGTERM: by the platform's environment, or by an operator's file.  The exit code.
-
-    ``--fleet FILE`` puts it among other heads; without it nothing of that is imported, opened or started.
-    """
-    # Ours before anything can send one, in place of Twisted's: by default SIGHUP ends the process, and
-    # Twisted's SIGTERM stops at once.  What comes before the reactor runs is carried out when it does.
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: head.reload_from(load)))
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(lambda: head.stop()))
-    load: Callable[[], Any] = configuration.load
-    head: Service
-    try:
-        arguments, fleet_file = _among_others(arguments)
-        # Leases are counted by the one that goes on while the machine sleeps.
-        monotonic_ns = boot_ns if fleet_file is not None else time.monotonic_ns
-        use_monotonic_time(reactor, monotonic_ns)
-        clock, companion = ReactorClock(reactor, monotonic_ns), None
-        if arguments:
-            from .iscsi.operator import load_operator
-
-            path = arguments[0]
-            load = lambda: load_operator(path)  # noqa: E731
-        if fleet_file is not None:
-            from .fleet.agent import FleetAgent
-            from .fleet.settings import load_fleet
-
-            companion = FleetAgent(reactor, clock, load_fleet(fleet_file), log)
-            alone = load
-            load = lambda: _shares(alone())  # noqa: E731
-        if arguments:
-            from .iscsi.app import IscsiHead
-
-            head = IscsiHead(reactor, load(), log, clock)
-        else:
-            head = Head(reactor, load(), log, clock)
-        head.fleet = companion
-    except ValueError as error:
-        log.error("bad_configuration", error=str(error))
-        return 2
-    failed: list[int] = []
-    # What a callback raises and nobody catches is logged like the rest, on a line of its own.
-    observer: Any = lambda event: _twisted_event(log, event)  # noqa: E731
-    globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
-
-    def cannot_start(failure: Any) -> None:  # an address in use, say: there is nothing to serve
-        log.error("cannot_start", error=repr(failure.value))
-        failed.append(1)
-        reactor.stop()
-
-    def up() -> None:
-        maybeDeferred(head.start).addErrback(cannot_start)
-        gc.collect()
-        gc.freeze()
-
-    head.stopped.addCallback(lambda _: reactor.callLater(0, reactor.stop))
-    reactor.callWhenRunning(up)
-    reactor.run(installSignalHandlers=False)
-    return failed[0] if failed else 0
--- a/gaugesail/buffers.py
+++ b/gaugesail/buffers.py
@@ -24,12 +24,14 @@
         self._free.clear()
 
     def take(self) -> bytearray:
+        """One buffer.  Raises PoolEmpty where the limit is reached."""
         if self.out >= self.limit:
             raise PoolEmpty(f"{self.out} buffers of {self.size} bytes are in use")
         self.out += 1
         return self._free.pop() if self._free else bytearray(self.size)
 
     def give(self, buffer: bytearray) -> None:
+        """A buffer that ``take`` gave is free again."""
         self.out -= 1
         if len(self._free) < self._keep:
             self._free.append(buffer)
@@ -45,6 +47,7 @@
         self._buffers: list[bytearray] = []
 
     def append(self, data: bytes | memoryview) -> None:
+        """Add bytes at the end.  Raises PoolEmpty where the pool has no buffer left."""
         view, size = memoryview(data), self._pool.size
         while view:
             used = self.length % size
@@ -63,6 +66,7 @@
         return bytes(memoryview(joined)[: self.length])
 
     def release(self) -> None:
+        """Give all buffers back; the body is empty afterwards."""
         buffers, self._buffers, self.length = self._buffers, [], 0
         for buffer in buffers:
             self._pool.give(buffer)
--- a/gaugesail/cli.py
+++ b/gaugesail/cli.py
@@ -16,9 +16,11 @@
         self._lazy = lazy or {}
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """The names of all commands, imported or not."""
         return sorted({*super().list_commands(ctx), *self._lazy})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Import a command's module and return the command; None for a name that there is not."""
         if (where := self._lazy.get(cmd_name)) is None:
             return super().get_command(ctx, cmd_name)
         module, _, name = where.partition(":")
--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -42,6 +42,7 @@
 
     @property
     def client_connections(self) -> int:
+        """How many clients may be connected."""
         return self._usable * 65 // 100
 
     @property
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -95,9 +95,11 @@
         self._buffer = bytearray()
 
     def connectionMade(self) -> None:
+        """Twisted: the connection is open."""
         self._handover.connected(self)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
+        """Twisted: a descriptor has come, ahead of the message that says what it is."""
         self.received.append(descriptor)
 
     def take_descriptors(self, count: int) -> list[int]:
@@ -125,6 +127,7 @@
         self.link.write(encode(message))
 
     def dataReceived(self, data: bytes) -> None:
+        """Twisted: bytes have come; each whole line is a message."""
         self._buffer += data
         while (end := self._buffer.find(b"\n")) >= 0:
             line = bytes(self._buffer[:end])
@@ -140,6 +143,7 @@
             self.link.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Twisted: the connection has ended; descriptors that nobody took are closed."""
         for descriptor in (*self.received, *self.unconfirmed):
             os.close(descriptor)
         self.received.clear()
--- a/gaugesail/logs.py
+++ b/gaugesail/logs.py
@@ -35,14 +35,17 @@
         return True
 
     def info(self, event: str, **fields: Any) -> None:
+        """Log at level info, within the rate."""
         if self._may(event):
             self._log.info(event, **fields)
 
     def warning(self, event: str, **fields: Any) -> None:
+        """Log at level warning, within the rate."""
         if self._may(event):
             self._log.warning(event, **fields)
 
     def error(self, event: str, **fields: Any) -> None:
+        """Log at level error, within the rate."""
         if self._may(event):
             self._log.error(event, **fields)
 
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -32,6 +32,7 @@
 
     @property
     def link(self) -> Any:
+        """The transport, untyped: Twisted's interfaces are not known to mypy."""
         return self.transport
 
     def stale(self, clock: Clock) -> bool:
@@ -138,6 +139,7 @@
         link.startWriting()
 
     def resumeProducing(self) -> None:
+        """Twisted: all that was written has left; the first call is the one that registering makes."""
         if self._first:
             self._first = False  # the call that registering makes
             return
@@ -145,9 +147,11 @@
         self._call()
 
     def pauseProducing(self) -> None:
+        """Twisted: nothing to pause."""
         pass
 
     def stopProducing(self) -> None:
+        """Twisted: the connection has ended; nobody is called."""
         pass
 
 
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -185,6 +185,7 @@
     # ---- another process of this head ----
 
     def offer_takeover(self) -> Takeover | None:
+        """What the successor gets: the listening socket and the nodes ever listed."""
         if self._stopping or not self.front.accepting:
             return None
         listed = [node_id.decode(errors="replace") for node_id in self.engine.listed_nodes]
@@ -206,6 +207,7 @@
         raise NotImplementedError
 
     def replaced(self, on: bool) -> None:
+        """The successor serves in place of this process, or has died and this one serves again."""
         self._replaced = on
         if not self._stopping or on:
             self.front.supersede(on)
@@ -225,6 +227,7 @@
             os.close(descriptor)
 
     def follow(self, call: OperatorCall) -> None:
+        """An operator has called the sibling process: that binds this one too."""
         self.operations.follow(call)
 
     # ---- a new configuration ----
