--- /dev/null
+++ b/gaugesail/policy/admission.py
@@ -0,0 +1,120 @@
+"""Which new requests are admitted: they wait for a node, or are sent or rejected at once."""
+
+from __future__ import annotations
+
+from .actions import RejectRequest
+from .events import RequestReceived
+from .gateway_state import GatewayState
+from .node_table import NodeTable
+from .ordered_keys import OrderedKeys
+from .rate_limits import RateLimits
+from .records import PendingRequest
+from .recovery import RecoveryRamp
+from .recovery_queue import QueuePriority
+from .rejections import RejectionReason
+from .request_queue import RequestQueue
+from .settings import Settings
+from .volume_table import VolumeTable
+
+OBJECTIVE_MARGIN_TICKS = 2  # before the client gives up: the latest that an answer is aimed at
+
+
+class Admission:
+    """Takes in the new requests of one gateway."""
+
+    def __init__(
+        self,
+        state: GatewayState,
+        node_table: NodeTable,
+        queue: RequestQueue,
+        ordered_keys: OrderedKeys,
+        volumes: VolumeTable,
+        rate_limits: RateLimits,
+        recovery: RecoveryRamp,
+    ) -> None:
+        self._state = state
+        self._node_table = node_table
+        self._queue = queue
+        self._ordered_keys = ordered_keys
+        self._volumes = volumes
+        self._rate_limits = rate_limits
+        self._recovery = recovery
+        self._not_waiting: list[PendingRequest] = []  # of this batch: sent in it or rejected
+
+    def receive(self, event: RequestReceived) -> None:
+        """Take in a new request: it waits for a node, or has its final answer at once."""
+        state = self._state
+        if event.shard >= 0 and event.shard not in self._node_table.shards:
+            # A record made on the word of a client would let clients fill the memory.
+            self._recovery.count_rejection(RejectionReason.UNLISTED_SHARD.value, "none")
+            state.actions.append(RejectRequest(event.request_id, state.settings.longest_retry_after_us))
+            return
+        self._rate_limits.record_request(state.now)
+        request = self._open(event)
+        self._node_table.shards[request.shard].arrivals[request.class_index] += 1
+        self._recovery.request_received(state.now, request, event)
+        if not self._may_wait(request):
+            self._not_waiting.append(request)
+        self._queue.enqueue(request)
+        if request.objective_at <= state.now + state.tick_us:
+            # The next look at the queues may come after the client has given up.
+            self._queue.reject(request, RejectionReason.TOO_LATE)
+
+    def _open(self, event: RequestReceived) -> PendingRequest:
+        settings = event.settings or self._state.settings
+        request_class = settings.classes[event.class_index]
+        position = self._state.class_positions[request_class.name]
+        volume = self._volumes.open(event, settings)
+        objective_at = self._objective_at(event, settings, position)
+        ordered = request_class.ordered and event.key
+        ordered_key = self._ordered_keys.open(event.key) if ordered else None
+        any_shard = event.shard < 0
+        request = PendingRequest(
+            request_id=event.request_id,
+            class_index=position,
+            request_class=request_class,
+            volume=volume,
+            shard=self._queue.choose_shard(position) if any_shard else event.shard,
+            any_shard=any_shard,
+            units=event.units,
+            received_at=event.received_us or self._state.now,
+            objective_at=objective_at,
+            deadline_at=event.deadline_us,
+            ordered_key=ordered_key,
+            max_attempts=settings.max_attempts,
+        )
+        self._queue.pending[request.request_id] = request
+        if ordered_key is not None:
+            ordered_key.pending.append(request)
+        return request
+
+    def _objective_at(self, event: RequestReceived, settings: Settings, position: int) -> int:
+        """When the latency objective of a request ends, in microseconds.
+
+        It is counted from the client's first request for the same: a retry has less time than its class.
+        """
+        request_class = settings.classes[event.class_index]
+        received_at = event.received_us or self._state.now
+        earliest = event.deadline_us - request_class.deadline_us
+        first_received_at = self._recovery.first_received_at(received_at, event, position, earliest)
+        return min(
+            first_received_at + request_class.latency_objective_us,
+            event.deadline_us - OBJECTIVE_MARGIN_TICKS * self._state.tick_us,
+        )
+
+    def _may_wait(self, request: PendingRequest) -> bool:
+        """Whether a request may wait; else it is sent in this batch, or rejected at its end."""
+        if self._recovery.unavailable_for_long(self._state.now, request.shard):
+            # One request may wait, to try the failing node.
+            shard = self._node_table.shards[request.shard]
+            node = shard.node
+            return node is not None and not any(shard.waiting) and not node.in_flight
+        return request.queue_priority >= QueuePriority.FRESH
+
+    def end_batch(self) -> None:
+        """Reject the requests of this batch that may not wait and were not sent."""
+        requests = self._not_waiting
+        self._not_waiting = []
+        for request in requests:
+            if not (request.in_flight or request.finished or request.attempts):
+                self._queue.reject(request, RejectionReason.RETRY_TOO_EARLY)
--- /dev/null
+++ b/gaugesail/policy/attempt_results.py
@@ -0,0 +1,97 @@
+"""What the end of an attempt means: for the node, for its ordered key, and for the request."""
+
+from __future__ import annotations
+
+from .congestion_window import SLOW_START_WINDOW
+from .events import AttemptEnded, AttemptResult
+from .gateway_state import GatewayState
+from .node_table import NodeTable
+from .ordered_keys import OrderedKeys
+from .outlier_detection import POSSIBLY_EXECUTED, OutlierDetector, is_cut_short, is_lost_alone
+from .records import TIERS, NodeRecord, PendingRequest
+from .recovery import RecoveryRamp
+from .rejections import RejectionReason
+from .request_queue import RequestQueue
+from .slow_start import SlowStart
+
+
+class AttemptResults:
+    """Takes in the ends of attempts for one gateway."""
+
+    def __init__(
+        self,
+        state: GatewayState,
+        node_table: NodeTable,
+        queue: RequestQueue,
+        ordered_keys: OrderedKeys,
+        slow_start: SlowStart,
+        recovery: RecoveryRamp,
+        outliers: OutlierDetector,
+    ) -> None:
+        self._state = state
+        self._node_table = node_table
+        self._queue = queue
+        self._ordered_keys = ordered_keys
+        self._slow_start = slow_start
+        self._recovery = recovery
+        self._outliers = outliers
+
+    def ended(self, event: AttemptEnded) -> None:
+        """Take in the end of an attempt; one that is not in flight at that node changes nothing."""
+        node = self._node_table.nodes.get(event.node_id)
+        if node is None:
+            return
+        request = node.in_flight.pop((event.request_id, event.attempt), None)
+        if request is None:
+            return
+        self._node_table.mark_changed(node.shard)
+        request.in_flight = False
+        self._update_node(node, request, event)
+        if event.result in POSSIBLY_EXECUTED and request.possibly_executed_at is None:
+            request.possibly_executed_at = request.sent_at
+            request.possibly_executed_zone = node.zone
+        if request.ordered_key is not None:
+            self._ordered_keys.attempt_ended(request.ordered_key, request, event.result)
+        if not request.finished:
+            self._continue(request, event)
+
+    def _update_node(self, node: NodeRecord, request: PendingRequest, event: AttemptEnded) -> None:
+        result = event.result
+        cut_short = is_cut_short(node, request, event)
+        blameless = cut_short or is_lost_alone(node, request, result)
+        if self._recovery.attempt_ended(self._state.now, request, result, blameless):
+            node.windows = [SLOW_START_WINDOW] * TIERS
+        node.class_in_flight[request.class_index] -= 1
+        self._pace(node, event.elapsed_us)
+        # What timed out took at least that long.
+        if result is AttemptResult.SERVED or (result is AttemptResult.TIMEOUT and not cut_short):
+            node.latency_sums[request.class_index] += event.elapsed_us
+            node.latency_counts[request.class_index] += 1
+        if result is AttemptResult.SERVED:
+            self._outliers.record_success(node, request)
+            self._slow_start.record_served(node, request.sent_at, request.units)
+            request.volume.reserve_units -= event.served_elsewhere_units
+        elif not blameless:
+            self._outliers.record_failure(node, result)
+
+    def _pace(self, node: NodeRecord, elapsed_us: int) -> None:
+        """Leave a gap after an attempt where a window is under one request: by Little's law the gap and the
+        attempt together keep the window in flight on average.
+        """
+        now = self._state.now
+        node.paced_until = [now + int(elapsed_us * max(0.0, 1 / window - 1)) for window in node.windows]
+
+    def _continue(self, request: PendingRequest, event: AttemptEnded) -> None:
+        """An attempt of an open request has ended: the request is finished, or waits for another attempt."""
+        state = self._state
+        if event.request_finished:
+            request.in_flight = True  # it waits in no queue
+            self._queue.forget(request)
+            return
+        if request.any_shard and request.possibly_executed_at is None:
+            request.shard = self._queue.choose_shard(request.class_index)
+        request.not_before = state.retry_policy.next_attempt_at(state.now)
+        self._queue.enqueue(request)
+        never_sent = event.result is AttemptResult.NOT_STARTED
+        if never_sent or not state.retry_policy.allows_attempt(request, state.now):
+            self._queue.reject(request, RejectionReason.RETRY_NOT_ALLOWED)
--- /dev/null
+++ b/gaugesail/policy/congestion_window.py
@@ -0,0 +1,120 @@
+"""How many requests may be in flight at a node, and for which classes (docs/design.md, "The decisions").
+
+Once a control period the FAST TCP rule moves each congestion window toward the latency targets: it shrinks
+while answers take longer than the targets and grows while they take less.  The slots of the first window
+are then split among the request classes: each goes to the class whose response time, forecast by Little's
+law, is the furthest over its objective.  The rule, its gain and its smoothing are those of the paper that
+docs/design.md describes, which also lists where the settings depart from it.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from .gateway_state import GatewayState
+from .records import NodeRecord, ShardRecord
+from .recovery import RecoveryRamp
+
+CONTROL_PERIOD_US = 250_000
+LATENCY_SMOOTHING = 0.002  # weight of the old value in the smoothed latency of a class
+WINDOW_GAIN = 0.8  # r of the window rule
+BASE_LATENCY_DRIFT = 1.15  # growth a period of the least latency seen, so that an old one is forgotten
+INITIAL_WINDOW = 4.0  # requests in flight, by gateway and node
+SLOW_START_WINDOW = 1.0  # requests in flight at a node that is warming up, or was just ejected
+MAX_WINDOW = 4.0  # requests in flight: several gateways share the few slots of a node
+
+
+class LatencySums(NamedTuple):
+    """Sums over the classes that were answered in a period, in microseconds."""
+
+    target: float
+    smoothed: float
+    base: float
+
+
+class CongestionWindows:
+    """Moves and splits the congestion windows of one gateway."""
+
+    def __init__(self, state: GatewayState, recovery: RecoveryRamp) -> None:
+        self._state = state
+        self._recovery = recovery
+
+    def end_period(self, shard: ShardRecord) -> None:
+        """Move the windows of the shard's node by the period that ends now, and begin the next period."""
+        node = shard.node
+        if node is not None:
+            sums = self._smooth_latencies(node)
+            if sums.smoothed:
+                self._move_windows(node, sums)
+            self._split_slots(shard, node)
+            node.latency_sums = [0.0] * len(node.latency_sums)
+            node.latency_counts = [0] * len(node.latency_sums)
+            node.peak_in_flight = len(node.in_flight)
+        shard.previous_queue_lengths = [len(requests) for requests in shard.waiting]
+        shard.arrivals = [0] * len(shard.arrivals)
+
+    def _smooth_latencies(self, node: NodeRecord) -> LatencySums:
+        target = smoothed = base = 0.0
+        targets = self._state.latency_targets_us
+        for position, count in enumerate(node.latency_counts):
+            if not count:
+                continue
+            latest = node.latency_sums[position] / count
+            node.latency_us[position] = (
+                1 - LATENCY_SMOOTHING
+            ) * latest + LATENCY_SMOOTHING * node.latency_us[position]
+            node.base_latency_us[position] = min(
+                targets[position], latest, node.base_latency_us[position] * BASE_LATENCY_DRIFT
+            )
+            target += targets[position]
+            smoothed += node.latency_us[position]
+            base += node.base_latency_us[position]
+        return LatencySums(target, smoothed, base)
+
+    def _move_windows(self, node: NodeRecord, sums: LatencySums) -> None:
+        """Move each window by the FAST TCP rule: window * (1 - r + r * goal / latency).
+
+        The goal lies between the least latency seen and the target, the closer to the target the more the
+        tier is worth.
+        """
+        lower_bound, target_share = self._recovery.window_bounds(node.shard, MAX_WINDOW)
+        # Were all gateways at their least window, one request would still be in flight.
+        floor = 1 / self._state.settings.gateway_count
+        for tier, window in enumerate(node.windows):
+            share = min(target_share, self._state.tier_weights[tier])
+            goal = sums.base + (sums.target - sums.base) * share
+            moved = window * (1 - WINDOW_GAIN + WINDOW_GAIN * goal / sums.smoothed)
+            was_filled = node.peak_in_flight >= int(window)
+            if moved < window or was_filled:
+                node.windows[tier] = max(floor, lower_bound, min(MAX_WINDOW, moved))
+
+    def _split_slots(self, shard: ShardRecord, node: NodeRecord) -> None:
+        """Give the slots one by one to the class whose forecast is the furthest over its objective."""
+        node.class_slots = [0] * len(self._state.latency_targets_us)
+        for _ in range(max(1, int(node.windows[0]))):
+            latest_class = 0
+            most_late = -1.0
+            for position in range(len(shard.waiting)):
+                lateness = self._forecast_lateness(shard, node, position)
+                if lateness > most_late:
+                    latest_class = position
+                    most_late = lateness
+            node.class_slots[latest_class] += 1
+
+    def _forecast_lateness(self, shard: ShardRecord, node: NodeRecord, position: int) -> float:
+        """Forecast response time of a class over its objective, with the slots that it has so far.
+
+        By Little's law a request waits for the mean queue over the arrival rate, after what those in the
+        queue have waited on average.
+        """
+        delay = 0.0
+        arrivals = shard.arrivals[position]
+        if arrivals:
+            waiting = shard.waiting[position]
+            served = node.class_slots[position] * CONTROL_PERIOD_US / max(node.latency_us[position], 1)
+            waited = sum(self._state.now - request.received_at for request in waiting) / max(len(waiting), 1)
+            queue_at_end = max(0.0, len(waiting) + arrivals - served)
+            mean_queue = (queue_at_end + shard.previous_queue_lengths[position]) / 2
+            delay = mean_queue / arrivals * CONTROL_PERIOD_US + waited
+        target = self._state.latency_targets_us[position]
+        return (delay + target) / self._state.latency_objectives_us[position]
--- /dev/null
+++ b/gaugesail/policy/dispatch.py
@@ -0,0 +1,158 @@
+"""Which waiting request is sent to a node next.
+
+While a node has room, the request with the highest rank that nothing holds back is sent.  Rank goes by the
+recovery queue of the shard where there is one, then by the slots of the classes, then by priority weight,
+then by the earlier objective.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .actions import StartAttempt
+from .gateway_state import GatewayState
+from .outlier_detection import OutlierDetector
+from .priority import priority_weight, volume_tier
+from .rate_limits import RateLimits
+from .records import TIERS, NodeRecord, PendingRequest, ShardRecord
+from .recovery import RecoveryRamp
+from .settings import DeduplicationScope
+from .slow_start import SlowStart
+from .volume_table import VolumeTable
+
+if TYPE_CHECKING:
+    Rank = tuple[int, bool, float, float]
+
+LOWEST_RANK: Rank = (-2, False, -1.0, 0)  # below that of any request
+
+
+class Dispatcher:
+    """Sends the waiting requests of one gateway."""
+
+    def __init__(
+        self,
+        state: GatewayState,
+        volumes: VolumeTable,
+        rate_limits: RateLimits,
+        slow_start: SlowStart,
+        recovery: RecoveryRamp,
+        outliers: OutlierDetector,
+    ) -> None:
+        self._state = state
+        self._volumes = volumes
+        self._rate_limits = rate_limits
+        self._slow_start = slow_start
+        self._recovery = recovery
+        self._outliers = outliers
+
+    def dispatch(self, shard: ShardRecord) -> None:
+        """Send what may be sent to the node of a shard now."""
+        node = shard.node
+        if node is None or not any(shard.waiting):
+            return
+        while any(room := self.tiers_with_room(node)):
+            is_crowded = self._recovery.is_crowded(node.shard)
+            capacity_units, free_units = self._slow_start.capacity(
+                self._state.now, node, self._state.process_count, is_crowded
+            )
+            request = self._choose(shard, node, room, free_units)
+            if request is None:
+                message = self._slow_start.request_share(self._state.now, node, capacity_units)
+                if message is not None:
+                    self._state.actions.append(message)
+                return
+            self._send(request, shard, node)
+
+    def tiers_with_room(self, node: NodeRecord) -> list[bool]:
+        """For each tier, whether a request of it may be sent to a node now."""
+        now = self._state.now
+        stuck = self._outliers.stuck_requests(node)
+        is_ejected = self._outliers.is_ejected(node, stuck)
+        in_flight = len(node.in_flight) - len(stuck)
+        may_send = self._recovery.may_send(now, node.shard, len(node.in_flight))
+        room = []
+        for tier in range(TIERS):
+            limit = 1 if is_ejected else max(1, int(node.windows[tier]))
+            paused = now < max(node.backoff_until, node.paced_until[tier])
+            room.append(may_send and in_flight < limit and not paused)
+        return room
+
+    def _choose(
+        self, shard: ShardRecord, node: NodeRecord, room: list[bool], free_units: float
+    ) -> PendingRequest | None:
+        """The request with the highest rank that may be sent to the node, if there is one."""
+        state = self._state
+        is_ordered = self._recovery.ordering_queue(node.shard) is not None
+        best = LOWEST_RANK
+        chosen = None
+        for position, waiting in enumerate(shard.waiting):
+            has_slot = node.class_in_flight[position] < node.class_slots[position]
+            for request in waiting:
+                self._volumes.refill(request.volume)
+                tier = volume_tier(request)
+                queue_priority = self._recovery.priority(request) if is_ordered else 0
+                weight = priority_weight(state, request, node, tier)
+                rank = (queue_priority, has_slot, weight, -request.objective_at)
+                if room[tier] and rank > best and not self._is_blocked(request, node, free_units):
+                    best = rank
+                    chosen = request
+        return chosen
+
+    def _is_blocked(self, request: PendingRequest, node: NodeRecord, free_units: float) -> bool:
+        """Whether something other than the windows holds a request back now."""
+        now = self._state.now
+        if request.not_before > now or request.units > free_units:
+            return True
+        ordered_key = request.ordered_key
+        if ordered_key is not None and ordered_key.blocks(request, now):
+            return True
+        if request.attempts == 0:
+            volume = request.volume
+            return bool(volume.plan.limit) and request.units > volume.limit_bucket.units
+        if self._is_outside_zone(request, node):
+            return True
+        return not self._rate_limits.retry_allowed(now, self._state.process_count)
+
+    @staticmethod
+    def _is_outside_zone(request: PendingRequest, node: NodeRecord) -> bool:
+        """Whether a possibly executed request would go to a zone that does not drop it as a duplicate."""
+        if request.possibly_executed_at is None:
+            return False
+        by_zone = request.request_class.deduplication_scope is DeduplicationScope.ZONE
+        return by_zone and node.zone != request.possibly_executed_zone
+
+    def _send(self, request: PendingRequest, shard: ShardRecord, node: NodeRecord) -> None:
+        state = self._state
+        shard.waiting[request.class_index].remove(request)
+        self._recovery.left_queue(request)
+        timeout_us = state.retry_policy.attempt_timeout_us(
+            request, state.latency_targets_us[request.class_index], self._recovery.timeout_factor(request)
+        )
+        if request.attempts == 0:
+            self._volumes.spend(request)
+        else:
+            self._rate_limits.record_retry(state.now)
+        start_before = state.retry_policy.start_before(request)
+        state.actions.append(StartAttempt(request.request_id, node.node_id, timeout_us, start_before))
+        self._record_sent(request, node)
+
+    def _record_sent(self, request: PendingRequest, node: NodeRecord) -> None:
+        now = self._state.now
+        node.in_flight[(request.request_id, request.attempts)] = request
+        node.class_in_flight[request.class_index] += 1
+        node.peak_in_flight = max(node.peak_in_flight, len(node.in_flight))
+        self._slow_start.record_sent(now, node, request.units)
+        request.attempts += 1
+        request.in_flight = True
+        request.sent_at = now
+        if request.ordered_key is not None:
+            request.ordered_key.in_flight += 1
+
+    def give_spare_share(self, shard: ShardRecord) -> None:
+        """Give what is not needed here of a node's slow start to a gateway that has asked for it."""
+        node = shard.node
+        if node is None or not node.share_requesters or node.warming_since is None:
+            return
+        message = self._slow_start.give_share(self._state.now, shard, node, self._state.process_count)
+        if message is not None:
+            self._state.actions.append(message)
--- /dev/null
+++ b/gaugesail/policy/queue_check.py
@@ -0,0 +1,82 @@
+"""Which of the requests that wait are rejected, looked at once a tick.
+
+A request that would not be served in time is rejected as soon as that is known: until it is answered it
+holds a connection of its client.
+"""
+
+from __future__ import annotations
+
+from .congestion_window import MAX_WINDOW
+from .gateway_state import GatewayState
+from .node_table import NodeTable
+from .priority import priority_weight, volume_tier
+from .records import NodeRecord, PendingRequest, ShardRecord
+from .rejections import RejectionReason
+from .request_queue import RequestQueue
+from .volume_table import VolumeTable
+
+
+class QueueCheck:
+    """Looks at the queues of one gateway."""
+
+    def __init__(
+        self, state: GatewayState, node_table: NodeTable, queue: RequestQueue, volumes: VolumeTable
+    ) -> None:
+        self._state = state
+        self._node_table = node_table
+        self._queue = queue
+        self._volumes = volumes
+
+    def run(self) -> None:
+        """Reject what waits in vain; move what another shard may serve."""
+        for number, shard in list(self._node_table.shards.items()):
+            for request in [request for waiting in shard.waiting for request in waiting]:
+                self._check(request, shard)
+            for request in self._overflow(shard):
+                self._queue.reject(request, RejectionReason.QUEUE_TOO_LONG)
+            if any(shard.waiting):
+                self._node_table.mark_changed(number)
+
+    def _check(self, request: PendingRequest, shard: ShardRecord) -> None:
+        reason = self._rejection_reason(request, shard)
+        if reason is not None:
+            self._queue.reject(request, reason)
+        elif request.any_shard and request.possibly_executed_at is None and shard.node is None:
+            self._queue.move(request)
+
+    def _rejection_reason(self, request: PendingRequest, shard: ShardRecord) -> RejectionReason | None:
+        now = self._state.now
+        if shard.in_maintenance and not request.any_shard:
+            return RejectionReason.IN_MAINTENANCE
+        if now >= request.start_by:
+            return RejectionReason.OBJECTIVE_MISSED
+        if request.attempts and not self._state.retry_policy.allows_attempt(request, now):
+            return RejectionReason.RETRY_NOT_ALLOWED
+        return None
+
+    def _overflow(self, shard: ShardRecord) -> list[PendingRequest]:
+        """The requests that are behind more than can be sent before their objective, by Little's law."""
+        node = shard.node
+        queue_length = sum(map(len, shard.waiting))
+        if node is None or queue_length <= MAX_WINDOW:
+            return []
+        latency_us = sum(node.latency_us) / len(node.latency_us)
+        overflow = []
+        for ahead, (tier, request) in enumerate(self._by_priority(shard, node)):
+            time_left_us = max(0, request.objective_at - self._state.now)
+            sent_in_time = node.windows[tier] * (1 + time_left_us / latency_us)
+            if ahead > sent_in_time:
+                overflow.append(request)
+        return overflow
+
+    def _by_priority(self, shard: ShardRecord, node: NodeRecord) -> list[tuple[int, PendingRequest]]:
+        """The requests of a queue, each with its tier, in the order in which they would be sent."""
+        ranked: list[tuple[float, int, int, int, PendingRequest]] = []
+        for waiting in shard.waiting:
+            for request in waiting:
+                self._volumes.refill(request.volume)
+                tier = volume_tier(request)
+                weight = priority_weight(self._state, request, node, tier)
+                ranked.append((weight, -request.objective_at, -request.request_id, tier, request))
+        ranked.sort(reverse=True)
+        return [(tier, request) for _, _, _, tier, request in ranked]
--- /dev/null
+++ b/gaugesail/policy/request_queue.py
@@ -0,0 +1,76 @@
+"""The requests that this gateway still owes a final answer, and the queues in which they wait for a node."""
+
+from __future__ import annotations
+
+from .actions import FailRequest, RejectRequest
+from .events import ClientDisconnected
+from .gateway_state import GatewayState
+from .node_table import NodeTable
+from .ordered_keys import OrderedKeys
+from .records import PendingRequest
+from .recovery import RecoveryRamp
+from .rejections import RejectionReason
+from .routing import Router
+
+
+class RequestQueue:
+    """The open requests of one gateway, by request id, and where they wait."""
+
+    def __init__(
+        self,
+        state: GatewayState,
+        node_table: NodeTable,
+        ordered_keys: OrderedKeys,
+        recovery: RecoveryRamp,
+        router: Router,
+    ) -> None:
+        self._state = state
+        self._node_table = node_table
+        self._ordered_keys = ordered_keys
+        self._recovery = recovery
+        self._router = router
+        self.pending: dict[int, PendingRequest] = {}
+
+    def choose_shard(self, class_index: int) -> int:
+        """The shard that a new object of a class goes to; ``routing.NOWHERE`` without any node."""
+        return self._router.choose(self._state.now, self._node_table.shards, class_index)
+
+    def enqueue(self, request: PendingRequest) -> None:
+        """A request waits for the node of its shard."""
+        self._node_table.shards[request.shard].waiting[request.class_index].append(request)
+        self._node_table.mark_changed(request.shard)
+
+    def move(self, request: PendingRequest) -> None:
+        """A request that any shard may take waits for the node of another shard."""
+        self._node_table.shards[request.shard].waiting[request.class_index].remove(request)
+        request.shard = self.choose_shard(request.class_index)
+        self.enqueue(request)
+
+    def client_disconnected(self, event: ClientDisconnected) -> None:
+        """The client left; attempts in flight go on."""
+        request = self.pending.get(event.request_id)
+        if request is not None:
+            self._recovery.client_disconnected(self._state.now, request)
+            self.forget(request)
+
+    def forget(self, request: PendingRequest) -> None:
+        """A request is finished; what it has in flight stays in the record of the node."""
+        request.finished = True
+        request.volume.open_requests -= 1
+        del self.pending[request.request_id]
+        if not request.in_flight:
+            self._node_table.shards[request.shard].waiting[request.class_index].remove(request)
+            self._recovery.left_queue(request)
+        if request.ordered_key is not None:
+            self._ordered_keys.remove(request.ordered_key, request)
+
+    def reject(self, request: PendingRequest, reason: RejectionReason) -> None:
+        """Give a request with nothing in flight its final answer: rejected, or failed if that is not safe."""
+        state = self._state
+        node = self._node_table.shards[request.shard].node
+        retry_after_us = self._recovery.reject(state.now, request, reason.value, node)
+        if state.retry_policy.may_reject(request):
+            state.actions.append(RejectRequest(request.request_id, retry_after_us))
+        else:
+            state.actions.append(FailRequest(request.request_id))
+        self.forget(request)
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -45,7 +45,7 @@
 
 
 def latest(rig: Turned) -> Turned:
-    rig.head.engine._gateway.rng = LatestDraw()
+    rig.head.engine._gateway.state.random = LatestDraw()
     return rig
 
 
@@ -503,7 +503,7 @@
         self.log = io.StringIO()
         self.head = Head(self.head_reactor, configuration.read(self.config, {}), make_logger(self.log), clock)
         if seed % 2:
-            self.head.engine._gateway.rng = LatestDraw()
+            self.head.engine._gateway.state.random = LatestDraw()
         self.head.start()
 
     def buildProtocol(self, address: Any) -> Caller:
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -227,7 +227,7 @@
 def test_a_volume_named_with_another_plan_or_other_hosts_is_another_book() -> None:
     rig = Driver(gateway_driver.settings(overload_window_us=0))
     rig.ask(volume_id=7, plan_index=0, gateways_in_use=2.0)
-    book = rig.gateway.volumes[7, "small", 2.0]
+    book = rig.gateway.volumes.budgets[7, "small", 2.0]
     left = book.reserve_units, book.share_units, book.plan, book.gateways_in_use
     for _ in range(20):
         rig.ask(volume_id=7, plan_index=1, gateways_in_use=2.0, units=6.0)
@@ -287,7 +287,8 @@
 
 
 def room(rig: Driver, book: NodeRecord) -> float:
-    return rig.gateway.slow_start.capacity(rig.gateway.now, book, rig.gateway.process_count, False)[1]
+    state = rig.gateway.state
+    return rig.gateway.slow_start.capacity(state.now, book, state.process_count, False)[1]
 
 
 def test_two_processes_of_a_gateway_share_what_is_rationed() -> None:
@@ -300,15 +301,16 @@
     half = room(rig, book)
     rig.feed(SiblingProcessChanged(False))
     assert room(rig, book) == half, "what the other has sent counts for a window yet"
-    capped = rig.gateway._volume(RequestReceived(99, 0, 0, plan_index=1, volume_id=5), rig.gateway.settings)
+    request = RequestReceived(99, 0, 0, plan_index=1, volume_id=5)
+    capped = rig.gateway.volumes.open(request, rig.gateway.state.settings)
     capped.limit_bucket.units = 0.0
     rig.pass_time(SEC // 10)
     rig.feed()
-    rig.gateway._refill(capped)
+    rig.gateway.volumes.refill(capped)
     assert capped.limit_bucket.units == 1.0, "half of 20 a second"
     rig.pass_time(2 * SEC)
     rig.feed()
-    assert rig.gateway.process_count == 1 and room(rig, book) > 2 * half
+    assert rig.gateway.state.process_count == 1 and room(rig, book) > 2 * half
 
 
 def test_a_first_broken_connection_is_its_own_fault_and_a_second_one_the_nodes() -> None:
@@ -318,8 +320,10 @@
         rig.ask()
     first, second, third = rig.out
     rig.answer(first, AttemptResult.RESET)
-    assert book.backoff_until <= rig.now and rig.gateway._room(book, 0), "no pause, no single trials"
+    assert book.backoff_until <= rig.now and rig.gateway.dispatcher.tiers_with_room(book)[0], (
+        "no pause, no single trials"
+    )
     rig.answer(second, AttemptResult.RESET)
-    assert book.backoff_until > rig.now and not rig.gateway._room(book, 0)
+    assert book.backoff_until > rig.now and not rig.gateway.dispatcher.tiers_with_room(book)[0]
     rig.answer(third)
     assert not book.consecutive_failures
--- a/tests/policy/test_rejections.py
+++ b/tests/policy/test_rejections.py
@@ -22,7 +22,7 @@
 
 def test_what_has_no_time_left_is_counted_at_a_warm_node() -> None:
     rig = Driver(gateway_driver.settings(), nodes=2)
-    tick = rig.gateway.tick_us
+    tick = rig.gateway.state.tick_us
     number = rig.ask(0, shard=0, give_up=2 * tick + tick // 2)
     assert isinstance(rig.answers[number], RejectRequest)
     assert rig.gateway.recovery.rejections == {"refused_too_late_warm": 1}
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -64,7 +64,7 @@
     counts = Counter[bytes]()
     for seed in range(200):
         made = gateway(seed)
-        made.nodes[b"n0"].latency_us = [10 * made.latency_targets_us[0]]
+        made.nodes[b"n0"].latency_us = [10 * made.state.latency_targets_us[0]]
         made.nodes[b"n1"].consecutive_failures = 4
         counts[placed(made, 1, NOW + 1)] += 1
     assert counts[b"n0"] + counts[b"n1"] < 0.06 * 200
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -68,14 +68,14 @@
 
 def drops(head: Gateway) -> None:
     """What was sent is forgotten with the book of a node that a list has dropped."""
-    listed = head._list
+    update = head.node_table.update
 
     def heard(event: EndpointList) -> None:
         if event.kind is EndpointListKind.FULL:
             head.slow_start._unserved.clear()
-        listed(event)
+        update(event)
 
-    head.handlers[EndpointList] = heard
+    head.node_table.update = heard  # type: ignore[method-assign]
 
 
 def sound(head: Gateway) -> None:
