--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -58,7 +58,7 @@
 
 def old_life(head: Gateway) -> None:
     """A new life takes its part at once, as if no earlier one had spent it."""
-    head.cold._born = 0
+    head.cold._started_at = 0
 
 
 def forgets(head: Gateway) -> None:
