--- a/gaugesail/coordination/consensus.py
+++ b/gaugesail/coordination/consensus.py
@@ -123,7 +123,7 @@
         self._seats = [(self.snapshot.index, self.snapshot.voters)]
         for place, entry in enumerate(self.log, self.snapshot.index + 1):
             if isinstance(entry.command, ReplaceVoters):
-                self._seats.append((place, entry.command.seats))
+                self._seats.append((place, entry.command.voters))
         self._heard_at = self.now - ELECTION_US
         self._rest(self.now)
 
@@ -334,7 +334,7 @@
         self.log.append(LogEntry(self.term, command))
         self._first = self.last_index if self._first is None else min(self._first, self.last_index)
         if isinstance(command, ReplaceVoters):
-            self._seats.append((self.last_index, command.seats))
+            self._seats.append((self.last_index, command.voters))
 
     def _arrange(self, now: int) -> None:
         """Progress for each other seat, and for no one else."""
@@ -522,7 +522,7 @@
         self.log.append(entry)
         self._first = place if self._first is None else min(self._first, place)
         if isinstance(entry.command, ReplaceVoters):
-            self._seats.append((place, entry.command.seats))
+            self._seats.append((place, entry.command.voters))
 
     def _install(self, now: int, told: InstallSnapshot) -> None:
         if told.term < self.term:
--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -163,7 +163,7 @@
             number=number,
             session=self.session,
             terms_digest=self._digest,
-            store=self._floor.store,
+            store_id=self._floor.store,
             limits=self._stated_limits,
             floor_slot=self.floor.slot,
             floor_version=self.floor.limits_version,
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -112,7 +112,7 @@
             self._respond(sender, request, LeaseStatus.LEFT)
         else:
             self._opening[request.process] = request
-            self._proposals.propose_once(OpenSession(sender, request.process, request.store))
+            self._proposals.propose_once(OpenSession(sender, request.process, request.store_id))
 
     def _request_of_session(self, now: int, sender: str, session: Session, request: LeaseRequest) -> None:
         lease = self.leases[session.number]
--- a/gaugesail/coordination/lease_messages.py
+++ b/gaugesail/coordination/lease_messages.py
@@ -1,4 +1,7 @@
-"""How a gateway renews its lease and hears of its quota (lease_holder.py, lease_manager.py)."""
+"""How a gateway renews its lease and hears of its quota (lease_holder.py, lease_manager.py).
+
+Rates are thousandths of a unit a second, bursts and requests thousandths of a unit.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,19 @@
 
 
 class QuotaDemand(Record, frozen=True, tag="Demand"):
-    """What a head wants of an amount, what a unit is worth there in thousandths, and what it has used lately;
-    rate 0: it wants nothing."""
+    """What a gateway wants of one quota."""
 
     quota_name: str
-    rate: int
-    priority_weight: int
-    used: int = 0
+    rate: int  # 0: it wants nothing
+    priority_weight: int  # of one unit, in thousandths
+    used: int = 0  # rate at which it has spent lately
 
 
 class HeldQuota(Record, frozen=True, tag="Held"):
-    """What a holder's book says of a part: ``version`` is the latest entry that it has taken in."""
+    """What a holder spends by of one quota."""
 
     quota_name: str
-    version: int
+    version: int  # index of the latest entry of this allocation that it knows
     rate: int
     burst: int
 
@@ -30,59 +32,58 @@
     """A holder renews its lease, and tells what has changed."""
 
     process: int
-    number: int
+    number: int  # goes up by one
     session: int  # 0: it has none
     terms_digest: str
-    store: str
-    limits: tuple[tuple[str, int, int], ...]  # by its own file
-    floor_slot: int  # of its floor; -1: none
-    floor_version: int  # version of the wholes that its floor goes by
-    max_request: int  # the largest request
-    fleet: str  # whose the session is
+    store_id: str  # "": it has no store
+    limits: tuple[tuple[str, int, int], ...]  # plan, rate and burst, by its own file
+    floor_slot: int  # -1: none
+    floor_version: int  # of the limits that its floor goes by
+    max_request: int  # its largest request
+    fleet: str  # that the session is of
     last_seen_index: int  # the latest entry of that fleet's log that it has heard of
-    demands: tuple[QuotaDemand, ...] = ()
-    held: tuple[HeldQuota, ...] = ()
-    leaving: bool = False
+    demands: tuple[QuotaDemand, ...] = ()  # those that have changed
+    held: tuple[HeldQuota, ...] = ()  # those that have changed
+    leaving: bool = False  # it gives up its session
 
 
 class LeaseStatus(IntEnum):
-    """What became of an ask."""
+    """What became of a request."""
 
     RENEWED = 0
     UNKNOWN_SESSION = 1  # the session is over, or was never opened
     NOT_LEADER = 2  # ask the gateway that is named, if any
     TERMS_DIFFER = 3  # the two files differ in the terms of the fleet
-    LEFT = 4
+    LEFT = 4  # the session is being closed, as the holder asked
 
 
 class QuotaOrder(Record, frozen=True, tag="Order"):
-    """One part of the session that is told: by entry ``version`` it may be so much; ``lower`` asks for a
-    release down to that."""
+    """One allocation of the session that is told."""
 
     quota_name: str
-    version: int
+    version: int  # index of the entry that made it
     rate: int
     burst: int
-    release: bool = False
+    release: bool = False  # the holder is asked to come down to these
 
 
 class LeaseResponse(Record, frozen=True, tag="Answer"):
-    """To one ask.  Only RENEWED lets the holder spend, from when it sent that ask."""
+    """To one request.  Only RENEWED lets the holder spend, from when it sent that request."""
 
     process: int
-    number: int
+    number: int  # of the request
     status: LeaseStatus
     session: int = 0
     term: int = 0
-    leader: str = ""
+    leader: str = ""  # "": not known
     floor_slot: int = -1
-    limits_version: int = 0  # of the wholes below
-    limits: tuple[tuple[str, int, int], ...] = ()
+    limits_version: int = 0
+    limits: tuple[tuple[str, int, int], ...] = ()  # plan, rate and burst in force
     fleet: str = ""
 
 
 class QuotaOrders(Record, frozen=True, tag="Orders"):
-    """Parts that have changed, told when they do and again until the holder's book says so."""
+    """Allocations that have changed, sent when they do and repeated until the holder confirms them."""
 
     process: int
     session: int
--- a/gaugesail/coordination/log_commands.py
+++ b/gaugesail/coordination/log_commands.py
@@ -6,60 +6,60 @@
 
 
 class Noop(Record, frozen=True, tag="Noop"):
-    """The first entry of a leader's term; once it is committed, all before it is."""
+    """The first entry of a leader's term: once it is committed, so is every entry before it."""
 
 
 class ReplaceVoters(Record, frozen=True, tag="Seats"):
-    """Who keeps the log from here on: ``name#store`` each, one added or taken away at a time."""
+    """The voters from here on, by replica id (replica_id.py); one is added or removed at a time."""
 
-    seats: tuple[str, ...]
+    voters: tuple[str, ...]
 
 
 class OpenSession(Record, frozen=True, tag="Open"):
-    """A session for one process of a head.  The entry's index is its number; a store may bind a floor."""
+    """Open a session for one process of a gateway.  The entry's index is the session's number."""
 
     gateway: str
     process: int
-    store: str = ""
+    store_id: str = ""  # that a floor is bound to; "": it has no store, and gets no floor
 
 
 class CloseSession(Record, frozen=True, tag="Close"):
-    """A session is over and its parts are free: it left in order, or its lease has surely run out."""
+    """End a session and free its allocations: it has left, or its lease has surely run out."""
 
     session: int
 
 
 class AllocateQuota(Record, frozen=True, tag="Part"):
-    """What one session may spend of one amount, in place of what stood there under ``held``."""
+    """Replace what one session may spend of one quota."""
 
     quota_name: str
     session: int
     rate: int
     burst: int
-    replaced_version: int = 0  # index of the entry that it replaces; 0: there was none
+    replaced_version: int = 0  # index of the entry that it replaces; 0: there is none
 
 
 class SetLimits(Record, frozen=True, tag="Wholes"):
-    """The limit of each plan, as the heads' files say: what is less holds at once, what is more later."""
+    """The limit of each plan, as the gateways' files say: a lower one holds at once, a higher one later."""
 
     limits: tuple[tuple[str, int, int], ...]  # plan, rate, burst
 
 
 class SettleLimits(Record, frozen=True, tag="Settle"):
-    """Whatever was given under the wholes before ``version`` has run out: the whole ones hold now."""
+    """No lease granted under the limits before this version counts any more: the stated ones hold in full."""
 
     limits_version: int
 
 
 class AcknowledgeFloor(Record, frozen=True, tag="FloorAt"):
-    """The holder of a slot spends no more of it than wholes ``version`` allow."""
+    """The holder of a floor slot goes by the limits of this version, and by no older ones."""
 
     floor_slot: int
     limits_version: int
 
 
 class ForgetHead(Record, frozen=True, tag="Forget"):
-    """Operators say that a head is gone for good: its slot is free."""
+    """Operators say that a gateway is gone for good: its floor slot is free."""
 
     gateway: str
 
@@ -78,7 +78,7 @@
 
 
 class LogEntry(Record, frozen=True, tag="Entry"):
-    """One place of the log."""
+    """One entry of the log."""
 
     term: int
     command: Command
--- a/gaugesail/coordination/quota_ledger.py
+++ b/gaugesail/coordination/quota_ledger.py
@@ -47,7 +47,7 @@
     """One gateway's floor, bound to its store for good."""
 
     gateway: str
-    store: str
+    store_id: str
     limits_versions: list[int]  # its holder goes by the limits of one of these, in order
 
 
@@ -167,7 +167,7 @@
     def _open_session(self, index: int, command: OpenSession) -> bool:
         if self.session_of_process(command.process) is not None:
             return False
-        slot = self._assign_floor_slot(command.gateway, command.store) if command.store else NO_SLOT
+        slot = self._assign_floor_slot(command.gateway, command.store_id) if command.store_id else NO_SLOT
         self.sessions[index] = Session(index, command.gateway, command.process, slot)
         return True
 
@@ -176,7 +176,7 @@
         free = NO_SLOT
         for number in range(self.terms.max_gateways):
             slot = self.floor_slots.get(number)
-            if slot is not None and (slot.gateway, slot.store) == (gateway, store):
+            if slot is not None and (slot.gateway, slot.store_id) == (gateway, store):
                 return number
             if slot is None and free == NO_SLOT:
                 free = number
@@ -300,7 +300,7 @@
             for session in self.sessions.values()
         ]
         floor_slots = {
-            number: (slot.gateway, slot.store, slot.limits_versions)
+            number: (slot.gateway, slot.store_id, slot.limits_versions)
             for number, slot in self.floor_slots.items()
         }
         allocations = {
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -169,7 +169,7 @@
                        "floors": ledger.reserved_for_floors(plan)[0] / 1000}
                 for plan, (rate, burst) in sorted(ledger.limits.items())
             },
-            "slots": {n: {"head": slot.gateway, "store": slot.store}
+            "slots": {n: {"head": slot.gateway, "store": slot.store_id}
                       for n, slot in ledger.floor_slots.items()},
             "sessions": [
                 {"session": n, "head": session.gateway, "slot": session.floor_slot}
--- a/gaugesail/fleet/ctl.py
+++ b/gaugesail/fleet/ctl.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .store import StoreBusy, StoreFailed, accept
+from .store import FleetStore, StoreError
 
 PATIENCE_S = 5.0
 STEP_S = 0.2
@@ -180,7 +180,7 @@
     Run it on the machine of the head, before the head is started there.
     """
     try:
-        accept(folder, head)
-    except (StoreBusy, StoreFailed) as error:
+        FleetStore(folder, head).accept_home()
+    except StoreError as error:
         raise click.ClickException(str(error)) from None
     click.echo("it is at home here now")
--- /dev/null
+++ b/gaugesail/fleet/operator_calls.py
@@ -0,0 +1,81 @@
+"""What operators ask of a gateway's fleet at its second address, and how it is answered.
+
+The names of the calls and the keys of their answers are those of operators' scripts, and stay.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+from gaugesail.coordination.messages import ForgetHead
+from gaugesail.coordination.node import FleetNode, StepOutput
+
+from ..core.ports import Clock
+
+Step = Callable[[FleetNode, int], StepOutput]
+Answer = tuple[int, str]  # HTTP status and body
+
+
+class OperatorCalls:
+    """Answers GET members, budgets, link, petitions/N; POST trust-store, forget/NAME.
+
+    ``take_step`` runs one step of the node and carries out what it comes to.
+    """
+
+    def __init__(
+        self, clock: Clock, take_step: Callable[[Step], None], link_counts: Callable[[], dict[str, Any]]
+    ) -> None:
+        self._clock = clock
+        self._take_step = take_step
+        self._link_counts = link_counts
+
+    def answer(self, node: FleetNode | None, method: str, path: list[str]) -> Answer:
+        """One call."""
+        if node is None:
+            return 503, "not in the fleet yet"
+        match method, path:
+            case "GET", ["members"]:
+                return 200, json.dumps(node.view_members(self._clock.now_us()))
+            case "GET", ["budgets"]:
+                return 200, json.dumps(node.view_budgets(self._clock.now_us()))
+            case "GET", ["link"]:
+                return 200, json.dumps(self._link_counts())
+            case "GET", ["petitions", number] if number.isdigit():
+                return 200, json.dumps(_command_result(node, int(number)))
+            case "POST", ["trust-store"]:
+                self._take_step(lambda node, now: node.trust_store(now))
+                return 200, "this store is taken for the latest"
+            case "POST", ["forget", name]:
+                return 202, json.dumps({"petition": self._forget(name)})
+        return _refusal(path)
+
+    def _forget(self, gateway: str) -> int:
+        """Submit the command that a gateway is gone for good; returns its number."""
+        numbers: list[int] = []
+
+        def submit(node: FleetNode, now: int) -> StepOutput:
+            number, output = node.submit_command(now, ForgetHead(gateway))
+            numbers.append(number)
+            return output
+
+        self._take_step(submit)
+        return numbers[0]
+
+
+def _command_result(node: FleetNode, number: int) -> dict[str, Any]:
+    result = node.take_command_result(number)
+    if result is None:
+        return {"known": False}
+    done, why = result
+    return {"known": True, "done": done, "why": why}
+
+
+def _refusal(path: list[str]) -> Answer:
+    match path:
+        case ["members" | "budgets" | "link"] | ["petitions", _]:
+            return 405, "use GET"
+        case ["trust-store"] | ["forget", _]:
+            return 405, "use POST"
+    return 404, "no such call"
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -1,8 +1,8 @@
-"""What a head keeps: its votes, its log, its life and its floor, in one SQLite file that one process holds.
+"""What a gateway persists for its fleet: votes, log, starts and floor, in one SQLite file of one process.
 
-A save is one transaction, on the disk before ``write`` returns.  The file knows where it was made: one that
-lies elsewhere is a copy, and a copy beside its original must not spend the same floor.  What is torn or a
-copy is put aside under another name, never thrown away, and a fresh store is made in its place.
+A write is one transaction, on the disk before ``write`` returns.  The file knows where it was made: one that
+is found elsewhere is a copy, and a copy beside its original must not spend the same floor.  What is damaged
+or a copy is put aside under another name, never deleted, and a fresh store is made in its place.
 """
 
 from __future__ import annotations
@@ -10,212 +10,224 @@
 import secrets
 import socket
 import sqlite3
+from contextlib import closing
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
-import xxhash
 
 from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.messages import LogEntry
 from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
 
-BUSY_S = 0.05
-_TABLES = """
-create table if not exists one (name text primary key, data blob not null, sum text not null) without rowid;
-create table if not exists log (at integer primary key, data blob not null, sum text not null);
-"""
+from .store_tables import DamagedStore, StoreTables
+
+LOCK_TIMEOUT_S = 0.05
+
+# Names of the stored records.
+HOME = "home"  # where the file was made
+STATE = "kept"  # a PersistentState
+SNAPSHOT = "snapshot"
+PROOF = "proof"  # written to see that the store can be written
+
 
+class StoreError(Exception):
+    """The store is not to be had; the text says why."""
 
-class StoreBusy(Exception):
-    """Another process holds it."""
 
+class StoreBusy(StoreError):
+    """Another process has it."""
 
-class StoreFailed(Exception):
-    """It can't be read or written; the text says why."""
 
+class StoreFailed(StoreError):
+    """It cannot be read or written."""
+
+
+class _StoredSnapshot(msgspec.Struct):
+    """A snapshot as it is stored; the names of the stored keys are those of the first version."""
 
-class _Snapshot(msgspec.Struct):
     index: int
     term: int
-    seats: tuple[str, ...]
+    voters: tuple[str, ...] = msgspec.field(name="seats")
     state: bytes
 
 
-_pack = msgspec.msgpack.Encoder().encode
-_kept = msgspec.msgpack.Decoder(PersistentState)
-_snapshot = msgspec.msgpack.Decoder(_Snapshot)
-_entry: msgspec.msgpack.Decoder[LogEntry] = msgspec.msgpack.Decoder(LogEntry)
+@dataclass(slots=True, frozen=True)
+class PutAside:
+    """A store that could not be used: where it is now, and why."""
 
+    path: str
+    why: str
 
-def _sum(data: bytes) -> str:
-    return xxhash.xxh3_64_hexdigest(data)
+
+_encode = msgspec.msgpack.Encoder().encode
+_decode_state = msgspec.msgpack.Decoder(PersistentState).decode
+_decode_snapshot = msgspec.msgpack.Decoder(_StoredSnapshot).decode
+_entry_decoder: msgspec.msgpack.Decoder[LogEntry] = msgspec.msgpack.Decoder(LogEntry)
 
 
 class FleetStore:
-    """One head's store.  ``notes`` tell what was put aside."""
+    """One gateway's store.  ``put_aside`` tells which stores ``open`` could not use."""
 
-    def __init__(self, folder: str, head: str) -> None:
-        self.path = Path(folder) / f"fleet-{head}.sqlite"
-        self.notes: list[dict[str, str]] = []
+    def __init__(self, folder: str, gateway: str) -> None:
+        self.path = Path(folder) / f"fleet-{gateway}.sqlite"
+        self.put_aside: list[PutAside] = []
         self._db: sqlite3.Connection | None = None
 
     # ---- opening ----
 
     def open(self) -> StoredState:
-        """Take the store and read it whole.  StoreBusy, StoreFailed."""
+        """Take the store and read all of it.  StoreBusy, StoreFailed."""
         for _ in range(2):
             try:
                 return self._open()
-            except _Aside as why:
-                self._aside(str(why))
+            except DamagedStore as damage:
+                self._put_aside(str(damage))
         raise StoreFailed(f"{self.path}: a fresh store cannot be read either")
 
     def _open(self) -> StoredState:
         try:
-            # Held from here on: the lock is the process's own and goes with it, however it ends.
-            db = sqlite3.connect(self.path, timeout=BUSY_S, isolation_level=None)
-            self._db = db
-            db.execute("pragma locking_mode = exclusive")
-            db.execute("pragma synchronous = full")
-            db.execute("begin exclusive")
-            for statement in _TABLES.strip().split(";"):
-                db.execute(statement)
-            found = self._read(db)
-            db.execute("commit")
-            return found
+            return self._take()
         except sqlite3.OperationalError as error:
             self.close()
-            if "locked" in str(error):
-                raise StoreBusy(f"{self.path}: another process holds it") from None
-            raise StoreFailed(f"{self.path}: {error}") from None
+            raise _operational_error(self.path, error) from None
         except (sqlite3.DatabaseError, msgspec.MsgspecError) as error:
             self.close()
-            raise _Aside(f"torn: {error}") from None
+            raise DamagedStore(f"torn: {error}") from None
         except OSError as error:
             self.close()
             raise StoreFailed(f"{self.path}: {error}") from None
 
+    def _take(self) -> StoredState:
+        """Lock the file for as long as the process lives, and read it.  Its lock goes with the process."""
+        db = sqlite3.connect(self.path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
+        self._db = db
+        db.execute("pragma locking_mode = exclusive")
+        db.execute("pragma synchronous = full")
+        db.execute("begin exclusive")
+        tables = StoreTables(db)
+        tables.create()
+        stored = self._read(tables)
+        db.execute("commit")
+        return stored
+
+    def _read(self, tables: StoreTables) -> StoredState:
+        home = tables.record(HOME)
+        state = tables.record(STATE)
+        if home is None and state is None and not tables.has_entries():
+            return self._begin_store(tables)
+        if home is None or state is None:
+            raise DamagedStore("torn: a part is missing")
+        if home != self._home():
+            raise DamagedStore(f"a copy: it was made at {home.decode(errors='replace')}")
+        snapshot = _read_snapshot(tables)
+        entries = [_entry_decoder.decode(data) for data in tables.entries(snapshot.index + 1)]
+        return StoredState(_decode_state(state), snapshot, entries)
+
+    def _begin_store(self, tables: StoreTables) -> StoredState:
+        tables.put_record(HOME, self._home())
+        fresh = PersistentState(secrets.token_hex(6))
+        tables.put_record(STATE, _encode(fresh))
+        return StoredState(fresh)
+
     def _home(self) -> bytes:
-        """Where the file is: a copy has another."""
+        """Where the file is: a copy of it has another."""
         stat = self.path.stat()
         return f"{socket.gethostname()} {stat.st_dev} {stat.st_ino}".encode()
 
-    def _read(self, db: sqlite3.Connection) -> StoredState:
-        home = self._one(db, "home")
-        kept = self._one(db, "kept")
-        if home is None or kept is None:
-            if home is not None or kept is not None or db.execute("select 1 from log").fetchone():
-                raise _Aside("torn: a part is missing")
-            self._put(db, "home", self._home())
-            fresh = PersistentState(secrets.token_hex(6))
-            self._put(db, "kept", _pack(fresh))
-            return StoredState(fresh)
-        if home != self._home():
-            raise _Aside(f"a copy: it was made at {home.decode(errors='replace')}")
-        snapshot = Snapshot()
-        if (data := self._one(db, "snapshot")) is not None:
-            told = _snapshot.decode(data)
-            snapshot = Snapshot(told.index, told.term, told.seats, told.state)
-        log: list[LogEntry] = []
-        for at, data, check in db.execute("select at, data, sum from log order by at"):
-            if at != snapshot.index + 1 + len(log) or _sum(data) != check:
-                raise _Aside(f"torn: entry {at}")
-            log.append(_entry.decode(data))
-        return StoredState(_kept.decode(kept), snapshot, log)
-
-    def _one(self, db: sqlite3.Connection, name: str) -> bytes | None:
-        row = db.execute("select data, sum from one where name = ?", (name,)).fetchone()
-        if row is None:
-            return None
-        if _sum(row[0]) != row[1]:
-            raise _Aside(f"torn: {name}")
-        return bytes(row[0])
-
-    def _aside(self, why: str) -> None:
-        """Keep what can't be used, under another name."""
+    def _put_aside(self, why: str) -> None:
+        """Keep what cannot be used, under another name.  StoreFailed."""
         self.close()
         number = 1
-        while (to := self.path.with_suffix(f".aside-{number}")).exists():
+        while (target := self.path.with_suffix(f".aside-{number}")).exists():
             number += 1
         try:
-            self.path.rename(to)
+            self.path.rename(target)
         except OSError as error:
             raise StoreFailed(f"{self.path}: {why}; {error}") from None
-        Path(f"{self.path}-journal").unlink(missing_ok=True)  # of the old one: it must not meet the fresh one
-        self.notes.append({"path": str(to), "why": why})
+        # SQLite would play the old store's journal back into the fresh one.
+        Path(f"{self.path}-journal").unlink(missing_ok=True)
+        self.put_aside.append(PutAside(str(target), why))
 
     # ---- writing ----
 
-    def write(self, save: StoreWrite) -> None:
-        """Keep it, whole and on the disk, before this returns.  StoreFailed: none of it is kept, or all."""
-        db = self._db
-        if db is None:
-            raise StoreFailed(f"{self.path}: it is closed")
+    def write(self, write: StoreWrite) -> None:
+        """Persist all of it before this returns.  StoreFailed: all of it is stored, or nothing."""
+        db = self._opened()
         try:
             db.execute("begin")
-            if save.replaces_store:
-                db.execute("delete from log")
-                db.execute("delete from one where name = 'snapshot'")
-            self._put(db, "kept", _pack(save.state))
-            if save.first_index is not None:
-                db.execute("delete from log where at >= ?", (save.first_index,))
-                rows = [(at, data, _sum(data)) for at, data in self._rows(save.first_index, save.entries)]
-                db.executemany("insert into log values (?, ?, ?)", rows)
-            if (taken := save.snapshot) is not None:
-                told = _Snapshot(taken.index, taken.term, taken.voters, taken.state)
-                self._put(db, "snapshot", _pack(told))
-                db.execute("delete from log where at <= ?", (taken.index,))
+            _write(StoreTables(db), write)
             db.execute("commit")
         except (sqlite3.Error, OSError) as error:
-            self.close()  # what of it is kept, nobody here can say: this process writes no more
-            raise StoreFailed(f"{self.path}: {error}") from None
+            self._fail(error)
 
     def prove(self) -> None:
-        """Write something and sync it, so that it is known to be possible.  StoreFailed."""
-        if self._db is None:
-            raise StoreFailed(f"{self.path}: it is closed")
+        """Write something and sync it, to see that it is possible.  StoreFailed."""
+        db = self._opened()
         try:
-            self._db.execute("begin")
-            self._put(self._db, "proof", secrets.token_bytes(8))
-            self._db.execute("commit")
+            db.execute("begin")
+            StoreTables(db).put_record(PROOF, secrets.token_bytes(8))
+            db.execute("commit")
         except (sqlite3.Error, OSError) as error:
-            self.close()
-            raise StoreFailed(f"{self.path}: {error}") from None
+            self._fail(error)
 
-    @staticmethod
-    def _rows(first: int, entries: tuple[LogEntry, ...]) -> list[tuple[int, bytes]]:
-        return [(at, _pack(entry)) for at, entry in enumerate(entries, first)]
+    def _opened(self) -> sqlite3.Connection:
+        if self._db is None:
+            raise StoreFailed(f"{self.path}: it is closed")
+        return self._db
 
-    def _put(self, db: sqlite3.Connection, name: str, data: bytes) -> None:
-        db.execute("insert or replace into one values (?, ?, ?)", (name, data, _sum(data)))
+    def _fail(self, error: Exception) -> None:
+        """Nobody can say how much of the write is stored: this process writes no more.  StoreFailed."""
+        self.close()
+        raise StoreFailed(f"{self.path}: {error}") from None
 
     def close(self) -> None:
+        """Give the store up."""
         db, self._db = self._db, None
         if db is not None:
             db.close()
 
+    # ---- moving ----
 
-class _Aside(Exception):
-    """It can't be used as it is; the text is why."""
+    def accept_home(self) -> None:
+        """The file was moved here, and no original of it is left.  StoreBusy, StoreFailed."""
+        if not self.path.exists():
+            raise StoreFailed(f"{self.path}: there is none")
+        try:
+            with closing(sqlite3.connect(self.path, timeout=LOCK_TIMEOUT_S, isolation_level=None)) as db:
+                db.execute("begin exclusive")
+                StoreTables(db).put_record(HOME, self._home())
+                db.execute("commit")
+        except sqlite3.OperationalError as error:
+            raise _operational_error(self.path, error) from None
+        except sqlite3.Error as error:
+            raise StoreFailed(f"{self.path}: {error}") from None
 
 
-def accept(folder: str, head: str) -> None:
-    """An operator's word that a store was moved here and no original is left.  StoreBusy, StoreFailed."""
-    store = FleetStore(folder, head)
-    if not store.path.exists():
-        raise StoreFailed(f"{store.path}: there is none")
-    try:
-        db: Any = sqlite3.connect(store.path, timeout=BUSY_S, isolation_level=None)
-        try:
-            db.execute("begin exclusive")
-            store._put(db, "home", store._home())
-            db.execute("commit")
-        finally:
-            db.close()
-    except sqlite3.OperationalError as error:
-        if "locked" in str(error):
-            raise StoreBusy(f"{store.path}: another process holds it") from None
-        raise StoreFailed(f"{store.path}: {error}") from None
-    except sqlite3.Error as error:
-        raise StoreFailed(f"{store.path}: {error}") from None
+def _operational_error(path: Path, error: sqlite3.OperationalError) -> StoreError:
+    if "locked" in str(error):
+        return StoreBusy(f"{path}: another process holds it")
+    return StoreFailed(f"{path}: {error}")
+
+
+def _read_snapshot(tables: StoreTables) -> Snapshot:
+    data = tables.record(SNAPSHOT)
+    if data is None:
+        return Snapshot()
+    stored = _decode_snapshot(data)
+    return Snapshot(stored.index, stored.term, stored.voters, stored.state)
+
+
+def _write(tables: StoreTables, write: StoreWrite) -> None:
+    """One write, within its transaction."""
+    if write.replaces_store:
+        tables.delete_all_entries()
+        tables.delete_record(SNAPSHOT)
+    tables.put_record(STATE, _encode(write.state))
+    if write.first_index is not None:
+        tables.replace_entries(write.first_index, map(_encode, write.entries))
+    snapshot = write.snapshot
+    if snapshot is not None:
+        stored = _StoredSnapshot(snapshot.index, snapshot.term, snapshot.voters, snapshot.state)
+        tables.put_record(SNAPSHOT, _encode(stored))
+        tables.delete_entries_up_to(snapshot.index)
--- a/tests/compatibility/test_fleet_records.py
+++ b/tests/compatibility/test_fleet_records.py
@@ -14,7 +14,7 @@
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.log_commands import LogEntry
 from gaugesail.coordination.quota_ledger import QuotaLedger
-from gaugesail.fleet.store import FleetStore, accept
+from gaugesail.fleet.store import FleetStore
 from gaugesail.fleet.wire import Wire
 
 DATA = Path(__file__).parent / "data"
@@ -70,11 +70,11 @@
 
 def test_a_store_is_read_whole(tmp_path: Path) -> None:
     shutil.copy(DATA / STORE_NAME, tmp_path / STORE_NAME)
-    accept(str(tmp_path), "h1")  # the file was moved here, which only an operator can know
+    FleetStore(str(tmp_path), "h1").accept_home()  # the file was moved here, which only an operator can know
     store = FleetStore(str(tmp_path), "h1")
     loaded = store.open()
     store.close()
-    assert not store.notes, "put aside"
+    assert not store.put_aside, "put aside"
     assert msgspec.msgpack.encode(loaded.state).hex() == LEDGER["kept"]
     assert (loaded.snapshot.index, loaded.snapshot.term) == (8, 2)
     assert loaded.snapshot.state.hex() == LEDGER["dump"]
--- a/tests/coordination/test_leases_and_bootstrap.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -146,7 +146,7 @@
         self.number += 1
         given: dict[str, Any] = {
             "terms_digest": "d",
-            "store": f"s{process}",
+            "store_id": f"s{process}",
             "limits": (("p", 100_000, 80_000),),
             "floor_slot": -1,
             "floor_version": 0,
--- a/tests/coordination/test_quota.py
+++ b/tests/coordination/test_quota.py
@@ -59,7 +59,7 @@
     assert ledger.allocated("p/1") == (0, 0) and not ledger.sessions
     assert not ledger.apply(6, m.AllocateQuota("p/1", 3, 1, 1)), "nothing is given to who is gone"
     assert not ledger.apply(7, m.CloseSession(3))
-    assert ledger.floor_slots[0].store == "s"
+    assert ledger.floor_slots[0].store_id == "s"
     ledger.apply(8, m.OpenSession("a", 9, "s"))
     ledger.apply(9, m.OpenSession("b", 10, "s2"))
     assert [ledger.sessions[8].floor_slot, ledger.sessions[9].floor_slot] == [0, 1], (
@@ -179,7 +179,7 @@
 
     @invariant()
     def slots_are_one_heads_each(self) -> None:
-        stores = [slot.store for slot in self.ledger.floor_slots.values()]
+        stores = [slot.store_id for slot in self.ledger.floor_slots.values()]
         assert len(set(stores)) == len(stores) <= CHARTER.max_gateways
         for session in self.ledger.sessions.values():
             assert (
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -144,7 +144,7 @@
     assert fleet.reactor.run_until(lambda: "fleet_store_failed" in fleet.log.getvalue(), 10.0)
     agent.leave()
     fleet.run(10)
-    assert "fleet_begins_anew" not in fleet.log.getvalue()
+    assert "fleet_restarted" not in fleet.log.getvalue()
     fleet.end()
 
 
@@ -173,7 +173,7 @@
     second = fleet.start("b")
     fleet.run(2)
     assert second.node is None and second.call("GET", ["members"])[0] == 503
-    assert "fleet_waits" in fleet.log.getvalue()
+    assert "fleet_start_delayed" in fleet.log.getvalue()
     first.leave()
     first.close()
     fleet.run(4)
