--- a/gaugesail/fleet/wire.py
+++ b/gaugesail/fleet/wire.py
@@ -1,122 +1,141 @@
-"""The envelope of what heads say to each other: bounded, versioned, named, tagged under one shared key.
+"""The envelope of what gateways send each other: bounded, versioned, addressed, tagged under a shared key.
 
-What is foreign, damaged, cut short, too large, addressed to another or replayed is dropped and counted; it
-reaches no decision.  That a replay is dropped saves work only: every message is safe to take in twice.
+A frame is MAGIC, one byte VERSION, the tag, and the envelope as msgpack.  What is foreign, damaged, too
+large, for another gateway or replayed is dropped and counted; it reaches no decision.  Dropping replays only
+saves work: every message is safe to take in twice.
 """
 
 from __future__ import annotations
 
 import hmac
 from collections import Counter, OrderedDict
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 import msgspec
 
 from gaugesail.coordination.messages import Message
 
-MAGIC, VERSION = b"gs", 1
+from .replay_window import ReplayWindow
+
+MAGIC = b"gs"
+VERSION = 1
 TAG_BYTES = 16
-MOST_DATAGRAM = 1200  # what is larger goes by the exchange (TCP)
-MOST_BYTES = 8 * 1024 * 1024  # of one message there
-WINDOW = 1024  # numbers of one process that are told apart, so far out of order
-MOST_PROCESSES = 4096  # whose windows are kept
+HEADER_BYTES = len(MAGIC) + 1
+MAX_DATAGRAM_BYTES = 1200  # what is larger goes by TCP
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
+MAX_SENDERS = 4096  # processes whose replay windows are remembered
+
+
+class DropReason(StrEnum):
+    """Why a frame was dropped, as operators see it counted."""
+
+    FOREIGN = "foreign"  # not a frame
+    VERSION = "version"
+    TAG = "tag"  # damaged, or under another key
+    FLEET = "fleet"
+    NOT_OURS = "not_ours"  # addressed to another gateway
+    OWN = "own"  # sent by this process
+    REPLAYED = "replayed"
+    MALFORMED = "malformed"
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What a message travels in.  ``process`` is drawn at each start, ``number`` goes up by one."""
+    """What a message travels in; the order of the fields is that on the wire."""
 
     fleet: str
     sender: str
-    process: int
-    number: int
+    process: int  # of the sender, drawn at each of its starts
+    number: int  # goes up by one
     to: str
     body: msgspec.Raw
 
 
-class Window:
-    """Which of the latest numbers of one process have come."""
+class ReceivedMessage(NamedTuple):
+    """A message of another gateway's process, whose tag was right."""
+
+    sender: str
+    process: int
+    message: Message
 
-    __slots__ = ("_bits", "_top")
 
-    def __init__(self) -> None:
-        self._top, self._bits = -1, 0
+class _Dropped(Exception):
+    """A frame must not be taken in."""
 
-    def fresh(self, number: int) -> bool:
-        """Whether a number has not come before; one that is too old to tell is not fresh."""
-        if number > self._top:
-            self._bits = (self._bits << min(WINDOW, number - self._top)) & ((1 << WINDOW) - 1) | 1
-            self._top = number
-            return True
-        behind = self._top - number
-        if behind >= WINDOW or self._bits >> behind & 1:
-            return False
-        self._bits |= 1 << behind
-        return True
+    def __init__(self, reason: DropReason) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
 class Wire:
-    """Packs and unpacks messages of one head."""
+    """Packs and unpacks the messages of one process of one gateway."""
 
-    def __init__(self, fleet: str, me: str, process: int, key: bytes) -> None:
-        self._fleet, self._me, self._process, self._key = fleet, me, process, key
+    def __init__(self, fleet: str, gateway: str, process: int, key: bytes) -> None:
+        self._fleet = fleet
+        self._gateway = gateway
+        self._process = process
+        self._key = key
         self._number = 0
-        self._windows: OrderedDict[tuple[str, int], Window] = OrderedDict()
-        self.dropped: Counter[str] = Counter()  # by cause
-        self._pack = msgspec.msgpack.Encoder().encode
-        self._envelope = msgspec.msgpack.Decoder(Envelope)
-        self._message: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
+        self._windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()  # by sender and process
+        self.dropped: Counter[str] = Counter()  # by DropReason
+        self._encode = msgspec.msgpack.Encoder().encode
+        self._envelopes = msgspec.msgpack.Decoder(Envelope)
+        self._messages: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
 
     def pack(self, to: str, message: Message) -> bytes:
-        """A message for one head as it goes on the wire."""
+        """The frame of a message for one gateway."""
         self._number += 1
-        body = msgspec.Raw(self._pack(message))
-        text = self._pack(Envelope(self._fleet, self._me, self._process, self._number, to, body))
+        body = msgspec.Raw(self._encode(message))
+        envelope = Envelope(self._fleet, self._gateway, self._process, self._number, to, body)
+        text = self._encode(envelope)
         return MAGIC + bytes([VERSION]) + self._tag(text) + text
 
     def _tag(self, text: bytes) -> bytes:
         return hmac.digest(self._key, text, "sha256")[:TAG_BYTES]
 
-    def unpack(self, data: bytes) -> tuple[str, int, Message] | None:
-        """Who says what, with the sender's process; None for what is not to be taken in."""
+    def unpack(self, frame: bytes) -> ReceivedMessage | None:
+        """The message of a frame; None, and counted in ``dropped``, where it must not be taken in."""
         try:
-            return self._read(data)
+            envelope = self._open(frame)
+            return self._accept(envelope)
         except _Dropped as dropped:
-            self.dropped[str(dropped)] += 1
+            self.dropped[dropped.reason] += 1
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            self.dropped["malformed"] += 1
+            self.dropped[DropReason.MALFORMED] += 1
         return None
 
-    def _read(self, data: bytes) -> tuple[str, int, Message]:
-        start = len(MAGIC) + 1
-        if len(data) < start + TAG_BYTES or data[: len(MAGIC)] != MAGIC:
-            raise _Dropped("foreign")
-        if data[len(MAGIC)] != VERSION:
-            raise _Dropped("version")
-        tag, text = data[start : start + TAG_BYTES], data[start + TAG_BYTES :]
+    def _open(self, frame: bytes) -> Envelope:
+        """The envelope of a frame whose tag is right."""
+        if len(frame) < HEADER_BYTES + TAG_BYTES or frame[: len(MAGIC)] != MAGIC:
+            raise _Dropped(DropReason.FOREIGN)
+        if frame[len(MAGIC)] != VERSION:
+            raise _Dropped(DropReason.VERSION)
+        tag = frame[HEADER_BYTES : HEADER_BYTES + TAG_BYTES]
+        text = frame[HEADER_BYTES + TAG_BYTES :]
         if not hmac.compare_digest(tag, self._tag(text)):
-            raise _Dropped("tag")
-        told = self._envelope.decode(text)
-        if told.fleet != self._fleet:
-            raise _Dropped("fleet")
-        if told.to != self._me:
-            raise _Dropped("not_ours")
-        if told.sender == self._me and told.process == self._process:
-            raise _Dropped("own")
-        message: Message = self._message.decode(told.body)
-        # Last, so that what is dropped leaves nothing behind.
-        if not self._window(told.sender, told.process).fresh(told.number):
-            raise _Dropped("replayed")
-        return told.sender, told.process, message
-
-    def _window(self, sender: str, process: int) -> Window:
-        name = sender, process
-        if (window := self._windows.get(name)) is None:
-            window = self._windows[name] = Window()
-            if len(self._windows) > MOST_PROCESSES:
+            raise _Dropped(DropReason.TAG)
+        return self._envelopes.decode(text)
+
+    def _accept(self, envelope: Envelope) -> ReceivedMessage:
+        """The message of an envelope for this gateway; its number is used up last, once all is right."""
+        if envelope.fleet != self._fleet:
+            raise _Dropped(DropReason.FLEET)
+        if envelope.to != self._gateway:
+            raise _Dropped(DropReason.NOT_OURS)
+        if envelope.sender == self._gateway and envelope.process == self._process:
+            raise _Dropped(DropReason.OWN)
+        message: Message = self._messages.decode(envelope.body)
+        if not self._window(envelope.sender, envelope.process).take(envelope.number):
+            raise _Dropped(DropReason.REPLAYED)
+        return ReceivedMessage(envelope.sender, envelope.process, message)
+
+    def _window(self, sender: str, process: int) -> ReplayWindow:
+        """The window of one process; those that were heard of longest ago are forgotten."""
+        key = sender, process
+        window = self._windows.get(key)
+        if window is None:
+            window = self._windows[key] = ReplayWindow()
+            if len(self._windows) > MAX_SENDERS:
                 self._windows.popitem(last=False)
-        self._windows.move_to_end(name)
+        self._windows.move_to_end(key)
         return window
-
-
-class _Dropped(Exception):
-    """Not taken in; the text is the cause, as it is counted."""
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -13,7 +13,7 @@
 from gaugesail.fleet.link import Link
 from gaugesail.fleet.settings import read_fleet
 from gaugesail.fleet.store import FleetStore, StoreFailed
-from gaugesail.fleet.wire import MOST_DATAGRAM, Wire
+from gaugesail.fleet.wire import MAX_DATAGRAM_BYTES, Wire
 from gaugesail.logs import make_logger
 from gaugesail.policy.events import QuotaChanged
 from gaugesail.policy.settings import Plan, RequestClass, Settings
@@ -209,7 +209,7 @@
             lambda sender, process, message: heard.append(message),
         )  # fmt: skip
         links[name].listen(*where[name])
-    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MOST_DATAGRAM))
+    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MAX_DATAGRAM_BYTES))
     links["a"].send("b", large)
     links["a"].send("b", m.DigestOffer(1))
     links["a"].send("c", m.DigestOffer(2))
@@ -224,5 +224,5 @@
     assert len(heard) == 2 and links["a"].counts["too_large"] == 1
     reactor.run_until(lambda: False, 30)
     links["a"].sweep()
-    assert not links["a"]._exchanges
+    assert not links["a"]._channels
     links["a"].close()
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from gaugesail.coordination import messages as m
-from gaugesail.fleet.wire import TAG_BYTES, VERSION, WINDOW, Envelope, Window, Wire
+from gaugesail.fleet.replay_window import WINDOW_SIZE, ReplayWindow
+from gaugesail.fleet.wire import TAG_BYTES, VERSION, Envelope, Wire
 from gaugesail.lab.fleet import FleetWorld, Limit
 
 KEY = b"sixteen bytes and more"
@@ -54,17 +55,17 @@
 def test_a_tag_that_is_right_makes_no_nonsense_good() -> None:
     a, b = pair()
     for body in (b"\xc1", b"\x93\x01", b"\x92\xa4Ping\xa1x", b"\xdd\xff\xff\xff\xff" * 4):
-        text = a._pack(Envelope("f", "a", 1, 7, "b", msgspec.Raw(body)))
+        text = a._encode(Envelope("f", "a", 1, 7, "b", msgspec.Raw(body)))
         data = b"gs" + bytes([VERSION]) + a._tag(text) + text
         assert b.unpack(data) is None
     assert b.dropped["malformed"] == 4
 
 
-@given(st.lists(st.integers(0, 3 * WINDOW), max_size=60))
+@given(st.lists(st.integers(0, 3 * WINDOW_SIZE), max_size=60))
 def test_a_window_takes_each_number_at_most_once(numbers: list[int]) -> None:
-    window, seen = Window(), set[int]()
+    window, seen = ReplayWindow(), set[int]()
     for number in numbers:
-        fresh = window.fresh(number)
+        fresh = window.take(number)
         assert not (fresh and number in seen)
         if number > max(seen, default=-1):
             assert fresh, "the newest is always taken"
