--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -115,10 +115,12 @@
             self._answer(sender, ask, LeaseStatus.TERMS_DIFFER)
             return
         session = self._ledger.session_of_process(ask.process)
-        if ask.fleet == self._fleet and ask.last_seen_index > self._raft.last_index:
+        if ask.fleet == self._fleet and ask.last_seen_index > self._raft.log.last_index:
             # This log has lost entries: the stores are older than the fleet.  What the holder has by those is
             # not renewed; told so it gives up all, and may then have what this log says.
-            self._note("stores_are_old", head=sender, seen=ask.last_seen_index, last=self._raft.last_index)
+            self._note(
+                "stores_are_old", head=sender, seen=ask.last_seen_index, last=self._raft.log.last_index
+            )
             self._answer(sender, ask, LeaseStatus.UNKNOWN_SESSION)
             return
         if session is None:
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -20,13 +20,14 @@
 
 from . import messages as m
 from .bootstrap import Bootstrap, BootstrapRecord
-from .consensus import LogBroken, RaftNode, Snapshot
+from .consensus import RaftNode
 from .fleet_terms import FleetTerms
 from .lease_holder import HeadFloor, LeaseHolder, QuotaUpdate
 from .membership import Membership, MemberState
 from .messages import LogEntry, Message
 from .notices import Notice, NoticeField
 from .quota_ledger import Pair
+from .raft_log import LogBroken, RaftLog, Snapshot
 from .replica import Replica, redirect
 from .replica_id import make_replica_id, name_of
 from .store_fencing import KnownStore, StoreFence
@@ -156,7 +157,7 @@
             snapshot = Snapshot(0, 0, founded.voters, b"")
         if founded.fleet_id:
             raft = RaftNode(
-                seat, self._rng, now, self.persisted.term, self.persisted.voted_for, snapshot, log
+                seat, self._rng, now, self.persisted.term, self.persisted.voted_for, RaftLog(snapshot, log)
             )
             self.replica = Replica(self.terms, self.terms_digest, founded.fleet_id, raft, self._born)
 
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -7,7 +7,8 @@
 
 from typing import Any
 
-from .consensus import KEEP, RaftNode, Role
+from .consensus import RaftNode
+from .elections import Role
 from .fleet_terms import FleetTerms
 from .lease_manager import LeaseManager
 from .messages import (
@@ -20,6 +21,7 @@
 )
 from .notices import Notice
 from .quota_ledger import QuotaLedger, plan_of
+from .raft_log import COMPACT_AFTER_ENTRIES
 from .replica_id import make_replica_id, name_of, store_id_of
 
 REPLACE_VOTER_AFTER_US = 5_000_000  # without a word from a seat whose keeper has come back with another store
@@ -34,7 +36,7 @@
         self.raft = raft
         self.name = name_of(raft.replica_id)
         self.ledger = QuotaLedger(charter)
-        self.ledger.load(raft.snapshot.state)
+        self.ledger.load(raft.log.snapshot.state)
         self.lease_manager: LeaseManager | None = None
         self._later: dict[int, tuple[str, int]] = {}  # whose petition waits for which entry
         self._applicants: dict[str, str] = {}  # keepers with a store that has no seat
@@ -45,7 +47,7 @@
 
     @property
     def is_voter(self) -> bool:
-        return self.raft.replica_id in self.raft.voters
+        return self.raft.is_voter
 
     @property
     def next_at(self) -> int:
@@ -89,7 +91,7 @@
         """It ends in order: who has most of the log may lead at once."""
         others = [seat for seat in self.raft.voters if seat != self.raft.replica_id]
         if self.raft.role is Role.LEADER and others:
-            self.raft.transfer_leadership(max(others, key=self.raft.match_index))
+            self.raft.transfer_leadership(max(others, key=self.raft.replication.match_index))
 
     # ---- the end of a step ----
 
@@ -97,11 +99,11 @@
         """Carry out what is committed, let the office work on it, and pass on what it proposes."""
         raft = self.raft
         for _ in range(STEPS):
-            before = raft.commit_index, raft.last_index
-            if raft.snapshot_installed:
-                raft.snapshot_installed = False
-                self.ledger.load(raft.snapshot.state)
-            for index, command in raft.committed():
+            before = raft.log.commit_index, raft.log.last_index
+            if raft.log.snapshot_installed:
+                raft.log.snapshot_installed = False
+                self.ledger.load(raft.log.snapshot.state)
+            for index, command in raft.log.take_committed():
                 done = self.ledger.apply(index, command)
                 if self.lease_manager is not None:
                     self.lease_manager.entry_applied(now, index, command, done)
@@ -112,10 +114,13 @@
                 self.lease_manager.tick(now)
                 self._reseat(now)
             raft.flush(now)
-            if (raft.commit_index, raft.last_index) == before and raft.applied_index == raft.commit_index:
+            if (
+                raft.log.commit_index,
+                raft.log.last_index,
+            ) == before and raft.log.applied_index == raft.log.commit_index:
                 break
-        if raft.applied_index - raft.snapshot.index > KEEP:
-            raft.compact(self.ledger.dump())
+        if raft.log.applied_index - raft.log.snapshot.index > COMPACT_AFTER_ENTRIES:
+            raft.log.compact(self.ledger.dump())
 
     def _seat_office(self, now: int) -> None:
         """An office for each term that it leads, from when an entry of that term is committed."""
@@ -142,7 +147,7 @@
             elif not olds:
                 raft.replace_voters(now, {*raft.voters, fresh})
             elif (
-                (heard := raft.last_heard_at(olds[0])) is not None
+                (heard := raft.replication.last_heard_at(olds[0])) is not None
                 and now - heard > REPLACE_VOTER_AFTER_US
                 and raft.replace_voters(now, set(raft.voters) - {olds[0]}) is not None
             ):
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -16,9 +16,9 @@
 import msgspec
 import xxhash
 
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.messages import LogEntry
 from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
+from gaugesail.coordination.raft_log import Snapshot
 
 BUSY_S = 0.05
 _TABLES = """
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -18,7 +18,6 @@
 
 import msgspec
 
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.lease_holder import QuotaUpdate
 from gaugesail.coordination.messages import Message
@@ -30,6 +29,7 @@
     quota_changed_event,
     quota_name_of,
 )
+from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
 from gaugesail.policy.events import (
     AttemptEnded,
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -20,10 +20,12 @@
 import msgspec
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.consensus import RaftNode, Role, Snapshot
+from gaugesail.coordination.consensus import RaftNode
+from gaugesail.coordination.elections import Role
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.lease_holder import DemandEstimate, HeadFloor, LeaseHolder
 from gaugesail.coordination.quota_ledger import Pair
+from gaugesail.coordination.raft_log import RaftLog, Snapshot
 from gaugesail.coordination.replica import Replica
 from gaugesail.coordination.replica_id import make_replica_id, name_of
 
@@ -101,9 +103,8 @@
 
 def _raft(name: str, now: int, keepers: int, term: int, vote: str, log: list[m.LogEntry]) -> RaftNode:
     seats = tuple(make_replica_id(name, "s") for name in NAMES[:keepers])
-    raft = RaftNode(make_replica_id(name, "s"), Still(), now, term, vote, Snapshot(0, 0, seats), list(log))
-    raft.may_vote = True
-    return raft
+    kept = RaftLog(Snapshot(0, 0, seats), log)
+    return RaftNode(make_replica_id(name, "s"), Still(), now, term, vote, kept, may_vote=True)
 
 
 def _cell(
@@ -123,7 +124,7 @@
         """The end of a head's step: carry out, keep, say.  Timers are set so that none counts as a state."""
         cell, now = room.cells[name], room.now
         keeper, raft = cell.keeper, cell.keeper.raft
-        raft._round_at = now - 1_000_000
+        raft.replication._round_started_at = now - 1_000_000
         keeper.process(now)
         if (save := raft.take_write()) is not None:
             cell.term, cell.vote = save.term, save.voted_for
@@ -140,15 +141,17 @@
 
     def _still(self, cell: Cell, now: int) -> None:
         raft, office, holder = cell.keeper.raft, cell.keeper.lease_manager, cell.holder
-        raft._round_at, raft._beat_at, raft._election_at = now - 1_000_000, NEVER, NEVER
+        raft.replication._round_started_at = now - 1_000_000
+        raft.replication.heartbeat_at = NEVER
+        raft._election_at = NEVER
         raft._heard_at = now - 10_000_000
-        raft.now = now
-        if not raft._others:
-            raft.round = 0
+        if not raft.replication.followers:
+            raft.replication.round = 0
             for lease in office.leases.values() if office is not None else ():
                 lease.confirmation_round = 0
-        for other in raft._others.values():
-            other.heard_at = other.sent_at = now
+        for follower in raft.replication.followers.values():
+            follower.heard_at = now
+            follower.entries_sent_at = now
         if office is not None:
             office._retell_at = NEVER
             for lease in office.leases.values():
@@ -234,15 +237,17 @@
 
     def stand(self, room: Room, name: str) -> Room:
         raft = room.cells[name].keeper.raft
-        raft._stand(room.now, pre=False)  # as if its pre-vote had passed: what follows is more than may be
+        raft._start_election(
+            room.now, pre_vote=False
+        )  # as if its pre-vote had passed: what follows is more than may be
         return self.act(room, name)
 
     def pass_time(self, room: Room) -> Room:
         room.now += LEASE_US // 2 + 1
         for name, cell in room.cells.items():
             raft = cell.keeper.raft
-            for other in raft._others.values():
-                other.heard_at = room.now
+            for follower in raft.replication.followers.values():
+                follower.heard_at = room.now
             cell.holder.tick(room.now, [])
             self.act(room, name)
         return room
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
 from gaugesail.coordination.node import FleetNode, PersistentState, StepOutput
 from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.coordination.replica_id import make_replica_id
 
 from ..lab.fleet import SECOND, Disk, FleetWorld, LabHead, Limit
@@ -523,7 +523,7 @@
     entry = m.LogEntry(5, m.Noop())
     out = node.receive(20, "h0", 1, m.AppendEntries(seats[0], 5, 0, 0, (entry,), 1, 1))
     taken = any(isinstance(said, m.AppendResponse) and said.success for _, said in out.messages)
-    return int(taken) + len(node.replica.raft.log if node.replica is not None else ())
+    return int(taken) + len(node.replica.raft.log.entries if node.replica is not None else ())
 
 
 def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
@@ -595,8 +595,13 @@
     seat, old = again.replica, node.replica
     if seat is None or old is None:
         return 1
-    return int(seat.raft.log != old.raft.log) + int(seat.raft.term != 3) + int(seat.raft.snapshot != Snapshot(
-        0, 0, seats, b""))  # fmt: skip
+    kept = seat.raft.log
+    differs = [
+        kept.entries != old.raft.log.entries,
+        seat.raft.term != 3,
+        kept.snapshot != Snapshot(0, 0, seats, b""),
+    ]
+    return sum(differs)
 
 
 CASES: dict[str, Callable[[], int]] = {
--- a/tests/coordination/test_leases_and_bootstrap.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -12,11 +12,12 @@
 
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.bootstrap import Bootstrap, BootstrapRecord
-from gaugesail.coordination.consensus import RaftNode, Snapshot
+from gaugesail.coordination.consensus import RaftNode
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
 from gaugesail.coordination.lease_manager import COMPLY_US, LeaseManager
 from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.raft_log import RaftLog, Snapshot
 from gaugesail.coordination.replica_id import make_replica_id, name_of, store_id_of
 from gaugesail.measure.planted import planted
 from gaugesail.policy.events import QuotaChanged
@@ -118,7 +119,7 @@
     def __init__(self) -> None:
         self.now = 100 * SECOND
         self.raft = RaftNode(
-            "a#1", random.Random(1), self.now, snapshot=Snapshot(0, 0, ("a#1",)), may_vote=True
+            "a#1", random.Random(1), self.now, log=RaftLog(Snapshot(0, 0, ("a#1",))), may_vote=True
         )
         self.raft.tick(self.now + 9 * SECOND)
         self.ledger = QuotaLedger(CHARTER)
@@ -130,7 +131,7 @@
         office: Any = getattr(self, "office", None)
         for _ in range(6):
             self.raft.flush(self.now)
-            for index, command in self.raft.committed():
+            for index, command in self.raft.log.take_committed():
                 done = self.ledger.apply(index, command)
                 if office is not None:
                     office.entry_applied(self.now, index, command, done)
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -9,8 +9,8 @@
 import pytest
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
+from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.fleet.store import FleetStore, StoreBusy, StoreFailed, accept
 
 
