--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
+from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import QuotaUpdate
 from gaugesail.coordination.messages import Message
 from gaugesail.coordination.node import (
     FleetNode,
@@ -30,6 +30,7 @@
     quota_name_of,
 )
 from gaugesail.coordination.raft_log import Snapshot
+from gaugesail.coordination.spending_rights import QuotaUpdate
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
 from gaugesail.policy.events import (
     AttemptEnded,
@@ -173,7 +174,7 @@
         self.stop_after: int | None = None  # steps, and then it sleeps (or dies)
         self.dies = False
         self._wake_at = 0
-        self.sent_bytes = self.sent_messages = 0
+        self.sent_bytes = 0
         self.open: dict[int, float] = {}
         self.notices: Counter[str] = Counter()
 
@@ -340,7 +341,7 @@
         if self.asleep or self.gateway is None:
             return
         asked = {
-            quota_name_of(plan, volume): (units, spent, saved, 1000)
+            quota_name_of(plan, volume): QuotaUsage(units, spent, saved, 1000)
             for plan, volume, units, spent, saved in self.gateway.rate_limits.take_demand(self.now())
         }
         self.step(lambda node: node.report_demand(self.now(), asked))
@@ -487,7 +488,6 @@
         if to == head.name:
             self.at(self.now, lambda: self._deliver(head.name, to, process, message))
             return
-        head.sent_messages += 1
         if self.weigh:
             head.sent_bytes += len(self.pack(message)) + ENVELOPE
         line = self.line(head.name, to)
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -112,15 +112,15 @@
 
 def test_replaced_bricks_leave_nothing_behind() -> None:
     head = play(f"{ASKED}send b1 answer a 200 x\nexpect c1 200").head
-    before = len(head.transport._lines), len(head.transport._bricks)
+    before = len(head.transport._addresses), len(head.transport._nodes)
     for n in range(1000):
         name = f"s-{n}"
         line = {"id": name, "host_port": "127.0.0.1:1", "cell": 0, "phase": "Ready"}
         head.discovery.heard({"revision": 9, "complete": False, "members": [line]})
-        head.transport._bricks[name.encode()] = type(head.transport._bricks[b"b1"])(name.encode())
+        head.transport._nodes[name.encode()] = type(head.transport._nodes[b"b1"])(name.encode())
         head.discovery.heard({"revision": 9, "complete": False, "members": [line | {"phase": "Gone"}]})
     head.transport.sweep()
-    assert (len(head.transport._lines), len(head.transport._bricks)) == before
+    assert (len(head.transport._addresses), len(head.transport._nodes)) == before
 
 
 def test_a_huge_body_is_answered_before_it_is_read_and_its_sender_may_read_the_answer() -> None:
@@ -145,10 +145,10 @@
 
 def test_what_waits_to_be_accepted_is_taken_before_the_port_closes() -> None:
     head, port = play("client c1\nsend c1 get /_health\nexpect c1 200").head, Mock()
-    head._port, head._stop_at, head.front.held = port, head.clock.now_us(), True
-    head._listening = ListeningPort(port, head.clock, lambda: 1, lambda: True)
-    head._refuse_new()
+    head._port, head._stopping_since, head.front.held = port, head.clock.now_us(), True
+    head._listener = ListeningPort(port, head.clock, lambda: 1, lambda: True)
+    head._stop_accepting()
     assert not port.mock_calls, "a place must come free first"
     head.front.held = False
-    head._refuse_new()
+    head._stop_accepting()
     assert [call[0] for call in port.mock_calls if call[0] != "getHost"] == ["doRead", "stopListening"]
