--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -25,7 +25,8 @@
 from .fleet_terms import FleetTerms
 from .gateway_floor import HeadFloor
 from .lease_holder import LeaseHolder
-from .membership import Membership, MemberState
+from .member import MemberState
+from .membership import Membership
 from .messages import LogEntry, Message
 from .notices import Notice, NoticeField
 from .quota_ledger import RateBurst
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -10,7 +10,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.membership import PERIOD_US, Membership, MemberState, rank
+from gaugesail.coordination.member import MemberState, rank
+from gaugesail.coordination.member_table import PERIOD_US
+from gaugesail.coordination.membership import Membership
 
 SECOND = 1_000_000
 
