--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -93,11 +93,11 @@
         session = self._ledger.session_of_process(request.process)
         if request.terms_digest != self._digest:
             self._respond(sender, request, LeaseStatus.TERMS_DIFFER)
-        elif request.fleet == self._fleet and request.last_seen_index > self._raft.last_index:
+        elif request.fleet == self._fleet and request.last_seen_index > self._raft.log.last_index:
             # This log has lost entries.  What the holder has by those is not renewed: told so, it gives up
             # all of it, and may then have what this log says.
             self._notify(
-                "stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.last_index
+                "stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.log.last_index
             )
             self._respond(sender, request, LeaseStatus.UNKNOWN_SESSION)
         elif session is None:
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.messages import LogEntry
 from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
+from gaugesail.coordination.raft_log import Snapshot
 
 from .store_tables import DamagedStore, StoreTables
 
