--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -15,8 +15,9 @@
 
 from ..core.ports import Clock, DelayedCall, Logger, Reactor
 from ..net import Connection, dial, unread
+from .messages import BadMessage, Data, Head
 from .node_state import NodeAddress
-from .parser import BadMessage, Data, Head, Parser
+from .parser import Parser
 
 PATH = "/catalog/members"
 SILENCE_US = 4_500_000  # an empty line comes every 2 s; two missing ones and the watch is dead
--- a/gaugesail/http/front.py
+++ b/gaugesail/http/front.py
@@ -18,8 +18,9 @@
 from ..core.ports import BodySink, BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..door import CloseReason, Door
 from ..net import Connection, Emptied, unread, waited_us
+from .messages import MAX_BUFFERED_BODY, BadMessage, Data, Head
 from .node_connection import READ_BYTES
-from .parser import WHOLE_BODY, BadMessage, Data, Head, Parser
+from .parser import Parser
 
 HEALTH_PATH = "/_health"
 METHODS = ("GET", "PUT")
@@ -209,7 +210,7 @@
 
     @property
     def idle(self) -> bool:
-        return self._ticket is None and self._parser.between and not (self._full or self.closing)
+        return self._ticket is None and self._parser.between_messages and not (self._full or self.closing)
 
     def connectionMade(self) -> None:
         self.link.setTcpNoDelay(True)
@@ -241,15 +242,15 @@
             return
         now = self.heard_us = self._front.clock.now_us()
         came = now - waited_us(self.link, self._front.clock)
-        if self._parser.between:
+        if self._parser.between_messages:
             self._since = now
         self._parser.feed(data)
-        while self._marks and self._marks[0][0] <= self._parser.taken:
+        while self._marks and self._marks[0][0] <= self._parser.bytes_read:
             self._marks.popleft()
         if self._marks and (came - self._marks[-1][1] < MARK_US or len(self._marks) >= MOST_MARKS):
-            self._marks[-1] = self._parser.fed, came
+            self._marks[-1] = self._parser.bytes_fed, came
         else:
-            self._marks.append((self._parser.fed, came))
+            self._marks.append((self._parser.bytes_fed, came))
         if self._ticket is None:
             self._read()
         self._hold()
@@ -281,7 +282,7 @@
     def _came(self) -> int:
         """When the last byte came of what has been read: a request's time runs from there, whenever its turn
         comes."""
-        taken, at = self._parser.taken, self._front.clock.now_us()
+        taken, at = self._parser.bytes_read, self._front.clock.now_us()
         while self._marks:
             at = self._marks[0][1]
             if self._marks[0][0] >= taken:
@@ -345,7 +346,7 @@
             self._reading = False
 
     def _headed(self, head: Head) -> None:
-        self._head, self._keep, self._old = head, head.keep_alive, head.old
+        self._head, self._keep, self._old = head, head.keep_alive, head.http_1_0
         self._since, self._got = self._front.clock.now_us(), 0
         head.target = origin_form(head.target)
         if head.target != HEALTH_PATH:
@@ -355,7 +356,7 @@
         expects = head.headers.get("expect", "").lower()
         if expects not in ("", "100-continue"):
             raise BadMessage("an expectation that is not known", 417)
-        if expects and head.length != 0 and not head.old:
+        if expects and head.length != 0 and not head.http_1_0:
             self.link.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _more(self, data: bytes) -> None:
@@ -365,7 +366,7 @@
             self._up.write(data)
         elif order is not None and not self._answered:
             order.payload.body.append(data)
-            if self._got > WHOLE_BODY and self._head is not None:
+            if self._got > MAX_BUFFERED_BODY and self._head is not None:
                 # Too large to hold: it is written to its brick as it comes.
                 self.length = self._head.length
                 self._up = self._front.engine.stage_upload(order, self)
@@ -509,7 +510,7 @@
 
     def leave(self) -> dict[str, Any]:
         told = {"chunked": self._chunked, "keep": self._keep, "asked": self.asked, "old": self._old,
-                "parser": self._parser.state}  # fmt: skip
+                "parser": self._parser.export_state()}  # fmt: skip
         self._source, self.lost = None, True
         self._front.emptied(self)
         return told
@@ -525,7 +526,7 @@
         """Go on with an answer where another process left it."""
         self._ticket, self._source, self._chunked = 0, source, told["chunked"] is True
         self._keep, self._old, self.asked = told["keep"] is True, told["old"] is True, int(told["asked"])
-        self._parser.state = told["parser"]
+        self._parser.restore_state(told["parser"])
         self.unread = READ_BYTES
 
     def write(self, data: bytes) -> None:
@@ -586,7 +587,7 @@
                 self.link.loseConnection()
         elif self._paused and self.left:
             pass  # nobody reads it, and it has gone
-        elif self._ticket is None and not self._parser.between:
+        elif self._ticket is None and not self._parser.between_messages:
             if not self._paused and now > self._due():
                 self._front.engine.counts["half_sent"] += 1
                 self._fail(408, "the request took too long to arrive")
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -13,7 +13,8 @@
 from ..core.ports import Clock, Logger
 from ..net import Connection
 from ..operations import NotYet
-from .parser import BadMessage, Data, Head, Parser
+from .messages import BadMessage, Data, Head
+from .parser import Parser
 
 MOST_CALLS = 16  # connections at once; their descriptors are kept out of the clients' part
 ACCEPTS = 4  # in one turn, so that a flood of callers delays nobody for long
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -14,9 +14,10 @@
 from ..core.ports import Attempt, AttemptListener, BodySink, Clock
 from ..net import Connection, abort, send_now
 from .idle_times import IdleTimes
+from .messages import MAX_BUFFERED_BODY, BadMessage, Data, Head
 from .node_request import NodeRequest
 from .node_state import NodeState
-from .parser import WHOLE_BODY, BadMessage, Data, Head, Parser
+from .parser import Parser
 from .stream_handover import StreamState
 
 MAX_INTERIM_ANSWERS = 8  # 1xx answers before the real one
@@ -209,7 +210,8 @@
             self._interim_answers += 1
         if self._interim_answers > MAX_INTERIM_ANSWERS or head.status == 101:
             raise BadMessage("interim answers without end, or another protocol")
-        if head.status not in (200, *range(100, 200)) and (head.length is None or head.length > WHOLE_BODY):
+        large = head.length is None or head.length > MAX_BUFFERED_BODY
+        if head.status >= 200 and head.status != 200 and large:
             self._end_with(result_of(head))  # only its status counts: there is no need to wait for the rest
 
     def _body_received(self, data: bytes) -> None:
@@ -224,7 +226,7 @@
         self._body.append(data)
         # Small answers come within 20 ms, whatever their framing; what is larger is timed by its first bytes.
         slow = self._heard_us - self._first_byte_us > SLOW_US and self._body.length >= SLOW_BYTES
-        if (head.length or self._body.length) > WHOLE_BODY or (head.length is None and slow):
+        if (head.length or self._body.length) > MAX_BUFFERED_BODY or (head.length is None and slow):
             self._start_stream(head, self._body)
 
     def _start_stream(self, head: Head, body: Body) -> None:
@@ -257,7 +259,7 @@
             self._pool.idle_times.record(self._idled_us, False)
         self._used = True
         # With more behind the answer than belongs to it, the connection is never used again.
-        if head.keep_alive and self._parser.between and not self.lost:
+        if head.keep_alive and self._parser.between_messages and not self.lost:
             self._pool.connection_freed(self)
         else:
             self.abort()
@@ -306,7 +308,7 @@
             head.length,
             head.keep_alive,
             head.until_close,
-            self._parser.state,
+            self._parser.export_state(),
         )
         self._request = self._sink = None
         self.lost = True
@@ -323,7 +325,7 @@
         self._heard_us = now_us
         self.length = state.length
         self._head = Head("", "", 200, {}, state.keep_alive, state.length, until_close=state.until_close)
-        self._parser.state = state.parser
+        self._parser.restore_state(state.parser)
 
     def stream_to(self, sink: BodySink) -> None:
         """Pass on what comes from now on."""
--- a/gaugesail/lab/bricks.py
+++ b/gaugesail/lab/bricks.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..http.parser import Head
+from ..http.messages import Head
 from ..rehearsal.peers import Directory, HttpConnection, HttpListener
 from .nodes import Machine, Node, Work
 from .observer import Observer
--- a/gaugesail/lab/terminals.py
+++ b/gaugesail/lab/terminals.py
@@ -12,7 +12,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from ..http.parser import BadMessage, End, Head, Parser
+from ..http.messages import BadMessage, EndOfMessage, Head
+from ..http.parser import Parser
 from ..net import Connection, dial
 from .observer import Observer, Wish
 
@@ -106,7 +107,7 @@
                 for part in self._parser.parts():
                     if isinstance(part, Head):
                         self._head = part
-                    whole = isinstance(part, End)
+                    whole = isinstance(part, EndOfMessage)
                 if not whole or self._head is None:
                     return
                 head, self._head = self._head, None
--- a/gaugesail/rehearsal/fleet/world.py
+++ b/gaugesail/rehearsal/fleet/world.py
@@ -14,7 +14,7 @@
 
 from twisted.python.failure import Failure
 
-from ...http.parser import Head
+from ...http.messages import Head
 from ...lab.fleet import Judge, Limit
 from ...lab.troubles import MEAN, SIZES
 from ...net import dial
--- a/gaugesail/rehearsal/judge.py
+++ b/gaugesail/rehearsal/judge.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..http.parser import BadMessage, End, Head, Parser
+from ..http.messages import BadMessage, EndOfMessage, Head
+from ..http.parser import Parser
 
 SLACK_S = 0.05  # that the protocol adds to each time limit
 STALL_LOOK_S = 0.1
@@ -189,9 +190,9 @@
                         name = part.headers.get("request-id", part.target)
                         self._owed = self.judge.asked(self.who, name, self._start)
                         self._open.append(self._owed)
-                    elif isinstance(part, End):
+                    elif isinstance(part, EndOfMessage):
                         self._whole()
-                        self._start = self._sent.taken
+                        self._start = self._sent.bytes_read
                         more = self._sent.buffered > 0
         except BadMessage:
             self._bad = True
@@ -209,7 +210,7 @@
         """The head of a final answer has come."""
         if self._open:
             self._open[0].begun = True
-        elif not self._bad and self._sent.between:
+        elif not self._bad and self._sent.between_messages:
             self.judge.fault(f"{self.who}: an answer that nothing asked for: {head.status}")
         self._refused = 400 <= head.status < 500 and not head.keep_alive
 
--- a/gaugesail/rehearsal/peers.py
+++ b/gaugesail/rehearsal/peers.py
@@ -11,7 +11,8 @@
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
-from ..http.parser import WHOLE_BODY, BadMessage, Data, Head, Parser
+from ..http.messages import MAX_BUFFERED_BODY, BadMessage, Data, Head
+from ..http.parser import Parser
 from ..net import Connection, dial
 from .judge import Judge, RequestBook
 
@@ -115,7 +116,7 @@
                 self._head, self._body = part, b""
                 self.headed(part)
             elif isinstance(part, Data):
-                if len(self._body) <= WHOLE_BODY < len(self._body) + len(part.data):
+                if len(self._body) <= MAX_BUFFERED_BODY < len(self._body) + len(part.data):
                     self._owner.begins(self._head)
                 self._body += part.data
             elif self._head is not None:
--- a/gaugesail/rehearsal/soak/clients.py
+++ b/gaugesail/rehearsal/soak/clients.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from ...http.parser import Head
+from ...http.messages import Head
 from ...net import dial
 from ..peers import HttpConnection
 from . import plan
--- a/gaugesail/rehearsal/soak/discovery.py
+++ b/gaugesail/rehearsal/soak/discovery.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ...http.parser import Head
+from ...http.messages import Head
 from ..peers import HttpConnection, HttpListener
 from .judge import TOLD_LATEST_S
 from .nodes import SoakNode
--- a/gaugesail/rehearsal/soak/nodes.py
+++ b/gaugesail/rehearsal/soak/nodes.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Any
 
-from ...http.parser import Head
+from ...http.messages import Head
 from ..peers import HttpConnection, HttpListener
 from .judge import Arrival, Asked, ColdNodeWindow, Rule, SoakJudge
 
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -19,8 +19,9 @@
 from gaugesail.buffers import Body, BufferPool, PoolEmpty
 from gaugesail.http.discovery import BadList, read_list, split_address
 from gaugesail.http.idle_times import IdleTimes
+from gaugesail.http.messages import BadMessage, Data, EndOfMessage, Head
 from gaugesail.http.node_connection import NodeConnection
-from gaugesail.http.parser import BadMessage, Data, End, Head, Parser
+from gaugesail.http.parser import Parser
 from gaugesail.listening import ListeningPort
 from gaugesail.policy.events import AttemptResult
 from gaugesail.rehearsal import defaults
@@ -48,7 +49,7 @@
                     head, body = part, b""
                 elif isinstance(part, Data):
                     body += part.data
-                elif isinstance(part, End) and head is not None:
+                elif isinstance(part, EndOfMessage) and head is not None:
                     found.append((head.target or str(head.status), body, head.keep_alive))
                     more = True
     return found
