--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -18,7 +18,7 @@
 from .core.clock import ReactorClock, boot_ns, use_monotonic_time
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
-from .http.discovery import DiscoveryClient
+from .http.discovery import DiscoveryClient, DiscoverySettings
 from .http.front import ClientConnection, ClientFront
 from .http.node_connection import NodeConnection
 from .http.node_pool import NodePool
@@ -57,13 +57,15 @@
         self.discovery = DiscoveryClient(
             reactor,
             self.clock,
-            config.discovery,
-            config.zones,
-            config.kinds,
             log,
+            DiscoverySettings(
+                config.discovery,
+                config.zones,
+                config.kinds,
+                config.settings.drain_grace_us if config.pushed else None,
+            ),
             self.transport.update_addresses,
-            lambda news: self.engine.update_endpoints(news),
-            config.settings.drain_grace_us if config.pushed else None,
+            lambda endpoints: self.engine.update_endpoints(endpoints),
         )
         self.needs_list = config.pushed
         self.engine = Engine(config.settings, config.seed, self.clock, self.transport, self.discovery, log)
@@ -82,7 +84,7 @@
     def known(self, told: dict[str, Any]) -> EndpointList:
         # Another service may count its revisions from anywhere: the process before must have used the same.
         same = told.get("discovery") == self.discovery.host
-        news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
+        news: EndpointList = self.discovery.load_cached(told["list"] if same else self._config.known)
         return news
 
     def bequeath(self) -> tuple[int, dict[str, Any]] | None:
@@ -136,8 +138,8 @@
         self._kept(self._config, config, LIVE)
         self._config = replace(config, limits=self._config.limits)
         self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
-        self.discovery.retune(config.zones, config.kinds)
-        self.discovery.move(config.discovery)
+        self.discovery.change_names(config.zones, config.kinds)
+        self.discovery.change_address(config.discovery)
         self.retune(config.settings)
         classes = ",".join(spec.name for spec in config.settings.classes)
         self._log.info("reloaded", discovery=self.discovery.host, classes=classes)
--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -12,7 +12,7 @@
 from gaugesail.policy.settings import Settings
 from gaugesail.simulator.protocol import WireError, parse_settings
 
-from .http.discovery import BadList, split_address
+from .http.endpoint_reader import BadList, split_address
 from .http.management import MOST_CALLS
 from .net import descriptors
 
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -24,7 +24,7 @@
 
 from ..core.engine import Engine
 from ..core.ports import Clock, DelayedCall, Logger
-from ..http.discovery import BadList, split_address
+from ..http.endpoint_reader import BadList, split_address
 from .link import FleetReactor, Link
 from .settings import FleetSettings, digest
 from .store import FleetStore, StoreBusy, StoreFailed
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -14,7 +14,7 @@
 
 from gaugesail.coordination.fleet_terms import MOST_KEEPERS, FleetTerms
 
-from ..http.discovery import BadList, split_address
+from ..http.endpoint_reader import BadList, split_address
 
 LEAST_KEY = 16
 
--- a/gaugesail/iscsi/operator.py
+++ b/gaugesail/iscsi/operator.py
@@ -13,7 +13,7 @@
 from gaugesail.policy.events import Endpoint
 from gaugesail.policy.settings import InvalidSetting, Plan, RequestClass, Settings
 
-from ..http.discovery import MODES, BadList, split_address
+from ..http.endpoint_reader import STATES, BadList, split_address
 from ..net import descriptors
 
 RULE_KEYS = {  # key of the [rules] table: field of Settings
@@ -237,14 +237,14 @@
     for where, row in _each(data, "node"):
         try:
             name, phase = _table(row, "id", str).encode(), _table(row, "phase", str, "Ready")
-            if phase not in MODES:
-                raise OperatorError(f"phase: {phase!r} is none of {', '.join(MODES)}")
+            if phase not in STATES:
+                raise OperatorError(f"phase: {phase!r} is none of {', '.join(STATES)}")
             if name in nodes:
                 raise OperatorError(f"id {name.decode()!r} comes twice")
             address = split_address(row.get("address"))
             started = _whole(row, "up_since_ms", 0, 1 << 52, 0) * 1000
             shard, power = _whole(row, "shard", 0, 65535), _table(row, "power", float, 1.0)
-            node = Endpoint(name, shard, MODES[phase], capacity=power, started_us=started)
+            node = Endpoint(name, shard, STATES[phase], capacity=power, started_us=started)
             nodes[name] = NodeLine(address, _table(row, "target", str, ""), node)
         except (BadList, OperatorError) as error:
             raise OperatorError(f"{where}: {error}") from None
--- a/gaugesail/rehearsal/worlds.py
+++ b/gaugesail/rehearsal/worlds.py
@@ -21,7 +21,7 @@
 from .. import config as configuration
 from ..app import Head
 from ..core.clock import ReactorClock, use_monotonic_time
-from ..http.discovery import split_address
+from ..http.endpoint_reader import split_address
 from ..iscsi.app import IscsiHead
 from ..iscsi.operator import read_operator, write_toml
 from ..logs import make_logger
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -17,7 +17,7 @@
 
 from gaugesail import config
 from gaugesail.buffers import Body, BufferPool, PoolEmpty
-from gaugesail.http.discovery import BadList, read_list, split_address
+from gaugesail.http.endpoint_reader import BadList, read_list, split_address
 from gaugesail.http.idle_times import IdleTimes
 from gaugesail.http.messages import BadMessage, Data, EndOfMessage, Head
 from gaugesail.http.node_connection import NodeConnection
@@ -158,11 +158,11 @@
 def test_the_list_keeps_zero_and_turns_milliseconds_into_the_clocks_microseconds() -> None:
     row = {"id": "n", "host_port": "10.0.0.1:9", "cell": 3, "phase": "Ready", "up_since_ms": 0}
     gone = {"id": "g", "cell": 1, "phase": "Gone", "up_since_ms": 1_700_000_000_123}
-    version, full, nodes, lines = read_list(
-        {"revision": 4, "complete": False, "members": [row, gone]}, [], []
-    )
-    assert (version, full, nodes[0].started_us, nodes[1].started_us) == (4, False, 0, 1_700_000_000_123_000)
-    assert lines[b"n"] is not None and lines[b"n"].ready and lines[b"g"] is None
+    listed = read_list({"revision": 4, "complete": False, "members": [row, gone]}, [], [])
+    assert (listed.revision, listed.complete) == (4, False)
+    assert [endpoint.started_us for endpoint in listed.endpoints] == [0, 1_700_000_000_123_000]
+    address = listed.addresses[b"n"]
+    assert address is not None and address.ready and listed.addresses[b"g"] is None
 
 
 @pytest.mark.parametrize("bad", [{}, {"revision": 1, "complete": True, "members": [{"id": "n"}]}, []])
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -116,9 +116,9 @@
     for n in range(1000):
         name = f"s-{n}"
         line = {"id": name, "host_port": "127.0.0.1:1", "cell": 0, "phase": "Ready"}
-        head.discovery.heard({"revision": 9, "complete": False, "members": [line]})
+        head.discovery.receive({"revision": 9, "complete": False, "members": [line]})
         head.transport._nodes[name.encode()] = type(head.transport._nodes[b"b1"])(name.encode())
-        head.discovery.heard({"revision": 9, "complete": False, "members": [line | {"phase": "Gone"}]})
+        head.discovery.receive({"revision": 9, "complete": False, "members": [line | {"phase": "Gone"}]})
     head.transport.sweep()
     assert (len(head.transport._addresses), len(head.transport._nodes)) == before
 
