--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -32,8 +32,8 @@
     """Where discovery is, and how its lists are read.
 
     Where ``pushed_grace_us`` is given, the time that drains leave, an agent beside us has the list pushed to
-    it.  What it has counts as notified from our first moment: it is asked for all of it, and until that is there
-    our list may be older than what binds us.
+    it.  What it has counts as notified from our first moment: it is asked for all of it, and until that is
+    there our list may be older than what binds us.
     """
 
     address: tuple[str, int]
--- a/tests/coordination/test_leases_and_bootstrap.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -11,16 +11,21 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.bootstrap import Bootstrap, BootstrapRecord, name_of, seat_of, store_of
+from gaugesail.coordination.bootstrap import Bootstrap, BootstrapRecord
 from gaugesail.coordination.consensus import RaftNode, Snapshot
+from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
-from gaugesail.coordination.lease_manager import COMPLY_US, LeaseManager
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
+from gaugesail.coordination.lease_manager import LeaseManager
+from gaugesail.coordination.quota_allocator import RELEASE_TIMEOUT_US
 from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.replica_id import make_replica_id, name_of, store_id_of
 from gaugesail.measure.planted import planted
 from gaugesail.policy.events import QuotaChanged
-from gaugesail.policy.rate_limits import FLOOR_HOLD_US, RateLimits, TokenBucket
+from gaugesail.policy.rate_limits import FLOOR_HOLD_US, RateLimits
 from gaugesail.policy.settings import Plan, RequestClass, Settings
+from gaugesail.policy.token_bucket import TokenBucket
 
 SECOND = 1_000_000
 PLAN = Plan("p", 100.0, limit=100.0, limit_burst=80.0)
@@ -231,7 +236,7 @@
         leader.ask(1, session, demands=want(200_000))
     less = (("p", 20_000, 80_000),)
     leader.ask(1, session, demands=want(200_000), limits=less)
-    leader.now += COMPLY_US
+    leader.now += RELEASE_TIMEOUT_US
     leader.ask(1, session, demands=want(200_000), limits=less)
     leader.now += 1000
     said = leader.ask(1, session, demands=want(200_000), limits=less)
@@ -258,7 +263,7 @@
 
 def talk(all_: dict[str, Bootstrap], now: int, deaf: str = "") -> None:
     said = [(name, to, what) for name, one in all_.items()
-            for to, what in one.tick(now, bool(one.kept.fleet))]  # fmt: skip
+            for to, what in one.tick(now, bool(one.record.fleet_id))]  # fmt: skip
     while said:
         sender, to, what = said.pop(0)
         if to in all_ and deaf not in (sender, to):
@@ -270,12 +275,12 @@
     all_ = founders()
     for n in range(4):
         talk(all_, n * SECOND, deaf="c")
-    assert not any(one.kept.fleet for one in all_.values())
+    assert not any(one.record.fleet_id for one in all_.values())
     for n in range(4, 8):
         talk(all_, n * SECOND)
-    assert len({one.kept.fleet for one in all_.values()}) == 1 and all_["a"].kept.fleet
-    assert all_["c"].kept.seats == tuple(sorted(seat_of(name, f"s-{name}") for name in "abc"))
-    assert (name_of("x#y#z"), store_of("x#y#z")) == ("x#y", "z")
+    assert len({one.record.fleet_id for one in all_.values()}) == 1 and all_["a"].record.fleet_id
+    assert all_["c"].record.voters == tuple(sorted(make_replica_id(name, f"s-{name}") for name in "abc"))
+    assert (name_of("x#y#z"), store_id_of("x#y#z")) == ("x#y", "z")
 
 
 def test_who_is_bound_to_one_founder_is_bound_to_no_other() -> None:
@@ -283,12 +288,14 @@
     b = all_["b"]
     b.receive("a", m.BootstrapBind("d", "s-a"))
     b.receive("a", m.BootstrapBind("d", "another store under that name"))
-    assert b.kept.bound == "s-a" and b.dirty
+    assert b.record.bound_to == "s-a" and b.unsaved
     b.receive("c", m.BootstrapBind("d", "s-c"))
-    assert b.kept.bound == "s-a", "only the first of the names founds"
-    told = m.BootstrapStatus("d", "s-a", "fleet", (seat_of("a", "x"), seat_of("b", "s-b")), "x")
+    assert b.record.bound_to == "s-a", "only the first of the names founds"
+    told = m.BootstrapStatus(
+        "d", "s-a", "fleet", (make_replica_id("a", "x"), make_replica_id("b", "s-b")), "x"
+    )
     b.receive("a", told)
-    assert not b.kept.fleet, "that fleet was founded by another store"
+    assert not b.record.fleet_id, "that fleet was founded by another store"
 
 
 def test_strangers_are_told_and_a_fresh_store_asks_for_a_seat() -> None:
@@ -297,16 +304,16 @@
         talk(all_, n * SECOND)
     a = all_["a"]
     a.receive("b", m.BootstrapStatus("other file", "s-b", "", (), ""))
-    assert "differs" in a.strange["b"]
+    assert "differs" in a.conflicts["b"]
     a.receive("b", m.BootstrapStatus("d", "s-b", "another", (), ""))
-    assert "another fleet" in a.strange["b"]
+    assert "another fleet" in a.conflicts["b"]
     fresh = Bootstrap("c", "fresh", ("a", "b", "c"), "d", BootstrapRecord())
     for to, said in fresh.tick(9 * SECOND, False):
         assert isinstance(said, m.BootstrapStatus | m.BootstrapBind)
         for back, answer in all_[to].receive("c", said):
             assert back == "c" and isinstance(answer, m.BootstrapStatus | m.BootstrapBind)
             fresh.receive(to, answer)
-    assert fresh.kept.fleet == a.kept.fleet and a.applicants()["c"] == "fresh"
+    assert fresh.record.fleet_id == a.record.fleet_id and a.take_applicants()["c"] == "fresh"
 
 
 class Leases(RuleBasedStateMachine):
@@ -317,7 +324,7 @@
         self.leader = Leader()
         self.air: list[tuple[int, Any]] = []  # for which holder, 0: the leader
         self.holders = {
-            n: LeaseHolder(CHARTER, "d", f"h{n}", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
+            n: LeaseHolder(CHARTER, "d", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
             for n in (1, 2)
         }
         for one in self.holders.values():
@@ -332,7 +339,8 @@
     @rule(n=st.sampled_from([1, 2]), rate=st.sampled_from([0, 20, 60, 200]))
     def want(self, n: int, rate: int) -> None:
         one, now = self.holders[n], self.leader.now
-        one.record_demand(now, {"p/1": (rate / 10, rate / 10, 0.0, 1000)} if rate else {})
+        usage = QuotaUsage(rate / 10, rate / 10, 0.0, 1000)
+        one.record_demand(now, {"p/1": usage} if rate else {})
         one.tick(now, ["a"])
         self.say()
 
