--- a/gaugesail/policy/actions.py
+++ b/gaugesail/policy/actions.py
@@ -16,8 +16,8 @@
 class StartAttempt:
     """Send a request to a node.
 
-    An attempt that has not begun by ``start_before_us`` ends as ``NOT_STARTED``: its quota was this gateway's
-    until then.  0 is any time.
+    An attempt that has not started by ``start_before_us`` ends as ``NOT_STARTED``: its quota was this
+    gateway's until then.  0: it may start at any time.
     """
 
     request_id: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: not done, and harmless to retry."""
+    """Final answer: not executed, and harmless to retry."""
 
     request_id: int
     retry_after_us: int = 0
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: failed, and possibly executed."""
 
     request_id: int
 
@@ -54,7 +54,7 @@
     """Ask for ``TimerFired`` at or after a time."""
 
     at_us: int
-    token: int
+    token: int  # a ``timers.Timer``
 
 
 @dataclass(slots=True, frozen=True)
@@ -116,6 +116,6 @@
 
 
 def plain_fields(item: object) -> Iterator[tuple[str, object]]:
-    """Name and value of each field of an event or action, for logs and tests."""
+    """The name and the value of each field of an event or action, for logs and tests."""
     for name in getattr(item, "__slots__", ()):
         yield name, getattr(item, name)
--- a/gaugesail/policy/events.py
+++ b/gaugesail/policy/events.py
@@ -1,4 +1,4 @@
-"""What a gateway is told while it runs.
+"""What a gateway takes in while it runs.
 
 Events are immutable and carry no behaviour.  All times are integer microseconds of the caller's monotonic
 clock, all sizes are units of work.
@@ -17,7 +17,7 @@
 
     SERVED = 0
     ERROR = 1  # the node failed it; it may have run
-    REJECTED = 2  # the node refused it unseen: it never ran
+    REJECTED = 2  # the node did not accept it: it never ran
     TIMEOUT = 3  # it may have run, or may still run
     NO_CONNECTION = 4  # it never ran
     RESET = 5  # it may have run
@@ -28,7 +28,7 @@
 class EndpointListKind(Enum):
     """What a list event carries."""
 
-    CHANGES = "changes"  # the endpoints named, and no others, are as told
+    CHANGES = "changes"  # endpoints that are not named stay as they are
     FULL = "full"  # endpoints that are not named are gone
     CACHED = "cached"  # the list of an earlier process: it may be old
     FAILED = "failed"  # no list: a call to discovery failed
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """The endpoint list, changes to it, or news that a call for it failed."""
+    """The endpoint list, changes to it, or the failure of a call for it."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request, which the gateway now owes one final answer."""
+    """A client's request, which is owed one final answer."""
 
     request_id: int
     class_index: int
@@ -73,7 +73,7 @@
     shard: int = -1  # -1: a new object, which any shard may take
     plan_index: int = 0
     units: float = 1.0
-    key: int = 0  # of idempotency and of ordering; 0: none
+    key: int = 0  # idempotency key and ordered key; 0: none
     volume_id: int = 0
     gateways_in_use: float = 1.0  # through which the volume's requests can come
     is_retry: bool = False  # marked so by the client
@@ -101,14 +101,14 @@
     result: AttemptResult
     elapsed_us: int = 0
     request_finished: bool = False
-    quota_used: int = 0  # 1 + percent of the plan's rate; 0: not told
+    quota_used: int = 0  # 1 + percent of the plan's rate; 0: not known
     served_elsewhere_units: int = 0  # for the volume, by this shard, through other gateways
     load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client left: its request is owed no answer any more."""
 
     request_id: int
 
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MaintenanceChanged:
-    """Operators take a node out of use, or put it back; until then no list does."""
+    """Operators take a node out of use, or put it back: until then it is out whatever lists say."""
 
     node_id: NodeId
     in_maintenance: bool
@@ -148,26 +148,28 @@
 
 @dataclass(slots=True, frozen=True)
 class SiblingProcessChanged:
-    """Another process of this gateway works beside this one, or no longer: together they are one gateway."""
+    """Another process of this gateway works beside this one, or no longer does."""
 
     present: bool
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings from now on; open requests keep their own."""
+    """Other settings from now on; open requests keep those that they were received under."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaChanged:
-    """What the fleet lets this gateway spend: rates in units a second, bursts in units."""
+    """What the fleet lets this gateway send: rates in units a second, bursts in units."""
 
-    lease_until_us: int  # allocations may be spent until then, floors at any time
+    lease_until_us: int  # allocations hold until then, floors at any time
     allocations: tuple[tuple[str, int, float, float], ...] = ()  # plan, volume, rate, burst: the changed ones
-    floors: tuple[tuple[str, float, float], ...] | None = None  # of each volume of a plan; None: as before
-    replaces_all: bool = False  # allocations that are not named are nothing
+    floors: tuple[tuple[str, float, float], ...] | None = (
+        None  # by plan, for each of its volumes: rate and burst; None: as before
+    )
+    replaces_all: bool = False  # allocations that are not named end
 
 
 Event = (
--- a/gaugesail/policy/gateway.py
+++ b/gaugesail/policy/gateway.py
@@ -59,16 +59,21 @@
         self.rate_limits = RateLimits(settings, now)
         self.retry_budget = RetryBudget(settings)
         self.recovery = RecoveryRamp(settings, self.slow_start, random.Random(seed + 1))
-        router = Router(self.slow_start, random.Random(seed + 2))
         self.node_table = NodeTable(state, self.slow_start, self.recovery)
+        self.volumes = VolumeTable(state, self.rate_limits)
         self._endpoint_watch = EndpointWatch(state)
         self._ordered_keys = OrderedKeys(state, self.node_table)
-        self.volumes = VolumeTable(state, self.rate_limits)
+        router = Router(self.slow_start, random.Random(seed + 2))
         self._queue = RequestQueue(state, self.node_table, self._ordered_keys, self.recovery, router)
+        self._queue_check = QueueCheck(state, self.node_table, self._queue, self.volumes)
+        self._congestion_windows = CongestionWindows(state, self.recovery)
         outliers = OutlierDetector(state)
         self.dispatcher = Dispatcher(
             state, self.volumes, self.retry_budget, self.slow_start, self.recovery, outliers
         )
+        self._attempt_results = AttemptResults(
+            state, self.node_table, self._queue, self._ordered_keys, self.slow_start, self.recovery, outliers
+        )
         self._admission = Admission(
             state,
             self.node_table,
@@ -78,17 +83,6 @@
             self.retry_budget,
             self.recovery,
         )
-        self._queue_check = QueueCheck(state, self.node_table, self._queue, self.volumes)
-        self._attempt_results = AttemptResults(
-            state,
-            self.node_table,
-            self._queue,
-            self._ordered_keys,
-            self.slow_start,
-            self.recovery,
-            outliers,
-        )
-        self._congestion_windows = CongestionWindows(state, self.recovery)
         self._queue_check_is_due = False
         self._set_timer(CONTROL_PERIOD_US, Timer.CONTROL_PERIOD)
         if settings.subscribes_to_endpoints:
--- a/gaugesail/policy/settings.py
+++ b/gaugesail/policy/settings.py
@@ -1,4 +1,4 @@
-"""What one gateway is told at its start: classes of requests, plans of volumes, and limits of the site.
+"""The settings of one gateway: classes of requests, plans of volumes, and limits of the site.
 
 Settings are immutable.  New ones reach a running gateway as a ``SettingsChanged`` event; a request that is
 open keeps those it was received under.  All times are integer microseconds, all sizes are units of work.
@@ -16,7 +16,8 @@
 class InvalidSetting(ValueError):
     """A setting has a value that cannot be used.
 
-    ``name`` is the field; readers of files and wires put the name that they gave it in its place (``named``).
+    :param name: the field; readers of files and wires replace it by the key that they read (``named``).
+    :param expectation: what the field needs, or what is wrong with its value.
     """
 
     def __init__(self, name: str, expectation: str) -> None:
@@ -25,7 +26,7 @@
         self.expectation = expectation
 
     def named(self, key: str) -> str:
-        """The message with the name that the setting has where it was read."""
+        """The message with the key that the setting has where it was read."""
         return f"{key}: {self.expectation}"
 
 
@@ -46,7 +47,7 @@
 
 
 def _require(owner: object, name: str, low: float, above: bool = False) -> None:
-    """Check that a field is a finite number of at least ``low``, or above it."""
+    """Check that a field is a finite number of at least ``low``, or above it; raise ``InvalidSetting``."""
     value = getattr(owner, name)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise InvalidSetting(name, f"a number is needed, not {value!r}")
@@ -56,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests; raises ``InvalidSetting``."""
 
     name: str
     latency_objective_us: int  # an answer later than this earns ``late_weight_share`` of its weight
@@ -78,14 +79,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a volume on this plan is owed and allowed, over all gateways and nodes, in units a second."""
+    """What a volume on this plan is guaranteed and allowed, over all gateways and nodes.
+
+    Rates are in units a second.  Raises ``InvalidSetting``.
+    """
 
     name: str
     rate: float = 0.0  # its fair share
-    reserve: float = 0.0  # what it is always given
+    reserve: float = 0.0  # its guaranteed rate
     share_weight: float = 1.0
     priority_weight: float = 1.0  # multiplies that of the request's class
-    limit: float = 0.0  # never exceeded; 0: no limit
+    limit: float = 0.0  # its rate limit; 0: none
     limit_burst: float = 0.0  # units
     limit_slack: float = 0.0  # units
 
@@ -104,30 +108,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """The settings of one gateway; raises ``InvalidSetting``."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     gateway_count: int = 1
     gateway_index: int = 0
-    tick_us: int = 1000  # the least time between two looks at what waits
-    answer_slack_us: int = 0
-    drain_grace_us: int = 0
+    tick_us: int = 1000  # the least time between two looks at the queues
+    answer_slack_us: int = 0  # by which an answer may come after its client's deadline
+    drain_grace_us: int = 0  # in which a draining node may still be sent requests
     # A node that warms up fails once it gets more than ``overload_factor`` times its present capacity within
     # ``overload_window_us``; 0: nodes need no slow start.
     overload_window_us: int = 0
     overload_factor: float = 1.0
-    initial_capacity_share: float = 1.0  # of its whole capacity, right after a start
-    warm_up_us: int = 0
+    initial_capacity_share: float = 1.0  # of its full capacity, right after a start
+    warm_up_us: int = 0  # from the start to full capacity, at the longest
     initial_capacity_units: float = 0.0  # in one overload window, right after a start
-    ordered_key_pause_us: int = 0  # after an attempt whose end is not known
+    ordered_key_pause_us: int = 0  # after an attempt that may still be running
     retry_budget_free: float = 0.0  # retries in one window, whatever is received
-    retry_budget_share: float = 0.0  # and for each request received in it
+    retry_budget_share: float = 0.0  # further retries for each request received in it
     retry_budget_window_us: int = 0  # 0: retries have no budget
     mean_request_units: float = 1.0
     max_request_units: float = 1.0
-    fair_share_weight: float = 1.0  # of a unit within the volume's fair share, to one within its reserve
-    beyond_share_weight: float = 1.0  # and of one beyond that
+    fair_share_weight: float = 1.0  # of a unit within the volume's fair share; 1 within its reserve
+    beyond_share_weight: float = 1.0  # of a unit beyond its fair share
     reports_usage_elsewhere: bool = False
     subscribes_to_endpoints: bool = False
     cancel_allowed: bool = False
@@ -136,15 +140,15 @@
     retry_after_allowed: bool = False
     max_attempts: int = 1
     max_retry_after_us: int = 0
-    shard_count: int = 0  # 0: not told
+    shard_count: int = 0  # 0: not known
     clients_mark_retries: bool = False
-    fleet_quota: bool = False  # limits are divided among the gateways as they run (QuotaChanged)
-    recovery_queue: bool = True  # clients that are rejected while a shard is away get a place in its queue
+    fleet_quota: bool = False  # the fleet divides limits among the gateways while they run (QuotaChanged)
+    recovery_queue: bool = True  # clients that are rejected while a shard is down get a place in its queue
     load_report_fields: tuple[str, ...] = field(default=())
 
     @property
     def longest_retry_after_us(self) -> int:
-        """The longest Retry-After that a client may be told; 0: clients are told none."""
+        """The longest Retry-After that a client may be given, in microseconds; 0: it is given none."""
         return self.max_retry_after_us if self.retry_after_allowed else 0
 
     def __post_init__(self) -> None:
