--- a/tests/coordination/test_leases_and_bootstrap.py
+++ b/tests/coordination/test_leases_and_bootstrap.py
@@ -12,7 +12,7 @@
 
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.bootstrap import Bootstrap, BootstrapRecord
-from gaugesail.coordination.consensus import RaftNode, Snapshot
+from gaugesail.coordination.consensus import RaftNode
 from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.gateway_floor import HeadFloor
@@ -20,6 +20,7 @@
 from gaugesail.coordination.lease_manager import LeaseManager
 from gaugesail.coordination.quota_allocator import RELEASE_TIMEOUT_US
 from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.raft_log import RaftLog, Snapshot
 from gaugesail.coordination.replica_id import make_replica_id, name_of, store_id_of
 from gaugesail.measure.planted import planted
 from gaugesail.policy.events import QuotaChanged
@@ -122,7 +123,7 @@
     def __init__(self) -> None:
         self.now = 100 * SECOND
         self.raft = RaftNode(
-            "a#1", random.Random(1), self.now, snapshot=Snapshot(0, 0, ("a#1",)), may_vote=True
+            "a#1", random.Random(1), self.now, log=RaftLog(Snapshot(0, 0, ("a#1",))), may_vote=True
         )
         self.raft.tick(self.now + 9 * SECOND)
         self.ledger = QuotaLedger(CHARTER)
@@ -134,7 +135,7 @@
         office: Any = getattr(self, "office", None)
         for _ in range(6):
             self.raft.flush(self.now)
-            for index, command in self.raft.committed():
+            for index, command in self.raft.log.take_committed():
                 done = self.ledger.apply(index, command)
                 if office is not None:
                     office.entry_applied(self.now, index, command, done)
@@ -146,7 +147,7 @@
         self.number += 1
         given: dict[str, Any] = {
             "terms_digest": "d",
-            "store": f"s{process}",
+            "store_id": f"s{process}",
             "limits": (("p", 100_000, 80_000),),
             "floor_slot": -1,
             "floor_version": 0,
