--- a/gaugesail/coordination/raft_log.py
+++ b/gaugesail/coordination/raft_log.py
@@ -200,7 +200,7 @@
 
     def _note_voters(self, index: int, command: Command) -> None:
         if isinstance(command, ReplaceVoters):
-            self._voters.append((index, command.seats))
+            self._voters.append((index, command.voters))
 
     # ---- what is to be written ----
 
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -13,7 +13,7 @@
 from gaugesail.fleet.link import Link
 from gaugesail.fleet.settings import read_fleet
 from gaugesail.fleet.store import FleetStore, StoreFailed
-from gaugesail.fleet.wire import MOST_DATAGRAM, Wire
+from gaugesail.fleet.wire import MAX_DATAGRAM_BYTES, Wire
 from gaugesail.logs import make_logger
 from gaugesail.policy.events import QuotaChanged
 from gaugesail.policy.settings import Plan, RequestClass, Settings
@@ -144,7 +144,7 @@
     assert fleet.reactor.run_until(lambda: "fleet_store_failed" in fleet.log.getvalue(), 10.0)
     agent.leave()
     fleet.run(10)
-    assert "fleet_begins_anew" not in fleet.log.getvalue()
+    assert "fleet_restarted" not in fleet.log.getvalue()
     fleet.end()
 
 
@@ -173,7 +173,7 @@
     second = fleet.start("b")
     fleet.run(2)
     assert second.node is None and second.call("GET", ["members"])[0] == 503
-    assert "fleet_waits" in fleet.log.getvalue()
+    assert "fleet_start_delayed" in fleet.log.getvalue()
     first.leave()
     first.close()
     fleet.run(4)
@@ -209,7 +209,7 @@
             lambda sender, process, message: heard.append(message),
         )  # fmt: skip
         links[name].listen(*where[name])
-    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MOST_DATAGRAM))
+    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MAX_DATAGRAM_BYTES))
     links["a"].send("b", large)
     links["a"].send("b", m.DigestOffer(1))
     links["a"].send("c", m.DigestOffer(2))
@@ -224,5 +224,5 @@
     assert len(heard) == 2 and links["a"].counts["too_large"] == 1
     reactor.run_until(lambda: False, 30)
     links["a"].sweep()
-    assert not links["a"]._exchanges
+    assert not links["a"]._channels
     links["a"].close()
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -58,7 +58,7 @@
 
 def old_life(head: Gateway) -> None:
     """A new life takes its part at once, as if no earlier one had spent it."""
-    head.slow_start._born = 0
+    head.slow_start._started_at = 0
 
 
 def forgets(head: Gateway) -> None:
@@ -68,14 +68,14 @@
 
 def drops(head: Gateway) -> None:
     """What was sent is forgotten with the book of a node that a list has dropped."""
-    listed = head._list
+    update = head.node_table.update
 
     def heard(event: EndpointList) -> None:
         if event.kind is EndpointListKind.FULL:
             head.slow_start._unserved.clear()
-        listed(event)
+        update(event)
 
-    head.handlers[EndpointList] = heard
+    head.node_table.update = heard  # type: ignore[method-assign]
 
 
 def sound(head: Gateway) -> None:
