--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -1,7 +1,7 @@
 """Faults planted in the fleet's decisions, one at a time, to see that a schedule or a case finds each.
 
-Each replaces one guard by code without it, for as long as the ``with`` lasts; what it takes away is in its
-name and its sentence.
+Each replaces one safeguard by code without it, for as long as the ``with`` lasts.  Methods are patched by
+name: whoever renames one renames it here.
 """
 
 from __future__ import annotations
@@ -41,11 +41,18 @@
     return patch.object(owner, name, make(getattr(owner, name)))
 
 
-def _receipt(old: Any) -> Any:
-    return lambda self, now, sender, answer, asked, newest: old(self, now, sender, answer, now, newest)
+def _lease_from_receipt(old: Any) -> Any:
+    """A lease counts from when its response came."""
 
+    def renewed(
+        self: Any, now: int, sender: str, response: m.LeaseResponse, requested_at: int, is_latest: bool
+    ) -> None:
+        old(self, now, sender, response, now, is_latest)
 
-def _ordered_twice(self: Any, order: m.QuotaOrder) -> None:
+    return renewed
+
+
+def _add_order(self: Any, order: m.QuotaOrder) -> None:
     """An order adds what it says to what is there."""
     held = self.allocations.get(order.quota_name)
     rate = order.rate
@@ -58,7 +65,7 @@
     self._unreported[order.quota_name] = 0
 
 
-def _ordered_any(old: Any) -> Any:
+def _take_older_order(old: Any) -> Any:
     """An older order is taken in as if it were the latest."""
 
     def apply_order(self: Any, order: m.QuotaOrder) -> None:
@@ -70,8 +77,8 @@
     return apply_order
 
 
-def _no_wait(old: Any) -> Any:
-    """A new leader counts sessions from the beginning of time."""
+def _no_wait_after_election(old: Any) -> Any:
+    """A new leader counts the leases of the one before as over."""
 
     def init(self: Any, *given: Any) -> None:
         *most, now, _ = given
@@ -82,8 +89,8 @@
     return init
 
 
-def _unasked(self: Any, now: int, number: int, lease: Any, quota_names: Any) -> None:
-    """What a holder is asked to give up is written down at once."""
+def _release_unasked(self: Any, now: int, number: int, lease: Any, quota_names: Any) -> None:
+    """What a holder is asked to release is committed at once."""
     for quota_name, (rate, burst) in list(lease.release_targets.items()):
         allocation = self._ledger.allocations.get(quota_name, {}).get(number)
         if allocation is not None:
@@ -97,7 +104,7 @@
 
 
 def _allocate_anyway(self: Any, index: int, command: m.AllocateQuota) -> bool:
-    """The sum is not looked at."""
+    """The sum of the allocations is not checked."""
     if command.session not in self.sessions:
         return False
     self.allocations.setdefault(command.quota_name, {})[command.session] = quota_ledger.Allocation(
@@ -107,8 +114,10 @@
     return True
 
 
-def _told_early(self: Any, quota_name: str, session: int, rate: int, burst: int, replaced: int) -> None:
-    """A grant is told when it is proposed."""
+def _send_before_commit(
+    self: Any, quota_name: str, session: int, rate: int, burst: int, replaced: int
+) -> None:
+    """A holder is told of a grant when it is proposed."""
     command = m.AllocateQuota(quota_name, session, rate, burst, replaced)
     index = self._proposals.propose_allocation(command)
     found = self._ledger.sessions.get(session)
@@ -132,84 +141,86 @@
     return drop
 
 
-def _forever(old: Any) -> Any:
-    """What the lease gave is spent when it is over."""
+def _never_expire(old: Any) -> Any:
+    """What a lease gave is spent after it."""
 
-    def shares(self: Any, now: int, event: Any) -> None:
+    def update_quota(self: Any, now: int, event: Any) -> None:
         old(self, now, event)
         if event.lease_until_us:
             self._lease_until = 1 << 62
 
-    return shares
+    return update_quota
 
 
-def _not_kept(old: Any) -> Any:
-    """Entries are acknowledged and not written."""
+def _drop_entries(old: Any) -> Any:
+    """Log entries are acknowledged and not persisted."""
 
     def save(self: Any) -> Any:
         found = old(self)
         if found is not None:
-            found.first_index, found.entries = None, ()
+            found.first_index = None
+            found.entries = ()
         return found
 
     return save
 
 
-def _vote_forgotten(old: Any) -> Any:
-    """What is kept says no vote and an older term."""
+def _forget_vote(old: Any) -> Any:
+    """The persisted state has no vote, and an older term."""
 
     def save(self: Any) -> Any:
         found = old(self)
         if found is not None:
-            found.state.voted_for, found.state.term = "", max(0, found.state.term - 1)
+            found.state.voted_for = ""
+            found.state.term = max(0, found.state.term - 1)
         return found
 
     return save
 
 
-def _floor_any(self: Any, head: str, store: str) -> int:
-    """Whoever opens a session has the first floor."""
+def _share_floor_slot(self: Any, gateway: str, store_id: str) -> int:
+    """Whoever opens a session gets the first floor slot."""
     if 0 not in self.floor_slots:
-        self.floor_slots[0] = quota_ledger.FloorSlot(head, store, [self.limits_version])
+        self.floor_slots[0] = quota_ledger.FloorSlot(gateway, store_id, [self.limits_version])
         self._past_limits[self.limits_version] = self.limits
         self._reserved.clear()
     return 0
 
 
-def _full(old: Any) -> Any:
-    """A gateway begins with its store full."""
+def _begin_full(old: Any) -> Any:
+    """A gateway begins with full token buckets."""
 
-    def limit(self: Any, now: int, plan: Any, volume: int, mounts: float) -> Any:
-        fresh = (plan.name, volume, 0.0) not in self._buckets
-        store = old(self, now, plan, volume, mounts)
-        if fresh:
-            store.units = plan.limit_burst
-        return store
+    def open_bucket(self: Any, now: int, plan: Any, volume: int, gateways_in_use: float) -> Any:
+        is_new = (plan.name, volume, 0.0) not in self._buckets
+        bucket = old(self, now, plan, volume, gateways_in_use)
+        if is_new:
+            bucket.units = plan.limit_burst
+        return bucket
 
-    return limit
+    return open_bucket
 
 
-def _moved(old: Any) -> Any:
-    """A part that grows grows full."""
+def _grow_full(old: Any) -> Any:
+    """A token bucket that grows is filled by what it grows."""
 
-    def shares(self: Any, now: int, event: Any) -> None:
+    def update_quota(self: Any, now: int, event: Any) -> None:
         before = dict(self._allocations)
         old(self, now, event)
         for plan, volume, _, burst in event.allocations:
-            store = self._buckets.get((plan, volume, 0.0))
-            if store is not None:
-                store.units += max(0.0, burst - before.get((plan, volume), (0.0, 0.0))[1])
+            bucket = self._buckets.get((plan, volume, 0.0))
+            if bucket is not None:
+                bucket.units += max(0.0, burst - before.get((plan, volume), (0.0, 0.0))[1])
 
-    return shares
+    return update_quota
 
 
-def _closing_renewed(self: Any, now: int, number: int, lease: Any) -> bool:
-    """A session whose end is on its way is renewed."""
+def _renew_closing(self: Any, now: int, number: int, lease: Any) -> bool:
+    """A session whose end is proposed is renewed."""
     return True
 
 
-def _closed_early(old: Any) -> Any:
-    """A lease is counted from when it was asked for, and for half as long."""
+def _expire_early(old: Any) -> Any:
+    """A lease is counted for half as long as it lasts."""
 
     def tick(self: Any, now: int) -> None:
         old(self, now)
@@ -219,55 +230,55 @@
     return tick
 
 
-def _unconfirmed(self: Any) -> int:
-    """An ask is answered without a round."""
+def _all_confirmed(self: Any) -> int:
+    """A request is answered before a majority has confirmed the leader."""
     return 1 << 60
 
 
 PLANTS = (
-    Plant("lease_from_receipt", "a lease is counted from when its answer came",
-          lambda: [_method(lease_holder.LeaseHolder, "_renewed", _receipt)]),
-    Plant("grant_twice", "a grant that comes twice counts twice",
-          lambda: [patch.object(spending_rights.SpendingRights, "apply_order", _ordered_twice)]),
-    Plant("older_grant", "a grant older than what stands is taken in",
-          lambda: [_method(spending_rights.SpendingRights, "apply_order", _ordered_any)]),
+    Plant("lease_from_receipt", "a lease counts from when its response came",
+          lambda: [_method(lease_holder.LeaseHolder, "_renewed", _lease_from_receipt)]),
+    Plant("grant_twice", "an order that comes twice counts twice",
+          lambda: [patch.object(spending_rights.SpendingRights, "apply_order", _add_order)]),
+    Plant("older_grant", "an order older than the allocation is taken in",
+          lambda: [_method(spending_rights.SpendingRights, "apply_order", _take_older_order)]),
     Plant("no_wait_after_election", "a new leader does not wait for the leases of the one before",
-          lambda: [_method(lease_manager.LeaseManager, "__init__", _no_wait)]),
-    Plant("lower_unasked", "a part is taken down before its holder has given it up",
-          lambda: [patch.object(quota_allocator.QuotaAllocator, "_send_orders", _unasked)]),
+          lambda: [_method(lease_manager.LeaseManager, "__init__", _no_wait_after_election)]),
+    Plant("lower_release_unasked", "an allocation is lowered before its holder has released it",
+          lambda: [patch.object(quota_allocator.QuotaAllocator, "_send_orders", _release_unasked)]),
     Plant("no_drift", "the drift of clocks is left out",
           lambda: [patch.object(FleetTerms, "lease_with_drift_us", property(lambda self: self.lease_us))]),
-    Plant("no_sum", "the ledger takes a part without looking at the sum",
+    Plant("no_sum", "the ledger takes an allocation without checking the sum",
           lambda: [patch.object(quota_ledger.QuotaLedger, "_allocate", _allocate_anyway)]),
-    Plant("told_before_committed", "a grant is told before a majority has it",
-          lambda: [patch.object(quota_allocator.QuotaAllocator, "_propose", _told_early)]),
-    Plant("book_kept", "the parts of a session that is over are spent on",
+    Plant("told_before_committed", "a holder is told of a grant before a majority has it",
+          lambda: [patch.object(quota_allocator.QuotaAllocator, "_propose", _send_before_commit)]),
+    Plant("book_kept", "the allocations of a session that is over are still spent",
           lambda: [_method(spending_rights.SpendingRights, "drop", _keep_allocations)]),
-    Plant("expired_spent", "a part is spent after its lease",
-          lambda: [_method(rate_limits.RateLimits, "update_quota", _forever)]),
-    Plant("minority", "one keeper alone is a majority",
+    Plant("expired_spent", "an allocation is spent after its lease",
+          lambda: [_method(rate_limits.RateLimits, "update_quota", _never_expire)]),
+    Plant("minority", "one replica alone is a majority",
           lambda: [patch.object(consensus.RaftNode, "quorum_size", property(lambda self: 1))]),
-    Plant("entries_not_kept", "entries are acknowledged and not written",
-          lambda: [_method(consensus.RaftNode, "take_write", _not_kept)]),
-    Plant("any_log_elected", "who lacks entries is elected",
+    Plant("entries_drop_entries", "entries are acknowledged and not persisted",
+          lambda: [_method(consensus.RaftNode, "take_write", _drop_entries)]),
+    Plant("any_log_elected", "a replica that lacks entries is elected",
           lambda: [patch.object(consensus.RaftNode, "_is_up_to_date", lambda self, request: True)]),
-    Plant("floor_twice", "two heads have one floor",
-          lambda: [patch.object(quota_ledger.QuotaLedger, "_assign_floor_slot", _floor_any)]),
+    Plant("floor_twice", "two gateways have one floor",
+          lambda: [patch.object(quota_ledger.QuotaLedger, "_assign_floor_slot", _share_floor_slot)]),
     Plant("old_store_trusted", "an old copy of a store votes",
           lambda: [patch.object(store_fencing.StoreFence, "may_vote", lambda self, others: True),
                    patch.object(store_fencing, "may_be_latest", lambda known, mark: True)]),
-    Plant("born_full", "a process begins with a full store",
-          lambda: [_method(rate_limits.RateLimits, "open_bucket", _full)]),
-    Plant("grown_full", "a part that grows grows full",
-          lambda: [_method(rate_limits.RateLimits, "update_quota", _moved)]),
-    Plant("closed_early", "a lease is given up by its giver before its holder's end",
-          lambda: [_method(lease_manager.LeaseManager, "tick", _closed_early)]),
-    Plant("not_confirmed", "an ask is answered without a round of the majority",
-          lambda: [patch.object(consensus.RaftNode, "confirmed_round", property(_unconfirmed))]),
-    Plant("vote_not_kept", "a vote is given and not written",
-          lambda: [_method(node.FleetNode, "_save", _vote_forgotten)]),
-    Plant("closing_renewed", "a session whose end is on its way is renewed",
-          lambda: [patch.object(lease_manager.LeaseManager, "_may_renew", _closing_renewed)]),
+    Plant("born_full", "a process begins with full token buckets",
+          lambda: [_method(rate_limits.RateLimits, "open_bucket", _begin_full)]),
+    Plant("grown_full", "a token bucket that grows is filled by what it grows",
+          lambda: [_method(rate_limits.RateLimits, "update_quota", _grow_full)]),
+    Plant("closed_early", "the leader closes a session before the holder's lease ends",
+          lambda: [_method(lease_manager.LeaseManager, "tick", _expire_early)]),
+    Plant("not_confirmed", "a request is answered before a majority has confirmed the leader",
+          lambda: [patch.object(consensus.RaftNode, "confirmed_round", property(_all_confirmed))]),
+    Plant("vote_drop_entries", "a vote is given and not persisted",
+          lambda: [_method(node.FleetNode, "_save", _forget_vote)]),
+    Plant("closing_renewed", "a session whose end is proposed is renewed",
+          lambda: [patch.object(lease_manager.LeaseManager, "_may_renew", _renew_closing)]),
 )  # fmt: skip
 
 
