--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -244,7 +244,7 @@
           lambda: [_method(spending_rights.SpendingRights, "apply_order", _take_older_order)]),
     Plant("no_wait_after_election", "a new leader does not wait for the leases of the one before",
           lambda: [_method(lease_manager.LeaseManager, "__init__", _no_wait_after_election)]),
-    Plant("lower_release_unasked", "an allocation is lowered before its holder has released it",
+    Plant("lower_unasked", "an allocation is lowered before its holder has released it",
           lambda: [patch.object(quota_allocator.QuotaAllocator, "_send_orders", _release_unasked)]),
     Plant("no_drift", "the drift of clocks is left out",
           lambda: [patch.object(FleetTerms, "lease_with_drift_us", property(lambda self: self.lease_us))]),
