--- /dev/null
+++ b/tests/coordination/test_lease_manager.py
@@ -0,0 +1,230 @@
+"""The leader's leases: who is renewed, what is granted, and that holders never have more than the limit."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
+
+from gaugesail.coordination import messages as m
+from gaugesail.coordination.consensus import RaftNode
+from gaugesail.coordination.demand_tracker import QuotaUsage
+from gaugesail.coordination.fleet_terms import FleetTerms
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
+from gaugesail.coordination.lease_manager import LeaseManager
+from gaugesail.coordination.quota_allocator import RELEASE_TIMEOUT_US
+from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.raft_log import RaftLog, Snapshot
+from gaugesail.measure.planted import planted
+
+SECOND = 1_000_000
+TERMS = FleetTerms("f", ("a",), max_gateways=2)
+
+
+class Leader:
+    """A single replica that leads, and its lease manager."""
+
+    def __init__(self) -> None:
+        self.now = 100 * SECOND
+        self.raft = RaftNode(
+            "a#1", random.Random(1), self.now, log=RaftLog(Snapshot(0, 0, ("a#1",))), may_vote=True
+        )
+        self.raft.tick(self.now + 9 * SECOND)
+        self.ledger = QuotaLedger(TERMS)
+        self.pump()
+        self.manager = LeaseManager(TERMS, "d", "f", self.ledger, self.raft, self.now, False)
+        self.number = 0
+
+    def pump(self) -> None:
+        manager: Any = getattr(self, "manager", None)
+        for _ in range(6):
+            self.raft.flush(self.now)
+            for index, command in self.raft.log.take_committed():
+                done = self.ledger.apply(index, command)
+                if manager is not None:
+                    manager.entry_applied(self.now, index, command, done)
+            if manager is not None:
+                manager.tick(self.now)
+            self.now += 30_000
+
+    def ask(self, process: int, session: int = 0, **more: Any) -> list[Any]:
+        self.number += 1
+        given: dict[str, Any] = {
+            "terms_digest": "d",
+            "store_id": f"s{process}",
+            "limits": (("p", 100_000, 80_000),),
+            "floor_slot": -1,
+            "floor_version": 0,
+            "max_request": 4000,
+            "fleet": "f",
+            "last_seen_index": 0,
+            "demands": (),
+            "held": (),
+        } | more
+        self.manager.request(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **given))
+        self.pump()
+        return [said for _, said in self.manager.take_messages()]
+
+
+def want(rate: int) -> tuple[m.QuotaDemand, ...]:
+    return (m.QuotaDemand("p/1", rate, 1000, rate),)
+
+
+def test_a_session_is_opened_and_its_quota_granted_once_committed() -> None:
+    leader = Leader()
+    (answer,) = leader.ask(1)
+    assert answer.status is m.LeaseStatus.RENEWED and answer.session in leader.ledger.sessions
+    leader.now += 10 * SECOND  # the limits are settled
+    said = leader.ask(1, answer.session, demands=want(50_000))
+    orders = [one for one in said if isinstance(one, m.QuotaOrders)]
+    stake = leader.ledger.allocations["p/1"][answer.session]
+    assert orders and orders[-1].orders[0].version == stake.version and stake.rate >= 50_000
+
+
+def test_quota_is_released_by_one_holder_before_another_gets_it() -> None:
+    leader = Leader()
+    one, two = (leader.ask(n)[0].session for n in (1, 2))
+    leader.now += SECOND
+    leader.ask(1, one), leader.ask(2, two)
+    leader.now += 3_200_000
+    leader.ask(1, one), leader.ask(2, two)
+    leader.ask(1, one, demands=want(200_000))
+    had = leader.ledger.allocations["p/1"][one]
+    assert had.rate > 80_000
+    said = leader.ask(2, two, demands=want(200_000))
+    lower = [
+        order for told in said if isinstance(told, m.QuotaOrders) for order in told.orders if order.release
+    ]
+    assert lower and leader.ledger.allocations["p/1"][one].rate == had.rate, (
+        "asked for, and not committed yet"
+    )
+    leader.ask(1, one, demands=want(200_000), held=(m.HeldQuota("p/1", had.version, 45_000, lower[0].burst),))
+    assert leader.ledger.allocations["p/1"][one].rate <= 45_000
+    assert leader.ledger.allocations["p/1"][two].rate >= 40_000
+    assert leader.ledger.allocated("p/1")[0] <= 90_000
+
+
+def test_a_session_is_closed_once_its_lease_has_surely_run_out_and_not_renewed_then() -> None:
+    leader = Leader()
+    asked_at = leader.now
+    session = leader.ask(1)[0].session
+    until = leader.manager.leases[session].expires_at
+    assert until >= asked_at + TERMS.lease_with_drift_us > asked_at + TERMS.lease_us  # its clock may be slow
+    leader.now = until
+    leader.manager.tick(leader.now)
+    assert not leader.manager.leases[session].closing
+    leader.now = until + 1
+    leader.manager.tick(leader.now)
+    assert leader.manager.leases[session].closing
+    assert not [
+        one for one in leader.ask(1, session) if getattr(one, "status", None) is m.LeaseStatus.RENEWED
+    ]
+    assert session not in leader.ledger.sessions
+    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
+
+
+def test_terms_that_differ_a_log_that_lost_entries_and_a_holder_that_leaves() -> None:
+    leader = Leader()
+    assert leader.ask(1, terms_digest="other")[0].status is m.LeaseStatus.TERMS_DIFFER
+    session = leader.ask(1)[0].session
+    assert leader.ask(1, session, last_seen_index=10_000)[0].status is m.LeaseStatus.UNKNOWN_SESSION
+    assert leader.ask(1, session, leaving=True)[0].status is m.LeaseStatus.LEFT
+    assert session not in leader.ledger.sessions
+    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
+
+
+def test_a_holder_that_does_not_release_what_a_lowered_limit_forbids_is_not_renewed() -> None:
+    leader = Leader()
+    session = leader.ask(1)[0].session
+    for _ in range(5):
+        leader.now += SECOND
+        leader.ask(1, session, demands=want(200_000))
+    less = (("p", 20_000, 80_000),)
+    leader.ask(1, session, demands=want(200_000), limits=less)
+    leader.now += RELEASE_TIMEOUT_US
+    leader.ask(1, session, demands=want(200_000), limits=less)
+    leader.now += 1000
+    said = leader.ask(1, session, demands=want(200_000), limits=less)
+    assert not [one for one in said if getattr(one, "status", None) is m.LeaseStatus.RENEWED]
+
+
+def test_a_manager_that_renews_sessions_being_closed_is_found() -> None:
+    with planted("closing_renewed"):
+        leader = Leader()
+        session = leader.ask(1)[0].session
+        lease = leader.manager.leases[session]
+        lease.unanswered_request = m.LeaseRequest(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
+        lease.confirmation_round, lease.closing = 0, True
+        leader.manager.tick(leader.now)
+        assert [one for _, one in leader.manager.take_messages() if isinstance(one, m.LeaseResponse)]
+
+
+class Leases(RuleBasedStateMachine):
+    """Two holders and a leader; messages come late, twice, in any order or never, and time passes."""
+
+    @initialize()
+    def begin(self) -> None:
+        self.leader = Leader()
+        self.in_flight: list[tuple[int, Any]] = []  # for which holder, 0: the leader
+        self.holders = {
+            n: LeaseHolder(TERMS, "d", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
+            for n in (1, 2)
+        }
+        for one in self.holders.values():
+            one.set_limits({"p": (100_000, 80_000)}, 4000)
+
+    def send(self) -> None:
+        for n, one in self.holders.items():
+            self.in_flight += [(0, (n, said)) for _, said in one.take_messages()]
+        for to, said in self.leader.manager.take_messages():
+            self.in_flight.append((int(to[1:]), said))
+
+    @rule(n=st.sampled_from([1, 2]), rate=st.sampled_from([0, 20, 60, 200]))
+    def want(self, n: int, rate: int) -> None:
+        one, now = self.holders[n], self.leader.now
+        usage = QuotaUsage(rate / 10, rate / 10, 0.0, 1000)
+        one.record_demand(now, {"p/1": usage} if rate else {})
+        one.tick(now, ["a"])
+        self.send()
+
+    @precondition(lambda self: self.in_flight)
+    @rule(pick=st.integers(0, 99), twice=st.booleans())
+    def deliver(self, pick: int, twice: bool) -> None:
+        index = pick % len(self.in_flight)
+        to, said = self.in_flight[index]
+        if not twice:
+            del self.in_flight[index]
+        if to:
+            self.holders[to].receive(self.leader.now, "a", said)
+        else:
+            self.leader.manager.request(self.leader.now, f"h{said[0]}", said[1])
+            self.leader.pump()
+        self.send()
+
+    @rule(span=st.sampled_from([50_000, 300_000, 1_000_000, 4_100_000]))
+    def pass_time(self, span: int) -> None:
+        self.leader.now += span
+        for one in self.holders.values():
+            one.tick(self.leader.now, ["a"])
+        self.leader.pump()
+        self.send()
+
+    @invariant()
+    def what_may_be_spent_fits_the_limit(self) -> None:
+        now = self.leader.now
+        parts = [
+            one.allocations["p/1"]
+            for one in self.holders.values()
+            if now < one.lease_until and "p/1" in one.allocations
+        ]
+        floors = TERMS.floor(100_000, 80_000)
+        assert sum(part.rate for part in parts) + 2 * floors[0] <= 100_000
+        assert sum(part.burst for part in parts) + 2 * floors[1] <= 80_000
+
+
+Leases.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=40)
+TestLeases = Leases.TestCase
