--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -23,7 +23,7 @@
 
 from ..core.engine import Engine
 from ..core.ports import Clock, DelayedCall, Logger
-from ..http.discovery import BadList, split_address
+from ..http.endpoint_reader import BadList, split_address
 from .backoff import Backoff
 from .link import FleetReactor, Link
 from .operator_calls import OperatorCalls
