--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -13,7 +13,7 @@
 from gaugesail.simulator.protocol import WireError, parse_settings
 
 from .http.endpoint_reader import BadList, split_address
-from .http.management import MOST_CALLS
+from .http.management import MAX_CONNECTIONS as MAX_CALLS
 from .net import descriptors
 
 # Standard streams, the reactor's own, the listeners, discovery, and what is closing or still connecting.
@@ -164,7 +164,7 @@
             limits=Limits(
                 int(limits.get("memory_mb", 192)),
                 descriptors(int(limits.get("sockets", 1024))),
-                MOST_CALLS if management else 0,
+                MAX_CALLS if management else 0,
             ),
             # On this wire an agent that lists are pushed to is watched like discovery itself.
             settings=replace(
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Callable
-from typing import Any, Protocol
-from urllib.parse import unquote_to_bytes
+from http import HTTPStatus
+from typing import Any
 
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
@@ -13,136 +12,120 @@
 from ..core.ports import Clock, Logger
 from ..net import Connection
 from ..operations import StateNotKnown
+from .management_calls import CallAnswer, FleetCall, ManagementCalls, Operations
 from .messages import BadMessage, Data, Head
 from .parser import Parser
 
-MOST_CALLS = 16  # connections at once; their descriptors are kept out of the clients' part
-ACCEPTS = 4  # in one turn, so that a flood of callers delays nobody for long
-MAX_HEAD, MAX_BODY = 4096, 4096
-SILENT_US = 10_000_000  # how long a call may take to arrive, and its caller to read the answer
+MAX_CONNECTIONS = 16  # their descriptors are kept out of the clients' part
+ACCEPTS_PER_TURN = 4  # so that a flood of callers delays nobody for long
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 4096
+MAX_CALL_US = 10_000_000  # for a call to arrive, and for its caller to read the answer
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+REASONS = {413: "Content Too Large"}  # RFC 9110; the library's is older
 
 
-class Operations(Protocol):
-    """What can be asked of a head while it runs."""
-
-    @property
-    def serving(self) -> bool: ...
-    def drain(self, on: bool) -> None: ...
-    def trace(self, subject: str | None) -> str: ...
-    def maintain(self, node: bytes, on: bool) -> bool: ...
+def answer_bytes(answer: CallAnswer, with_body: bool) -> bytes:
+    """An answer as it goes on the wire; without its body where the call was a HEAD."""
+    status = HTTPStatus(answer.status)
+    body = answer.text.encode() + b"\n" if with_body else b""
+    allow = ""
+    if status is HTTPStatus.METHOD_NOT_ALLOWED:
+        allow = f"Allow: {answer.text.rpartition(' ')[2]}\r\n"
+    reason = REASONS.get(status.value, status.phrase)
+    head = f"HTTP/1.1 {status.value} {reason}\r\nContent-Length: {len(body)}\r\n{allow}"
+    return head.encode() + b"Content-Type: text/plain\r\nConnection: close\r\n\r\n" + body
 
 
 class CallConnection(Connection):
     """One call and its answer."""
 
-    def __init__(self, front: ManagementFront) -> None:
-        self._front = front
-        self._parser = Parser(answers=False, max_body=MAX_BODY, max_head=MAX_HEAD)
+    def __init__(self, server: ManagementServer) -> None:
+        self._server = server
+        self._parser = Parser(answers=False, max_body=MAX_BODY_BYTES, max_head=MAX_HEAD_BYTES)
         self._head: Head | None = None
         self._answered = False
-        self.opened_at = front.clock.now_us()
+        self.opened_at = server.clock.now_us()
 
     def connectionMade(self) -> None:
+        """Twisted: the connection is open."""
         self.link.setTcpNoDelay(True)
-        self._front.opened(self)
+        self._server.opened(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._front.closed(self)
+        """Twisted: the connection has ended."""
+        self._server.closed(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Twisted: bytes have come; what follows the one call is thrown away."""
         if self._answered:
-            return  # one call a connection: what else comes is thrown away
+            return
         self._parser.feed(data)
         try:
-            for part in self._parser.parts():
-                if isinstance(part, Head):
-                    self._head = part
-                    if part.headers.get("expect", "").lower() == "100-continue" and part.length != 0:
-                        self.link.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                elif not isinstance(part, Data) and self._head is not None:
-                    self._answer(*self._front.call(self._head.method, self._head.target))
-                    return
+            self._read_call()
         except BadMessage as error:
-            self._answer(error.status if error.status < 500 else 400, str(error))
+            self._answer(CallAnswer(error.status if error.status < 500 else 400, str(error)))
         except StateNotKnown as error:
-            self._answer(503, str(error))
+            self._answer(CallAnswer(HTTPStatus.SERVICE_UNAVAILABLE, str(error)))
         except OSError as error:  # what cannot be kept for the next process is not done
-            self._front.log.error("state_not_written", error=repr(error))
-            self._answer(503, "cannot write it down")
+            self._server.log.error("state_not_written", error=repr(error))
+            self._answer(CallAnswer(HTTPStatus.SERVICE_UNAVAILABLE, "cannot write it down"))
         except Exception as error:  # a fault of ours: the caller is owed an answer all the same
-            self._front.log.error("call_raised", error=repr(error))
-            self._answer(500, "internal fault")
-
-    def _answer(self, status: int, text: str) -> None:
+            self._server.log.error("call_raised", error=repr(error))
+            self._answer(CallAnswer(HTTPStatus.INTERNAL_SERVER_ERROR, "internal fault"))
+
+    def _read_call(self) -> None:
+        for part in self._parser.parts():
+            if isinstance(part, Head):
+                self._head = part
+                if part.headers.get("expect", "").lower() == "100-continue" and part.length != 0:
+                    self.link.write(CONTINUE)
+            elif not isinstance(part, Data) and self._head is not None:
+                self._answer(self._server.calls.call(self._head.method, self._head.target))
+                return
+
+    def _answer(self, answer: CallAnswer) -> None:
         self._answered = True
-        body = b"" if self._head is not None and self._head.method == "HEAD" else text.encode() + b"\n"
-        allow = f"Allow: {text.rpartition(' ')[2]}\r\n" if status == 405 else ""
-        head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n{allow}"
-        self.link.write(head.encode() + b"Content-Type: text/plain\r\nConnection: close\r\n\r\n" + body)
+        with_body = self._head is None or self._head.method != "HEAD"
+        self.link.write(answer_bytes(answer, with_body))
         # Only our side ends: with input unread a whole close would reset the connection under the answer.
         self.link.loseWriteConnection()
 
 
-REASONS = {
-    200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
-    503: "Service Unavailable",
-}  # fmt: skip
-
-
-class ManagementFront(Factory):
-    """Takes calls within descriptors of its own, and carries them out."""
+class ManagementServer(Factory):
+    """Takes calls within descriptors of its own."""
 
     noisy = False
 
-    def __init__(self, head: Operations, clock: Clock, log: Logger) -> None:
-        self._head, self.clock, self.log = head, clock, log
+    def __init__(self, operations: Operations, clock: Clock, log: Logger) -> None:
+        self.calls = ManagementCalls(operations)
+        self.clock = clock
+        self.log = log
         self._open: OrderedDict[CallConnection, None] = OrderedDict()
-        self.fleet: Callable[[str, list[str]], tuple[int, str]] | None = None  # calls under /fleet
+
+    def take_fleet_calls(self, call: FleetCall) -> None:
+        """Calls under /fleet go to the gateway's place in its fleet."""
+        self.calls.fleet = call
 
     def buildProtocol(self, addr: Any) -> CallConnection:
+        """Twisted: a caller has connected."""
         return CallConnection(self)
 
     def opened(self, connection: CallConnection) -> None:
+        """Count a connection; beyond the most, the oldest goes."""
         self._open[connection] = None
-        if len(self._open) > MOST_CALLS:
-            # Callers that say nothing must not keep one out that asks at once: the oldest goes.
-            # It counts no more: its descriptor is closed a turn later, and until then others come.
+        if len(self._open) > MAX_CONNECTIONS:
+            # Callers that say nothing must not keep one out that asks at once.  The oldest counts no more:
+            # its descriptor is closed a turn later, and until then others come.
             self._open.popitem(last=False)[0].link.abortConnection()
 
     def closed(self, connection: CallConnection) -> None:
+        """A connection has ended."""
         self._open.pop(connection, None)
 
     def sweep(self) -> None:
+        """End connections whose call has not come, or whose answer nobody has read, in time."""
         now = self.clock.now_us()
         for connection in list(self._open):
-            if now - connection.opened_at > SILENT_US:
+            if now - connection.opened_at > MAX_CALL_US:
                 connection.link.abortConnection()
-
-    def call(self, method: str, target: str) -> tuple[int, str]:
-        """Carry out one call: its status and a line of text."""
-        path = [unquote_to_bytes(word) for word in target.partition("?")[0].split("/")]
-        match path:
-            case [b"", b"healthcheck"]:
-                if method not in ("GET", "HEAD"):
-                    return 405, "use GET"
-                return (200, "serving") if self._head.serving else (503, "not serving yet")
-            case [b"", b"healthcheck", b"fail" | b"ok" as word]:
-                if method != "POST":
-                    return 405, "use POST"
-                drain = word == b"fail"
-                self._head.drain(drain)
-                return 200, "clients are sent away" if drain else "clients are taken"
-            case [b"", b"bricks", node, b"maint" | b"ready" as word]:
-                if method != "POST":
-                    return 405, "use POST"
-                if not self._head.maintain(node, word == b"maint"):
-                    return 404, "no list has ever named that brick"
-                return 200, "out of use" if word == b"maint" else "in use"
-            case [b"", b"trace", *rest] if len(rest) < 2:
-                if method not in ("GET", "HEAD"):
-                    return 405, "use GET"
-                return 200, self._head.trace(rest[0].decode(errors="replace") if rest else None)
-            case [b"", b"fleet", *rest] if self.fleet is not None:
-                return self.fleet(method, [word.decode(errors="replace") for word in rest])
-        return 404, "no such call"
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -10,7 +10,7 @@
 from ..core.engine import Engine
 from ..core.ports import Clock, Logger, Reactor
 from ..handover import Takeover
-from ..http.management import MOST_CALLS
+from ..http.management import MAX_CONNECTIONS as MAX_CALLS
 from ..operations import Operations
 from ..service import Service
 from .initiator import NodePool
@@ -77,7 +77,7 @@
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def _sessions(self, processes: int) -> int:
-        sockets = self._operator.sockets // processes - (MOST_CALLS if self._operator.management else 0)
+        sockets = self._operator.sockets // processes - (MAX_CALLS if self._operator.management else 0)
         return min(MAX_SESSIONS, max(1, sockets * 6 // 10))
 
     def limit(self, processes: int) -> None:
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -19,7 +19,7 @@
 from .core.settings_transition import TRANSITION_US, transition_settings
 from .door import MOVED_LAST_US
 from .handover import Handover, Takeover, adopt_port
-from .http.management import ACCEPTS, MOST_CALLS, ManagementFront
+from .http.management import ACCEPTS_PER_TURN, ManagementServer
 from .listening import ListeningPort, retry_while_in_use
 from .logs import LimitedLogger
 from .operations import Operations
@@ -93,7 +93,7 @@
         self.operations: Operations
         self.stopped: Deferred[None] = Deferred()
         self.address, self.management_address = listen, management
-        self._management: ManagementFront | None = None
+        self._management: ManagementServer | None = None
         self._handover = Handover(reactor, clock, self._log, folder, listen, self)
         self._port: Any = None
         self._listener: ListeningPort
@@ -171,11 +171,11 @@
     def _listen_for_calls(self, host: str, port: int) -> None:
         if self._stopping:
             return
-        self._management = calls = ManagementFront(self.operations, self.clock, self._log)
+        self._management = calls = ManagementServer(self.operations, self.clock, self._log)
         if self.fleet is not None:
-            calls.fleet = self.fleet.call
+            calls.take_fleet_calls(self.fleet.call)
         listener = self._reactor.listenTCP(port, calls, backlog=LISTEN_BACKLOG, interface=host)
-        ListeningPort(listener, self.clock, lambda: min(ACCEPTS, MOST_CALLS), lambda: True)
+        ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_TURN, lambda: True)
         self.management_address = host, listener.getHost().port
 
     def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
--- a/tests/iscsi/test_target_and_initiator.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gaugesail.http.management import MOST_CALLS
+from gaugesail.http.management import MAX_CONNECTIONS as MAX_CALLS
 from gaugesail.iscsi.app import IscsiHead
 from gaugesail.iscsi.operator import read_operator
 from gaugesail.logs import make_logger
@@ -267,7 +267,7 @@
                 rig.turn()
                 most = max(most, front.connections)
             rig.pass_time(1.0)
-            assert IN_USE + most + MOST_CALLS + 4 + len(rig.node.open) < 96, f"{most} connections at once"
+            assert IN_USE + most + MAX_CALLS + 4 + len(rig.node.open) < 96, f"{most} connections at once"
             used.send(["read", "tag=9", "lba=99"])
             assert rig.until(lambda: "lba=99" in rig.saw())
             for end in raw:  # who comes when the flood is over finds a place
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from gaugesail.http.management import MOST_CALLS
+from gaugesail.http.management import MAX_CONNECTIONS as MAX_CALLS
 from gaugesail.rehearsal import defaults
 
 from ..support.live_head import HEAD, Turned, chunk
@@ -197,7 +197,7 @@
         assert b"200 OK" in head.call("/healthcheck")
         time.sleep(0.3)
         assert most < 96, "not even discovery can be dialled"
-        assert head.descriptors <= base + 38 + MOST_CALLS + 1
+        assert head.descriptors <= base + 38 + MAX_CALLS + 1
 
 
 def test_a_head_with_no_descriptor_left_answers_what_it_has_and_goes_on(tmp_path: Path) -> None:
