--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -19,10 +19,12 @@
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
 from .handover import Takeover
+from .http.client_connection import ClientConnection
+from .http.client_server import ClientPlaces, ClientServer
 from .http.discovery import DiscoveryClient, DiscoverySettings
-from .http.front import ClientConnection, ClientFront
 from .http.node_connection import NodeConnection
 from .http.node_pool import NodePool
+from .http.stream_handover import ClientStreamState
 from .net import attach, detach, reset
 from .operations import Operations
 from .service import Service
@@ -70,14 +72,13 @@
         )
         self.waits_for_list = config.pushed
         self.engine = Engine(config.settings, config.seed, self.clock, self.transport, self.discovery, log)
-        self.front = ClientFront(
+        self.front = ClientServer(
             self.engine,
             config.settings,
             self.clock,
             self.buffers,
             log,
-            limits.client_connections,
-            limits.client_overflow,
+            ClientPlaces(limits.client_connections, limits.client_overflow),
             self._finished,
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
@@ -100,13 +101,15 @@
 
     def hand_over_answers(self) -> None:
         for client in self.front.streams:
-            client.move(self._moved)
+            if client.stream is not None:
+                client.stream.start_handover(self._stream_emptied)
 
-    def _moved(self, client: ClientConnection, node: NodeConnection) -> None:
+    def _stream_emptied(self, client: ClientConnection, node: NodeConnection) -> None:
         if self._handover.successor is None:
-            client.stay()
+            if client.stream is not None:
+                client.stream.cancel_handover()
             return
-        state = {"client": client.leave(), "brick": node.hand_over_stream().to_json()}
+        state = {"client": client.hand_over_stream().to_json(), "brick": node.hand_over_stream().to_json()}
         self._handover.hand_over_answer([detach(client.link), detach(node.link)], state)
         self.front.closed(client)
 
@@ -119,18 +122,18 @@
             reset(client_descriptor)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
-        client.enter(state["client"], node)
+        stream = client.take_over_stream(ClientStreamState.from_json(state["client"]), node)
         self.engine.attempts.adopt_stream(node.attempt)
         try:
             attach(self._reactor, client_descriptor, client)
         except OSError:
             node.stop()
             return
-        node.stream_to(client)
+        node.stream_to(stream)
 
     def limit(self, processes: int) -> None:
         limits = self._config.limits.of(processes)
-        self.front.limit(limits.client_connections, limits.client_overflow)
+        self.front.limit(ClientPlaces(limits.client_connections, limits.client_overflow))
         self.transport.limit(limits.node_connections)
 
     def apply_configuration(self, config: configuration.Config) -> None:
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -18,7 +18,7 @@
 from .node_request import NodeRequest
 from .node_state import NodeState
 from .parser import Parser
-from .stream_handover import StreamState
+from .stream_handover import NodeStreamState
 
 MAX_INTERIM_ANSWERS = 8  # 1xx answers before the real one
 STALL_US = 500_000  # without a byte of an answer that has started: it never will be complete
@@ -298,11 +298,11 @@
 
     # ---- the handover of an answer that is passed on ----
 
-    def hand_over_stream(self) -> StreamState:
+    def hand_over_stream(self) -> NodeStreamState:
         """End it here, and return what another process needs to go on with it."""
         head, request = self._head, self._request
         assert head is not None and request is not None and request.attempt is not None
-        state = StreamState(
+        state = NodeStreamState(
             request.node_id.decode("latin-1"),
             request.attempt.client_request_id,
             head.length,
@@ -316,7 +316,7 @@
         self._pool.finish(request, AttemptResult.NOT_STARTED)
         return state
 
-    def take_over_stream(self, state: StreamState, attempt: Attempt, listener: AttemptListener) -> None:
+    def take_over_stream(self, state: NodeStreamState, attempt: Attempt, listener: AttemptListener) -> None:
         """Go on where another process ended; ``stream_to`` follows once the connection is attached."""
         now_us = self._pool.clock.now_us()
         self._request = NodeRequest(listener, attempt.node_id, now_us, now_us, attempt)
--- a/gaugesail/http/node_pool.py
+++ b/gaugesail/http/node_pool.py
@@ -17,12 +17,13 @@
 from ..buffers import BufferPool
 from ..core.ports import Attempt, AttemptListener, BodySink, BodySource, ClientRequest, Clock, Logger, Reactor
 from ..net import attach, dial
+from .forwarded_request import ForwardedRequest
 from .idle_times import IdleTimes
 from .node_connection import NodeConnection
 from .node_request import NodeRequest
 from .node_state import NodeAddress, NodeState
 from .staged_upload import StagedUpload
-from .stream_handover import StreamState
+from .stream_handover import NodeStreamState
 
 IDLE_SHARE = 0.6  # of the time after which the other side closes; a request written then would be reset
 SETTLE_US = 5_000  # after an answer: what else comes then must not meet the next request
@@ -140,7 +141,7 @@
             self.finish(request, AttemptResult.NO_CONNECTION)
         elif attempt.shard >= 0 and address.shard != attempt.shard:
             self.finish(request, AttemptResult.NOT_STARTED)  # the node would reject it
-        elif (upload := attempt.payload.staged) is None:
+        elif (upload := attempt.payload.upload) is None:
             self._enqueue(request)
         elif upload.request is None or upload.request.node_id != attempt.node_id or not upload.send(request):
             # Its body is with another node, or gone with a connection: it can't be written there again.
@@ -152,7 +153,7 @@
             return None
         now_us = self.clock.now_us()
         upload = StagedUpload(request.payload, request.timeout_us, source, self.finish)
-        request.payload.staged = upload
+        request.payload.upload = upload
         upload.request = NodeRequest(None, node_id, now_us, now_us, upload=upload)
         source.pause()
         self._enqueue(upload.request)
@@ -190,7 +191,7 @@
 
         Raises OSError where the node has gone meanwhile.
         """
-        state = StreamState.from_json(fields)
+        state = NodeStreamState.from_json(fields)
         node_id = state.node_id.encode("latin-1")
         now_us = self.clock.now_us()
         node = self._nodes.setdefault(node_id, NodeState(node_id))
@@ -282,13 +283,12 @@
 
     def _message(self, request: NodeRequest, attempt: Attempt, host: str) -> bytes:
         """The complete message of an attempt, which starts now."""
-        exchange = attempt.payload
-        body = exchange.body.read()
+        forwarded: ForwardedRequest = attempt.payload
+        body = forwarded.body.read()
         left_us = request.deadline_us - self.clock.now_us()
         if request.listener is not None:
             request.listener.attempt_started(attempt)
-        message: bytes = exchange.head(host, left_us, len(body)) + body
-        return message
+        return forwarded.head(host, left_us, len(body)) + body
 
     # ---- dials ----
 
--- a/gaugesail/http/staged_upload.py
+++ b/gaugesail/http/staged_upload.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Callable
 from enum import Enum
-from typing import Any
 
 from gaugesail.policy.events import AttemptResult
 
 from ..core.ports import BodySource
+from .forwarded_request import ForwardedRequest
 from .node_connection import NodeConnection
 from .node_request import NodeRequest
 
@@ -31,12 +31,12 @@
 
     def __init__(
         self,
-        exchange: Any,
+        forwarded: ForwardedRequest,
         timeout_us: int,
         source: BodySource,
         finish: Callable[[NodeRequest, AttemptResult], None],
     ) -> None:
-        self._exchange = exchange
+        self._forwarded = forwarded
         self._timeout_us = timeout_us
         self._source = source
         self._finish = finish
@@ -51,8 +51,8 @@
     def start(self, connection: NodeConnection, request: NodeRequest, host: str) -> None:
         """Write on a connection what came until now, and let the client go on."""
         self._connection = connection
-        body = self._exchange.body
-        head = self._exchange.head(host, self._timeout_us, self._source.length)
+        body = self._forwarded.body
+        head = self._forwarded.head(host, self._timeout_us, self._source.length)
         connection.start_upload(request, head, self)
         received = body.read()
         body.release()
@@ -86,7 +86,7 @@
         if self._state is not UploadState.RECEIVING or not data:
             return
         if self._connection is None:
-            self._exchange.body.append(data)
+            self._forwarded.body.append(data)
         elif self._source.length is None:
             self._connection.link.write(b"%x\r\n%b\r\n" % (len(data), data))
         else:
--- a/gaugesail/http/stream_handover.py
+++ b/gaugesail/http/stream_handover.py
@@ -7,8 +7,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StreamState:
-    """A streamed answer as one process hands it over to the next."""
+class NodeStreamState:
+    """The node's side of a streamed answer."""
 
     node_id: str
     client_request_id: str
@@ -29,7 +29,7 @@
         }
 
     @classmethod
-    def from_json(cls, fields: dict[str, Any]) -> StreamState:
+    def from_json(cls, fields: dict[str, Any]) -> NodeStreamState:
         """What another process of this gateway handed over."""
         return cls(
             str(fields["node"]),
@@ -39,3 +39,35 @@
             fields["ends"] is True,
             fields["parser"],
         )
+
+
+@dataclass(slots=True, frozen=True)
+class ClientStreamState:
+    """The client's side of a streamed answer."""
+
+    chunked: bool
+    keep_alive: bool
+    requests_received: int  # on the connection
+    http_1_0: bool
+    parser: dict[str, Any]
+
+    def to_json(self) -> dict[str, Any]:
+        """By the keys that every version reads."""
+        return {
+            "chunked": self.chunked,
+            "keep": self.keep_alive,
+            "asked": self.requests_received,
+            "old": self.http_1_0,
+            "parser": self.parser,
+        }
+
+    @classmethod
+    def from_json(cls, fields: dict[str, Any]) -> ClientStreamState:
+        """What another process of this gateway handed over."""
+        return cls(
+            fields["chunked"] is True,
+            fields["keep"] is True,
+            int(fields["asked"]),
+            fields["old"] is True,
+            fields["parser"],
+        )
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -13,9 +13,9 @@
 from gaugesail.policy.settings import Settings
 
 from ..buffers import Body, BufferPool, PoolEmpty
+from ..client_admission import ClientAdmission
 from ..core.engine import Engine
 from ..core.ports import BodySource, ClientRequest, Clock, FailureReason, Logger
-from ..door import Door
 from ..net import Connection, unread
 from .operator import Extent, Operator, Unit
 from .pdu import (
@@ -567,7 +567,7 @@
                 self.check(task, ABORTED, TIMED_OUT)
 
 
-class TargetFront(Door):
+class TargetFront(ClientAdmission):
     """Accepts sessions, within its part of the sockets; what is too many is told so at its login."""
 
     def __init__(
@@ -582,7 +582,7 @@
     ) -> None:
         super().__init__(engine, clock, on_idle)
         self.operator, self.pool, self.log = operator, pool, log
-        self.retune(operator.settings)
+        self.change_settings(operator.settings)
         self.address = operator.listen
         self._max = max_connections
         self._open: dict[TargetConnection, None] = {}
@@ -592,7 +592,7 @@
     def connections(self) -> int:
         return len(self._open)
 
-    def retune(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         self.settings = settings  # its classes and plans are, in order, those of the operator's file first
 
     def limit(self, connections: int) -> None:
@@ -600,7 +600,7 @@
         if self.held and self.room > 0:
             self.hold(False)
 
-    def sendable(self) -> list[TargetConnection]:
+    def closable(self) -> list[TargetConnection]:
         return [session for session in self._open if session.idle]
 
     @property
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -14,10 +14,10 @@
 from gaugesail.policy.settings import Settings
 
 from .buffers import BUFFER_BYTES, BufferPool
+from .client_admission import MIGRATION_ENDS_US
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
 from .core.settings_transition import TRANSITION_US, transition_settings
-from .door import MOVED_LAST_US
 from .handover import Handover, Takeover, adopt_port
 from .http.management import ACCEPTS, MOST_CALLS, ManagementFront
 from .listening import ListeningPort, retry_while_in_use
@@ -252,7 +252,7 @@
 
     def _apply_settings(self, settings: Settings) -> None:
         self.engine.change_settings(settings)
-        self.front.retune(settings)
+        self.front.change_settings(settings)
         if self.fleet is not None:
             self.fleet.retune(settings)
 
@@ -318,7 +318,7 @@
 
     def _close_idle(self) -> None:
         # Clients of a process that is replaced are in no hurry: each request that crosses a close costs one.
-        if self._replaced and self.clock.now_us() < self._stopping_since + MOVED_LAST_US:
+        if self._replaced and self.clock.now_us() < self._stopping_since + MIGRATION_ENDS_US:
             self.clock.call_later(SWEEP_INTERVAL_US, self._close_idle)
             if self.front.connections:
                 return
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -12,7 +12,7 @@
 from gaugesail import net
 from gaugesail.core.deadlines import RequestDeadline
 from gaugesail.http import node_connection
-from gaugesail.http.front import ClientConnection
+from gaugesail.http.client_connection import ClientConnection
 
 from ..support.live_head import STEP_S, End, HeldDials, Turned, chunk, turned
 
@@ -210,11 +210,11 @@
         client = rig.client()
         health = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n" * 2000
         connection = None
-        while connection is None or not connection._cut:
+        while connection is None or not connection.input.cut:
             client.cram(health)
             rig.turn()
             connection = next(iter(rig.head.front._open), None)
-        assert connection._full and connection._parser.buffered < 300_000
+        assert connection.output_full and connection.input.parser.buffered < 300_000
         rig.until(client.gone)  # what it may have is answered, and then it is told
         assert client.text.count(b"200 OK") > 1000 and client.text.count(b"HTTP/1.1 429 ") == 1
         assert client.text.rindex(b"200 OK") < client.text.index(b"HTTP/1.1 429 ")
@@ -229,10 +229,10 @@
         client.send(rig.ask("first"))
         rig.turn(3)
         connection = list(rig.head.front._open)[-1]
-        while not connection._cut:
+        while not connection.input.cut:
             client.send(refused * 16)  # as much as is read at once
             rig.turn()
-        assert connection._parser.buffered % 1024 == 0
+        assert connection.input.parser.buffered % 1024 == 0
         client.send(refused)
         for n in range(4):
             rig.bricks[0].answer(f"fill{n}")
--- a/tests/http/test_connection_edges.py
+++ b/tests/http/test_connection_edges.py
@@ -49,7 +49,7 @@
     with turned() as rig:
         client = served(rig)
         (connection,) = rig.head.front._open
-        connection.dismiss()
+        connection.close_unless_unread()
         client.send(rig.ask("late"))
         assert rig.until(client.gone, 3.0)
         rig.pass_time(0.5)
@@ -240,9 +240,9 @@
         for _ in range(4000):
             sent += end.cram(b"p" * 100_000)
             rig.turn(4)
-            if ours._source._paused:
+            if ours.stream.source._paused:
                 break
-        assert ours._source._paused
+        assert ours.stream.source._paused
         getattr(end, way)()
         rig.pass_time(0.3)
         rig.until(lambda: client.gone() or client.text.endswith(b"\r\n0\r\n\r\n"), 20.0)
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -206,8 +206,8 @@
     text = LARGE + "send c1 stall\nsend c1 request a\nexpect b1 request a\nsend b1 begin a 8000000\n"
     head = play(text + "send b1 part a 8000000\nwait 30\nexpect c1 nothing").head
     client = next(iter(head.front._open))
-    assert len(client.link._out) < 200_000 and client._source is not None and not client.lost
-    assert len(client._source.link.other._out) == 0 or client._source._paused
+    assert len(client.link._out) < 200_000 and client.stream is not None and not client.lost
+    assert len(client.stream.source.link.other._out) == 0 or client.stream.source._paused
     assert head.buffers.out == 0
 
 
@@ -216,8 +216,8 @@
     many = "send b1 stall\n" + "send c1 part 100000\nwait 0.1\n" * 20
     world = play(LARGE + asks + many + "wait 30\nexpect c1 nothing")
     client = next(iter(world.head.front._open))
-    assert client._paused and client.link.other._out and client._parser.buffered < 100_000
-    assert len(client._up._connection.link._out) < 400_000 and world.head.buffers.out == 0
+    assert client.input.paused and client.link.other._out and client.input.parser.buffered < 100_000
+    assert len(client._upload._connection.link._out) < 400_000 and world.head.buffers.out == 0
 
 
 def test_a_large_answer_gets_through_a_client_that_reads_now_and_then() -> None:
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -56,7 +56,7 @@
 def test_more_wait_in_the_kernel_than_there_are_places_as_the_port_closes() -> None:
     with turned(limits__sockets="48") as rig:
         front = rig.head.front
-        many = front._most + 4
+        many = front._max_with_overflow + 4
         rig.head.stop()
         rig.pass_time(0.44)
         clients = [rig.client() for _ in range(many)]
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -81,7 +81,7 @@
 def test_when_the_next_process_dies_the_one_before_accepts_again() -> None:
     old, new = play(REPLACED + "wait 0.1\nexpect c1 nothing").heads
     reactor = old._reactor
-    assert not old.front.accepting and new.front.accepting and old.front.moved.on
+    assert not old.front.accepting and new.front.accepting and old.front.migration.on
     assert old.buffers.limit == new.buffers.limit == old._max_buffers // 2
     new._port.stopListening()
     new._handover._connections[0].link.abortConnection()
@@ -215,7 +215,7 @@
     old, new = play(text + "send daemon replace\nwait 0.3\nexpect c1 nothing").heads
     part = old._config.limits.of(2).client_connections
     assert part == 11 and old.front.connections == 3, "silent ones go at once, as more are here than its part"
-    assert new.front._max == 2 * part - 3
+    assert new.front._max_connections == 2 * part - 3
     old._handover._connections[0].link.abortConnection()
     old._reactor.run_until(lambda: False, 0.1)
-    assert new.front._max == old._config.limits.client_connections
+    assert new.front._max_connections == old._config.limits.client_connections
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from gaugesail.client_admission import ClientAdmission
 from gaugesail.core.final_answers import FinalAnswers
-from gaugesail.door import Door
-from gaugesail.http.front import ClientConnection
+from gaugesail.http.client_connection import ClientConnection
 from gaugesail.policy.gateway import Gateway
 from gaugesail.rehearsal.judge import Judge, RequestBook
 from gaugesail.rehearsal.memory import MemoryReactor
@@ -124,8 +124,8 @@
 
 
 def test_a_process_that_lets_nobody_in_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    hold = Door.hold
-    monkeypatch.setattr(Door, "hold", lambda self, on: hold(self, True))
+    hold = ClientAdmission.hold
+    monkeypatch.setattr(ClientAdmission, "hold", lambda self, on: hold(self, True))
     play(SERVED)
     full = "daemon http limits.sockets=32\nbrick b1\n" + "".join(f"client c{n}\n" for n in range(8))
     many = "".join(f"send c{n} connect\nwait 0.01\n" for n in range(8)) + "wait 1\n"
@@ -143,8 +143,8 @@
 ) -> None:
     text = SERVED + "send daemon replace\nwait 0.1\nsend daemon kill\nwait 1\nexpect b1 nothing"
     play(text)
-    supersede = Door.supersede
-    monkeypatch.setattr(Door, "supersede", lambda self, on: supersede(self, on) if on else None)
+    supersede = ClientAdmission.supersede
+    monkeypatch.setattr(ClientAdmission, "supersede", lambda self, on: supersede(self, on) if on else None)
     found(text, "nobody can come in")
 
 
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from gaugesail.http.front import OrderReader
+from gaugesail.http.client_sweep import sweep
+from gaugesail.http.request_reader import RequestReader
 from gaugesail.iscsi.target import TargetFront
 from gaugesail.listening import ListeningPort
 from gaugesail.rehearsal.peers import RUDE, SPOILT, ScenarioError
@@ -88,7 +89,7 @@
 
 
 def test_a_fault_in_the_http_front_is_answered_and_costs_no_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(OrderReader, "read", raise_told)
+    monkeypatch.setattr(RequestReader, "read", raise_told)
     head = play("client c1\nsend c1 request a body=x\nexpect c1 500\nexpect c1 closed").head
     assert head.engine.counts["front_raised"] == 1 and head.buffers.out == 0
 
@@ -135,11 +136,11 @@
     for _ in range(100):
         connection.dataReceived(bytes(16 * 1024))
     link.pauseProducing.assert_called_once()
-    assert not connection._parser.buffered
+    assert not connection.input.parser.buffered
     now = front.clock.now_us()
-    connection.sweep(now + 900_000)
+    sweep(connection, now + 900_000)
     link.abortConnection.assert_not_called()
-    connection.sweep(now + 1_100_000)
+    sweep(connection, now + 1_100_000)
     link.abortConnection.assert_called_once()
 
 
