--- a/gaugesail/core/activity.py
+++ b/gaugesail/core/activity.py
@@ -15,11 +15,12 @@
         self.counts: Counter[str] = Counter()
         self.trace = Trace()
         self.log = log
-        self._clock = clock
+        self._now_us = clock.now_us
+        self._note = self.trace.note
 
     def note(self, subject: str, step: Step, detail: str = "") -> None:
         """Enter a step of a request or a node in the trace."""
-        self.trace.note(self._clock.now_us(), subject, step, detail)
+        self._note(self._now_us(), subject, step, detail)
 
     def fault(self, event: str, error: Exception) -> None:
         """Log an exception that was contained."""
--- a/gaugesail/http/request_reader.py
+++ b/gaugesail/http/request_reader.py
@@ -24,7 +24,7 @@
 _INTEGER = re.compile(r"-?[0-9]{1,9}\Z")
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class IoHeader:
     """The fields of X-IO, as text that has the form of numbers."""
 
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -18,7 +18,6 @@
 
 import msgspec
 
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.messages import Message
@@ -30,6 +29,7 @@
     quota_changed_event,
     quota_name_of,
 )
+from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.coordination.spending_rights import QuotaUpdate
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
 from gaugesail.policy.events import (
@@ -174,7 +174,7 @@
         self.stop_after: int | None = None  # steps, and then it sleeps (or dies)
         self.dies = False
         self._wake_at = 0
-        self.sent_bytes = self.sent_messages = 0
+        self.sent_bytes = 0
         self.open: dict[int, float] = {}
         self.notices: Counter[str] = Counter()
 
@@ -488,7 +488,6 @@
         if to == head.name:
             self.at(self.now, lambda: self._deliver(head.name, to, process, message))
             return
-        head.sent_messages += 1
         if self.weigh:
             head.sent_bytes += len(self.pack(message)) + ENVELOPE
         line = self.line(head.name, to)
