--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -110,10 +110,10 @@
 
 
 def test_a_guard_that_is_taken_away_is_found_by_the_monitor(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A brick that drains is sent to all the same: by the module, and by a pool that does not look."""
+    """A node that drains is sent to all the same: by the policy, and by a pool that does not look."""
     with turned() as rig:
-        gateway = rig.head.engine.policy.gateway
-        monkeypatch.setattr(gateway, "_retire", lambda node: None)
+        node_table = rig.head.engine.policy.gateway.node_table
+        monkeypatch.setattr(node_table, "_set_unready", lambda node: None)
         monkeypatch.setattr(NodePool, "_usable_address", lambda self, node: self._addresses.get(node))
         monkeypatch.setattr(NodePool, "_stop_waiting", lambda self, node: None)
         rig.watch.send(rig.drain(rig.bricks[0], 2))
