--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from gaugesail.policy.settings import Settings
-from gaugesail.simulator.protocol import WireError, parse_settings
+from gaugesail.simulator.protocol import WireError
+from gaugesail.simulator.settings_text import parse_settings
 
 from .http.discovery import BadList, split_address
 from .http.management import MOST_CALLS
--- a/gaugesail/simulator/adapter.py
+++ b/gaugesail/simulator/adapter.py
@@ -1,62 +1,114 @@
-"""Runs the decision module on the simulator's wire: one gateway each, over standard input and output."""
+"""The process that the simulator starts: it runs gateways on the simulator's wire, over standard input and
+output.
+"""
 
 from __future__ import annotations
 
 import gc
 import sys
+from dataclasses import dataclass, field
 from typing import BinaryIO
 
-from gaugesail.policy.actions import Action
-from gaugesail.policy.events import Endpoint, Event
-
+from ..policy.actions import Action
+from ..policy.events import Endpoint, Event
 from ..policy.gateway import Gateway
-from . import protocol as wire
+from .action_records import write_reply
+from .event_records import read_batch
+from .protocol import EVENT_SIZE, HEADER, Crash, Started, Stopped, WireError
+
+EXIT_MALFORMED_INPUT = 2
+
+
+@dataclass(slots=True)
+class GatewayBatch:
+    """The events of one batch for one gateway, from its start on if it started in the batch."""
+
+    number: int
+    gateway: Gateway
+    events: list[Event] = field(default_factory=list)
+
+
+class Adapter:
+    """The running gateways and the endpoint sheets of one simulated day."""
+
+    def __init__(self) -> None:
+        self._gateways: dict[int, Gateway] = {}
+        self._sheets: dict[int, tuple[Endpoint, ...]] = {}
+        self._reply: list[tuple[int, Action | Crash]] = []
+        self._batches: list[GatewayBatch] = []
+        self._open: dict[int, GatewayBatch] = {}  # by gateway, of those that run
+
+    def answer(self, now: int, body: bytes, count: int) -> bytes:
+        """The reply to one frame of ``count`` events; raises ``WireError`` if it is malformed."""
+        self._reply = []
+        self._batches = []
+        self._open = {}
+        for number, event in read_batch(body, count, self._sheets):
+            if isinstance(event, Started):
+                self._stop(number)
+                self._start(now, number, event)
+            elif isinstance(event, Stopped):
+                self._stop(number)
+            else:
+                self._add(number, event)
+        for batch in self._batches:
+            if self._gateways.get(batch.number) is batch.gateway:  # else it stopped later in the batch
+                self._handle(now, batch)
+        return write_reply(self._reply)
+
+    def _start(self, now: int, number: int, event: Started) -> None:
+        try:
+            gateway = Gateway(event.settings, event.seed, now)
+        except Exception as error:  # whatever the gateway raises is reported as a crash of its own
+            self._report_crash(number, error)
+            return
+        self._gateways[number] = gateway
+        self._open_batch(number, gateway)
+
+    def _stop(self, number: int) -> None:
+        self._open.pop(number, None)
+        self._gateways.pop(number, None)
+
+    def _add(self, number: int, event: Event) -> None:
+        gateway = self._gateways.get(number)
+        if gateway is None:
+            raise WireError(f"an event for gateway {number}, which was never started")
+        batch = self._open.get(number) or self._open_batch(number, gateway)
+        batch.events.append(event)
+
+    def _open_batch(self, number: int, gateway: Gateway) -> GatewayBatch:
+        batch = self._open[number] = GatewayBatch(number, gateway)
+        self._batches.append(batch)
+        return batch
+
+    def _handle(self, now: int, batch: GatewayBatch) -> None:
+        try:
+            actions = batch.gateway.handle(now, batch.events)
+        except Exception as error:  # whatever the gateway raises is reported as a crash of its own
+            self._report_crash(batch.number, error)
+            return
+        self._reply += [(batch.number, action) for action in actions]
+
+    def _report_crash(self, number: int, error: Exception) -> None:
+        self._reply.append((number, Crash(f"{type(error).__name__}: {error}")))
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) != size:
-        raise wire.WireError(f"the input ends inside a frame ({len(data)} of {size} bytes)")
+        raise WireError(f"the input ends inside a frame ({len(data)} of {size} bytes)")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every batch until the input ends; a gateway's exception ends the day as CRASH."""
-    gateways: dict[int, Gateway] = {}
-    sheets: dict[int, tuple[Endpoint, ...]] = {}
+    """Answer every frame until the input ends; raises ``WireError`` on malformed input."""
+    adapter = Adapter()
     while first := source.read(1):
-        count, length, now = wire.HEADER.unpack(first + _read(source, wire.HEADER.size - 1))
-        if length < wire.HEADER.size + count * wire.EVENT_SIZE:
-            raise wire.WireError(f"a frame of {length} bytes cannot hold {count} records")
-        body = _read(source, length - wire.HEADER.size)
-        reply: list[tuple[int, Action | str]] = []
-        pending: dict[int, list[Event]] = {}
-        lives: list[tuple[int, Gateway | None, list[Event]]] = []
-        for number, event in wire.read_batch(body, count, sheets):
-            if isinstance(event, (wire.Started, wire.Stopped)):
-                pending.pop(number, None)
-                gateways.pop(number, None)
-                if isinstance(event, wire.Started):
-                    try:
-                        gateways[number] = Gateway(event.settings, event.seed, now)
-                    except Exception as error:  # the adapter reports whatever the module raises
-                        reply.append((number, f"{type(error).__name__}: {error}"))
-                        continue
-                    lives.append((number, gateways[number], pending.setdefault(number, [])))
-            elif number not in gateways:
-                raise wire.WireError(f"an event for gateway {number}, which was never started")
-            else:
-                if number not in pending:
-                    lives.append((number, gateways[number], pending.setdefault(number, [])))
-                pending[number].append(event)
-        for number, gateway, events in lives:
-            if gateway is None or gateways.get(number) is not gateway:
-                continue  # killed later in the same batch
-            try:
-                reply += [(number, action) for action in gateway.handle(now, events)]
-            except Exception as error:  # the adapter reports whatever the module raises
-                reply.append((number, f"{type(error).__name__}: {error}"))
-        sink.write(wire.write_reply(reply))
+        count, length, now = HEADER.unpack(first + _read(source, HEADER.size - 1))
+        if length < HEADER.size + count * EVENT_SIZE:
+            raise WireError(f"a frame of {length} bytes cannot hold {count} records")
+        body = _read(source, length - HEADER.size)
+        sink.write(adapter.answer(now, body, count))
         sink.flush()
 
 
@@ -65,9 +117,9 @@
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as error:
+    except WireError as error:
         print(f"gaugesail.simulator: malformed input: {error}", file=sys.stderr)
-        return 2
+        return EXIT_MALFORMED_INPUT
     return 0
 
 
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -13,6 +13,7 @@
 from gaugesail.policy.actions import Action, WriteLog
 from gaugesail.policy.settings import Plan, RequestClass, Settings
 from gaugesail.simulator import protocol as wire
+from gaugesail.simulator.action_records import write_reply
 from gaugesail.simulator.adapter import serve
 
 SETTINGS = """balancers=3
@@ -37,9 +38,9 @@
     entry = wire.ENTRY.pack(bytes(6), 0, 0, 0, 1, 1.0, 0)
     return frame(
         [
-            struct.pack("<HIQII", wire.ENLIST, gateway, 9, 0, len(data)),
-            struct.pack("<HIII", wire.CENSUS, 0, len(data), 1),
-            struct.pack("<HIQIB", wire.PEERS_KNOWN, gateway, 1, 0, 1),
+            struct.pack("<HIQII", wire.EventCode.START, gateway, 9, 0, len(data)),
+            struct.pack("<HIII", wire.EventCode.ENDPOINT_SHEET, 0, len(data), 1),
+            struct.pack("<HIQIB", wire.EventCode.ENDPOINT_LIST, gateway, 1, 0, 1),
         ],
         data + entry,
     )
@@ -65,12 +66,12 @@
 
 
 def test_restart_in_one_batch_drops_the_old_life() -> None:
-    stop = frame([struct.pack("<HI", wire.POWER_OFF, 3)])
+    stop = frame([struct.pack("<HI", wire.EventCode.STOP, 3)])
     assert talk(start(), stop, start()).count(struct.pack("<HI", 69, 3)) == 2
 
 
 def test_note_and_crash_use_the_tail() -> None:
-    note = wire.write_reply([(5, WriteLog("two servers known"))])
+    note = write_reply([(5, WriteLog("two servers known"))])
     assert note.hex().startswith("01000000" + "31000000" + "4700" + "05000000" + "00000000" + "11000000")
     assert note.endswith(b"two servers known")
 
