--- a/gaugesail/policy/slow_start.py
+++ b/gaugesail/policy/slow_start.py
@@ -3,26 +3,25 @@
 A node starts at ``initial_capacity_share`` of its capacity and is warm ``warm_up_us`` later at the latest;
 ``initial_capacity_units`` from all gateways within ``overload_window_us`` never overload it.  The gateways
 have even shares of that.  Where they may talk, one passes on what it does not need.  Where they may not, and
-an even share would be less than a request, they take turns (docs/fleet.md, "The ramp").
+an even share would be less than a request, they take turns (``share_rotation``; docs/fleet.md, "The ramp").
 """
 
 from __future__ import annotations
 
-import zlib
 from typing import NamedTuple
 
 from .actions import SendPeerMessage
 from .events import PeerMessageReceived
 from .records import NodeRecord, ShardRecord
-from .settings import NodeId, Settings
+from .settings import Settings
 from .share_messages import ShareGrant, ShareRequest, decode
+from .share_rotation import ShareRotation
 from .unserved_units import UnservedUnits
 
 SHARE_REQUEST_US = 1_000_000  # between two requests for a share, and how long one holds
 SMALLEST_GRANT = 0.5  # of an even share
 GRANT_ROUNDING = 1 - 1e-6  # so that a share rounded to 32 bits is not more than was deducted
 ARRIVAL_JITTER_US = 50_000  # by which one request may arrive later than another sent at the same time
-TURN_REQUESTS = 2.0  # of mean units, that a gateway in its turn may have unserved at a node
 UNLIMITED = float("inf")
 
 
@@ -44,24 +43,24 @@
     """
 
     def __init__(self, settings: Settings, started_at: int) -> None:
-        self._settings = settings
         self._started_at = started_at
         self._unserved = UnservedUnits()
+        self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
         """Take other settings; what was sent stays."""
         self._settings = settings
+        self._rotation = ShareRotation.from_settings(settings)
 
     # ---- the node's capacity ----
 
     def capacity_share(self, now: int, warming_since: int | None) -> float:
         """The share of its capacity that a node has at the least: it grows evenly, as late as allowed."""
-        warm_up_us = self._settings.warm_up_us
-        if warming_since is None or not self._settings.overload_window_us:
-            return 1.0
-        if now - warming_since >= warm_up_us:
+        settings = self._settings
+        warm_up_us = settings.warm_up_us
+        if warming_since is None or not settings.overload_window_us or now - warming_since >= warm_up_us:
             return 1.0
-        initial = self._settings.initial_capacity_share
+        initial = settings.initial_capacity_share
         return initial + (1 - initial) * max(0, now - warming_since) / warm_up_us
 
     def allowed_units(self, now: int, warming_since: int | None) -> float:
@@ -71,7 +70,8 @@
         share = self.capacity_share(now, warming_since)
         if share >= 1:
             return UNLIMITED
-        return self._settings.initial_capacity_units * share / self._settings.initial_capacity_share
+        settings = self._settings
+        return settings.initial_capacity_units * share / settings.initial_capacity_share
 
     def capacity(
         self, now: int, node: NodeRecord, sibling_processes: int, count_served: bool
@@ -95,7 +95,7 @@
         if settings.peer_messages_allowed:
             share = node.slow_start_share / sibling_processes
         else:
-            share = self.share_in_turn(now, node.node_id, unserved) / sibling_processes
+            share = self._rotation.share(now, node.node_id, unserved) / sibling_processes
         room = unserved * share - self._unserved.unserved_since(node.node_id, window_start)
         if count_served:
             sent = self._unserved.sent_since(node.node_id, window_start - ARRIVAL_JITTER_US)
@@ -113,26 +113,6 @@
             return 1 / self._settings.gateway_count
         return 0.0
 
-    def share_in_turn(self, now: int, node_id: NodeId, unserved_units: float) -> float:
-        """This gateway's share now of ``unserved_units`` of a node, where the gateways may not talk.
-
-        Each has its even share, once that is a quantum or more.  Before, as many gateways as the units allow
-        have a quantum each and the others nothing.  The turn goes round by the clock and the node alone, so
-        that all see the same round whenever they heard of the start.  In one overload window, as many turns
-        begin as take half of the excess that chance allows (twice the root of N, plus 2 requests); the ends
-        of the round, at most one quantum more, fit the other half.
-        """
-        settings = self._settings
-        root = (settings.initial_capacity_units / settings.mean_request_units) ** 0.5 + 1
-        quantum = min(TURN_REQUESTS, root) * settings.mean_request_units
-        turns = unserved_units / quantum
-        if turns >= settings.gateway_count:
-            return 1 / settings.gateway_count
-        turns_per_us = root * settings.mean_request_units / quantum / settings.overload_window_us
-        offset = settings.gateway_index + zlib.crc32(node_id)
-        position = (offset - now * turns_per_us) % settings.gateway_count
-        return 1 / turns if position < turns else 0.0
-
     # ---- what was sent ----
 
     def record_sent(self, now: int, node: NodeRecord, units: float) -> None:
--- a/gaugesail/policy/unserved_units.py
+++ b/gaugesail/policy/unserved_units.py
@@ -40,8 +40,10 @@
 
     def unserved_since(self, node_id: NodeId, start: int) -> float:
         """Units sent to a node since ``start`` that it has not served."""
-        return sum(units for sent_at, units in self._logs.get(node_id, ()) if sent_at >= start)
+        # A list here is faster than a generator: this runs for each attempt at a node in slow start.
+        return sum([units for sent_at, units in self._logs.get(node_id, ()) if sent_at >= start])
 
     def sent_since(self, node_id: NodeId, start: int) -> float:
         """Units sent to a node since ``start``, served or not."""
-        return sum(units for sent_at, units in self._logs.get(node_id, ()) if units > 0 and sent_at >= start)
+        log = self._logs.get(node_id, ())
+        return sum([units for sent_at, units in log if units > 0 and sent_at >= start])
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -16,7 +16,7 @@
 from gaugesail.policy.events import EndpointList, EndpointListKind
 from gaugesail.policy.gateway import Gateway
 from gaugesail.policy.settings import Plan, RequestClass, Settings
-from gaugesail.policy.slow_start import SlowStart
+from gaugesail.policy.share_rotation import ShareRotation
 
 SIZES = (5, 20, 30)
 
@@ -152,7 +152,7 @@
         initial_capacity_units=units,
         mean_request_units=2.05,
     )
-    cares = [SlowStart(replace(given, gateway_index=me), 0) for me in range(heads)]
+    rotations = [ShareRotation.from_settings(replace(given, gateway_index=me)) for me in range(heads)]
     rng = random.Random(heads)
     root = (units / 2.05) ** 0.5 + 1
     quantum = 2.05 * min(2.0, root)
@@ -161,7 +161,7 @@
         start = rng.randrange(10**15, 2 * 10**15)
         most = [0.0] * heads
         for now in range(start, start + given.overload_window_us, 25_000):
-            parts = [care.share_in_turn(now, node, borne) * borne for care in cares]
+            parts = [rotation.share(now, node, borne) * borne for rotation in rotations]
             assert sum(parts) <= borne + quantum + 1e-6
             most = [max(pair) for pair in zip(most, parts, strict=True)]
         assert sum(most) <= borne + root * 2.05 + quantum + 1e-6
