--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -13,7 +13,7 @@
 from gaugesail.simulator.protocol import WireError
 from gaugesail.simulator.settings_text import parse_settings
 
-from .http.discovery import BadList, split_address
+from .http.endpoint_reader import BadList, split_address
 from .http.management import MOST_CALLS
 from .net import descriptors
 
@@ -43,6 +43,7 @@
 
     @property
     def client_connections(self) -> int:
+        """How many clients may be connected."""
         return self._usable * 65 // 100
 
     @property
--- a/gaugesail/http/front.py
+++ b/gaugesail/http/front.py
@@ -15,11 +15,12 @@
 
 from ..buffers import Body, BufferPool, PoolEmpty
 from ..core.engine import Engine
-from ..core.ports import Clock, Logger, Order, Sink, Source
+from ..core.ports import BodySink, BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..door import CloseReason, Door
 from ..net import Connection, Emptied, unread, waited_us
-from .bricks import READ_BYTES
-from .parser import WHOLE_BODY, BadMessage, Data, Head, Parser
+from .messages import MAX_BUFFERED_BODY, BadMessage, Data, Head
+from .node_connection import READ_BYTES
+from .parser import Parser
 
 HEALTH_PATH = "/_health"
 METHODS = ("GET", "PUT")
@@ -83,7 +84,7 @@
         """The request has its answer: what is held of it goes, and what has not run never will."""
         self.body.release()
         if self.staged is not None:
-            self.staged.broke()
+            self.staged.fail()
 
 
 def passed_on(headers: dict[str, str]) -> tuple[str, ...]:
@@ -116,7 +117,7 @@
         self._plans = {plan.name: n for n, plan in enumerate(settings.plans)}
         self._deadlines = [spec.deadline_us for spec in settings.classes]
 
-    def read(self, head: Head, body: Body) -> Order:
+    def read(self, head: Head, body: Body) -> ClientRequest:
         """The order; BadMessage names the header that is missing or cannot be read."""
         headers = head.headers
         name = headers.get("request-id", "")
@@ -146,7 +147,7 @@
             raise BadMessage("units or hosts are beyond the settings'")
         if int(shard) < -1 or (self._set.shard_count and int(shard) >= self._set.shard_count):
             raise BadMessage("there is no such shard")
-        return Order(
+        return ClientRequest(
             name,
             self._set,
             kind,
@@ -174,9 +175,9 @@
         self._front = front
         self._parser = Parser(answers=False)
         self._head: Head | None = None
-        self._order: Order | None = None  # what the head asks for; the request in hand's until its answer
-        self._up: Sink | None = None  # where a large body goes
-        self._source: Source | None = None  # where a large answer comes from
+        self._order: ClientRequest | None = None  # the one that is being received, or is owed its answer
+        self._up: BodySink | None = None  # where a large body goes
+        self._source: BodySource | None = None  # where a large answer comes from
         self._chunked = False
         self._ticket: int | None = None  # of the request in hand; 0 where the engine took none, or is done
         self._keep, self._old = True, False
@@ -209,7 +210,7 @@
 
     @property
     def idle(self) -> bool:
-        return self._ticket is None and self._parser.between and not (self._full or self.closing)
+        return self._ticket is None and self._parser.between_messages and not (self._full or self.closing)
 
     def connectionMade(self) -> None:
         self.link.setTcpNoDelay(True)
@@ -221,7 +222,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.lost = True
         if self._ticket:
-            self._front.engine.client_gone(self._ticket)
+            self._front.engine.client_disconnected(self._ticket)
         self._ticket = None
         if self._source is not None:
             self._source.stop()
@@ -241,15 +242,15 @@
             return
         now = self.heard_us = self._front.clock.now_us()
         came = now - waited_us(self.link, self._front.clock)
-        if self._parser.between:
+        if self._parser.between_messages:
             self._since = now
         self._parser.feed(data)
-        while self._marks and self._marks[0][0] <= self._parser.taken:
+        while self._marks and self._marks[0][0] <= self._parser.bytes_read:
             self._marks.popleft()
         if self._marks and (came - self._marks[-1][1] < MARK_US or len(self._marks) >= MOST_MARKS):
-            self._marks[-1] = self._parser.fed, came
+            self._marks[-1] = self._parser.bytes_fed, came
         else:
-            self._marks.append((self._parser.fed, came))
+            self._marks.append((self._parser.bytes_fed, came))
         if self._ticket is None:
             self._read()
         self._hold()
@@ -281,7 +282,7 @@
     def _came(self) -> int:
         """When the last byte came of what has been read: a request's time runs from there, whenever its turn
         comes."""
-        taken, at = self._parser.taken, self._front.clock.now_us()
+        taken, at = self._parser.bytes_read, self._front.clock.now_us()
         while self._marks:
             at = self._marks[0][1]
             if self._marks[0][0] >= taken:
@@ -345,7 +346,7 @@
             self._reading = False
 
     def _headed(self, head: Head) -> None:
-        self._head, self._keep, self._old = head, head.keep_alive, head.old
+        self._head, self._keep, self._old = head, head.keep_alive, head.http_1_0
         self._since, self._got = self._front.clock.now_us(), 0
         head.target = origin_form(head.target)
         if head.target != HEALTH_PATH:
@@ -355,20 +356,20 @@
         expects = head.headers.get("expect", "").lower()
         if expects not in ("", "100-continue"):
             raise BadMessage("an expectation that is not known", 417)
-        if expects and head.length != 0 and not head.old:
+        if expects and head.length != 0 and not head.http_1_0:
             self.link.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _more(self, data: bytes) -> None:
         order = self._order
         self._got += len(data)
         if self._up is not None:
-            self._up.more(data)
+            self._up.write(data)
         elif order is not None and not self._answered:
             order.payload.body.append(data)
-            if self._got > WHOLE_BODY and self._head is not None:
+            if self._got > MAX_BUFFERED_BODY and self._head is not None:
                 # Too large to hold: it is written to its brick as it comes.
                 self.length = self._head.length
-                self._up = self._front.engine.stage(order, self)
+                self._up = self._front.engine.stage_upload(order, self)
                 if self._up is None:
                     self.stop()
 
@@ -407,10 +408,10 @@
             self.answer(200 if ready else 503, b"" if head.method == "HEAD" else text)
             return
         if up is not None:
-            up.done()
+            up.finish()
             self.resume()  # it has come whole: from here on nobody pauses it, and its client's end is seen
         self._ticket = 0
-        self._ticket = self._front.engine.take(order, ClientReply(self), self._came())
+        self._ticket = self._front.engine.submit(order, ClientReply(self), self._came())
 
     # -- answers --
 
@@ -464,7 +465,7 @@
             self._read()
             self._hold()
 
-    def begins(self, source: Source) -> Sink | None:
+    def begins(self, source: BodySource) -> BodySink | None:
         """An answer that is passed on as it comes.  Until its end the connection takes nothing else."""
         if self.lost:
             return None
@@ -509,7 +510,7 @@
 
     def leave(self) -> dict[str, Any]:
         told = {"chunked": self._chunked, "keep": self._keep, "asked": self.asked, "old": self._old,
-                "parser": self._parser.state}  # fmt: skip
+                "parser": self._parser.export_state()}  # fmt: skip
         self._source, self.lost = None, True
         self._front.emptied(self)
         return told
@@ -521,18 +522,18 @@
         if self._source is not None:
             self._source.resume()
 
-    def enter(self, told: dict[str, Any], source: Source) -> None:
+    def enter(self, told: dict[str, Any], source: BodySource) -> None:
         """Go on with an answer where another process left it."""
         self._ticket, self._source, self._chunked = 0, source, told["chunked"] is True
         self._keep, self._old, self.asked = told["keep"] is True, told["old"] is True, int(told["asked"])
-        self._parser.state = told["parser"]
+        self._parser.restore_state(told["parser"])
         self.unread = READ_BYTES
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         if not self.lost and data:
             self.link.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
 
-    def done(self) -> None:
+    def finish(self) -> None:
         self._source = None
         if self.lost:
             return
@@ -541,7 +542,7 @@
         self._front.used(self)
         self._free(self._keep and not self._front.closing, False)
 
-    def broke(self) -> None:
+    def fail(self) -> None:
         """The answer can't be finished: a reset tells the client that it is not whole."""
         self._source = None
         if not self.lost:
@@ -586,7 +587,7 @@
                 self.link.loseConnection()
         elif self._paused and self.left:
             pass  # nobody reads it, and it has gone
-        elif self._ticket is None and not self._parser.between:
+        elif self._ticket is None and not self._parser.between_messages:
             if not self._paused and now > self._due():
                 self._front.engine.counts["half_sent"] += 1
                 self._fail(408, "the request took too long to arrive")
@@ -628,27 +629,27 @@
             raise RuntimeError("a second final answer")
         return connection
 
-    def begins(self, source: Source) -> Sink | None:
+    def start_stream(self, source: BodySource) -> BodySink | None:
         connection = self._take()
         try:
             return connection.begins(source)
         except Exception:  # half an answer may be written: only the end of the connection is safe
-            connection.broke()
+            connection.fail()
             raise
 
-    def served(self, answer: Any) -> None:
+    def send_answer(self, answer: Any) -> None:
         self._take().answer(200, answer)
 
-    def refused(self, hold_off_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         connection = self._take()
-        connection.answer(503, b"refused", hold_off_us=hold_off_us or connection._front.hold_off_us)
+        connection.answer(503, b"refused", hold_off_us=retry_after_us or connection._front.hold_off_us)
 
-    def left(self) -> bool:
+    def client_disconnected(self) -> bool:
         return self._connection is not None and self._connection.left
 
-    def failed(self, reason: str) -> None:
-        status = {"out of time": 504, "id in use": 409}.get(reason, 500)
-        self._take().answer(status, reason.encode())
+    def fail(self, reason: FailureReason) -> None:
+        status = {FailureReason.OUT_OF_TIME: 504, FailureReason.ID_IN_USE: 409}.get(reason, 500)
+        self._take().answer(status, reason.value.encode())
 
 
 class ClientFront(Door):
--- a/gaugesail/measure/budgets.py
+++ b/gaugesail/measure/budgets.py
@@ -31,7 +31,6 @@
 GAP_S = 2.0  # between two faults
 BACK_AT = 0.9  # of the whole: a dead head's part is in use again
 FIND_SCHEDULES = 40
-WORST_BACK_S = 10.0
 
 
 def world_of(heads: int, seed: int, drift: float = 0.0, fleet: bool = True, keepers: int = 3) -> FleetWorld:
@@ -119,8 +118,8 @@
     for head in world.heads.values():
         head.sent_bytes = 0
     world.run(world.now + seconds * SECOND)
-    kept = [head.sent_bytes for name, head in world.heads.items() if name in world.charter.keepers]
-    rest = [head.sent_bytes for name, head in world.heads.items() if name not in world.charter.keepers]
+    kept = [head.sent_bytes for name, head in world.heads.items() if name in world.charter.replicas]
+    rest = [head.sent_bytes for name, head in world.heads.items() if name not in world.charter.replicas]
     return sum(rest) / max(1, len(rest)) / seconds, sum(kept) / len(kept) / seconds
 
 
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -11,12 +11,13 @@
 from collections.abc import Callable
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.bootstrap import seat_of
-from gaugesail.coordination.consensus import Snapshot
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.lease_holder import HeadFloor, LeaseHolder
+from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.lease_holder import LeaseHolder
 from gaugesail.coordination.node import FleetNode, PersistentState, StepOutput
 from gaugesail.coordination.quota_ledger import QuotaLedger
+from gaugesail.coordination.raft_log import Snapshot
+from gaugesail.coordination.replica_id import make_replica_id
 
 from ..lab.fleet import SECOND, Disk, FleetWorld, LabHead, Limit
 from ..lab.troubles import Demand
@@ -51,7 +52,7 @@
 
 
 def leader(world: FleetWorld) -> LabHead:
-    return next(head for head in world.heads.values() if head.node is not None and head.node.leads)
+    return next(head for head in world.heads.values() if head.node is not None and head.node.is_leader)
 
 
 def others(world: FleetWorld, *names: str) -> list[str]:
@@ -191,20 +192,20 @@
         world = begun(seed)
         boss = leader(world).name
         ask(world, ["h3"], 3)
-        keepers = [name for name in world.charter.keepers if name != boss]
-        for name in world.charter.keepers:
+        keepers = [name for name in world.charter.replicas if name != boss]
+        for name in world.charter.replicas:
             world.line("h3", name).cut = True
         ask(world, ["h3", "h4"], 2.4)
         for name in keepers:
             world.line(boss, name).delay_us = 500_000
-        seat = world.heads[boss].node.seat  # type: ignore[union-attr]
+        replica = world.heads[boss].node.replica  # type: ignore[union-attr]
         end = world.now + 4 * SECOND
-        while world.now < end and seat is not None and seat.office is not None:
+        while world.now < end and replica is not None and replica.lease_manager is not None:
             ask(world, ["h4"], 0.02)
-            mine = [tenant for tenant in seat.office.tenants.values() if tenant.head == "h3"]
-            if not mine or mine[0].until - world.heads[boss].now() < (100 + 100 * seed) * 1000:
+            mine = [lease for lease in replica.lease_manager.leases.values() if lease.gateway == "h3"]
+            if not mine or mine[0].expires_at - world.heads[boss].now() < (100 + 100 * seed) * 1000:
                 break
-        for name in world.charter.keepers:
+        for name in world.charter.replicas:
             world.line("h3", name).cut = False
         ask(world, ["h3", "h4"], 2)
         for name in keepers:
@@ -236,7 +237,7 @@
     def once(seed: int) -> int:
         world = begun(seed)
         boss = leader(world).name
-        short, other = [name for name in world.charter.keepers if name != boss]
+        short, other = [name for name in world.charter.replicas if name != boss]
         world.cut({short})
         ask(world, ["h3"], 3)
         world.cut({short}, on=False)
@@ -366,7 +367,7 @@
     def once(seed: int) -> int:
         world = begun(seed)
         ask(world, ["h3"], 2)
-        copies = {name: world.heads[name].disk for name in world.charter.keepers}
+        copies = {name: world.heads[name].disk for name in world.charter.replicas}
         olds = {name: disk.copy() for name, disk in copies.items() if disk is not None}
         ask(world, ["h4"], 4)
         for name in list(olds)[:2]:
@@ -375,7 +376,7 @@
         world.run(world.now + SECOND // 10)
         for name in list(olds)[:2]:
             world.heads[name].start()
-        keep = world.charter.keepers[2]
+        keep = world.charter.replicas[2]
         world.cut({keep})
         ask(world, ["h3", "h4"], 12)
         world.cut({keep}, on=False)
@@ -396,7 +397,7 @@
     for judge in world.judges.values():
         judge.change(world.now, less)
     world.judge(1).change(world.now, less)
-    world.judge(1).settle(world.now + 2 * world.charter.count_us + SECOND)
+    world.judge(1).settle(world.now + 2 * world.charter.lease_with_drift_us + SECOND)
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 25 * SECOND)
     return broken(world)
@@ -414,7 +415,7 @@
         judge.change(world.now, less)
         for n, head in enumerate(world.heads.values()):
             world.at(world.now + n * SECOND // 2, lambda head=head: head.retune(less))  # type: ignore[misc]
-        judge.settle(world.now + 3 * SECOND + 2 * world.charter.count_us)
+        judge.settle(world.now + 3 * SECOND + 2 * world.charter.lease_with_drift_us)
         world.run(world.now + 20 * SECOND)
         more = world.limit = Limit(RATE, 80.0)
         judge.change(world.now, more)
@@ -466,18 +467,18 @@
 def _keeper(charter: FleetTerms, disk: Disk) -> FleetNode:
     """A seated keeper whose store is taken for the latest."""
     loaded = disk.load(random.Random(1))
-    node = FleetNode(charter, "d", "h1", "h1:1", 7 + loaded.kept.life, 1, loaded, 1, 0)
+    node = FleetNode(charter, "d", "h1", "h1:1", 7 + loaded.state.starts, 1, loaded, 1, 0)
     _write(disk, node.trust_store(0))
     return node
 
 
 def _write(disk: Disk, out: StepOutput) -> bool:
-    return out.save is None or disk.write(out.save)
+    return out.write is None or disk.write(out.write)
 
 
 def _seats(charter: FleetTerms) -> tuple[Disk, tuple[str, ...]]:
-    seats = tuple(seat_of(name, f"store-{name}") for name in charter.keepers)
-    kept = PersistentState("store-h1", fleet="f", seats=seats, bound="store-h0")
+    seats = tuple(make_replica_id(name, f"store-{name}") for name in charter.replicas)
+    kept = PersistentState("store-h1", fleet_id="f", voters=seats, bound_to="store-h0")
     return Disk(kept), seats
 
 
@@ -496,7 +497,7 @@
 
 
 def _granted(out: StepOutput) -> bool:
-    return any(isinstance(said, m.VoteResponse) and said.granted for _, said in out.sends)
+    return any(isinstance(said, m.VoteResponse) and said.granted for _, said in out.messages)
 
 
 def full_at_vote() -> int:
@@ -511,7 +512,7 @@
     node.store_failed(10, "full")
     later = [node.tick(20 + n * SECOND) for n in range(5)]
     later.append(node.receive(9 * SECOND, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0)))
-    return sum(map(_granted, later)) + int(node.keeper)
+    return sum(map(_granted, later)) + int(node.is_replica)
 
 
 def older_term() -> int:
@@ -522,16 +523,16 @@
     _write(disk, node.receive(10, "h2", 1, m.VoteRequest(seats[2], 6, False, 0, 0)))
     entry = m.LogEntry(5, m.Noop())
     out = node.receive(20, "h0", 1, m.AppendEntries(seats[0], 5, 0, 0, (entry,), 1, 1))
-    taken = any(isinstance(said, m.AppendResponse) and said.ok for _, said in out.sends)
-    return int(taken) + len(node.seat.raft.log if node.seat is not None else ())
+    taken = any(isinstance(said, m.AppendResponse) and said.success for _, said in out.messages)
+    return int(taken) + len(node.replica.raft.log.entries if node.replica is not None else ())
 
 
 def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
     """One that has asked at 0."""
-    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", "h", 7, "s", HeadFloor(), 0, random.Random(1))
-    holder.state({"p": (100_000, 80_000)}, 8000)
+    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", 7, "s", HeadFloor(), 0, random.Random(1))
+    holder.set_limits({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
-    said = holder.take_out()[0][1]
+    said = holder.take_messages()[0][1]
     assert isinstance(said, m.LeaseRequest)
     return holder, said
 
@@ -541,7 +542,7 @@
     holder, asked = _holder()
     answer = m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
     holder.receive(5 * SECOND, "a", answer)
-    return int(holder.until > FleetTerms("f", ("a",)).lease_us)
+    return int(holder.lease_until > FleetTerms("f", ("a",)).lease_us)
 
 
 def order_late() -> int:
@@ -552,7 +553,7 @@
     )
     for version, rate in ((9, 20_000), (8, 90_000)):
         holder.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", version, rate, 8000),)))
-    return int(holder.book["p/1"].rate != 20_000)
+    return int(holder.allocations["p/1"].rate != 20_000)
 
 
 def session_replaced() -> int:
@@ -565,7 +566,7 @@
     holder.receive(
         30, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 6, 1, "a", -1, 0, (), "f")
     )
-    return len(holder.book)
+    return len(holder.allocations)
 
 
 def leader_errs() -> int:
@@ -581,7 +582,7 @@
     ]
     for index, command in enumerate(commands, 1):
         ledger.apply(index, command)
-    return int(sum(stake.rate for stake in ledger.parts["p/1"].values()) > 90_000)
+    return int(sum(stake.rate for stake in ledger.allocations["p/1"].values()) > 90_000)
 
 
 def snapshot_and_log() -> int:
@@ -592,11 +593,16 @@
     entries = tuple(m.LogEntry(3, m.OpenSession(f"h{n}", n + 1, "")) for n in range(3))
     _write(disk, node.receive(10, "h0", 1, m.AppendEntries(seats[0], 3, 0, 0, entries, 2, 1)))
     again = _keeper(charter, copy.deepcopy(disk))
-    seat, old = again.seat, node.seat
+    seat, old = again.replica, node.replica
     if seat is None or old is None:
         return 1
-    return int(seat.raft.log != old.raft.log) + int(seat.raft.term != 3) + int(seat.raft.snapshot != Snapshot(
-        0, 0, seats, b""))  # fmt: skip
+    kept = seat.raft.log
+    differs = [
+        kept.entries != old.raft.log.entries,
+        seat.raft.term != 3,
+        kept.snapshot != Snapshot(0, 0, seats, b""),
+    ]
+    return sum(differs)
 
 
 CASES: dict[str, Callable[[], int]] = {
--- a/gaugesail/rehearsal/worlds.py
+++ b/gaugesail/rehearsal/worlds.py
@@ -21,7 +21,7 @@
 from .. import config as configuration
 from ..app import Head
 from ..core.clock import ReactorClock, use_monotonic_time
-from ..http.discovery import split_address
+from ..http.endpoint_reader import split_address
 from ..iscsi.app import IscsiHead
 from ..iscsi.operator import read_operator, write_toml
 from ..logs import make_logger
@@ -117,7 +117,9 @@
         """The file that the daemon was started with is another, and SIGHUP tells it so."""
         head, environ = self.heads[-1], self._environ
         iscsi = isinstance(head, IscsiHead)
-        head.hang_up(lambda: read_operator(config, environ) if iscsi else configuration.read(config, environ))
+        head.reload_from(
+            lambda: read_operator(config, environ) if iscsi else configuration.read(config, environ)
+        )
 
     def stop(self) -> None:
         """SIGTERM, to the process that has run for longest."""
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -13,7 +13,7 @@
 from gaugesail.fleet.link import Link
 from gaugesail.fleet.settings import read_fleet
 from gaugesail.fleet.store import FleetStore, StoreFailed
-from gaugesail.fleet.wire import MOST_DATAGRAM, Wire
+from gaugesail.fleet.wire import MAX_DATAGRAM_BYTES, Wire
 from gaugesail.logs import make_logger
 from gaugesail.policy.events import QuotaChanged
 from gaugesail.policy.settings import Plan, RequestClass, Settings
@@ -34,10 +34,10 @@
         self.shares: list[QuotaChanged] = []
         self.asked = 0.0
 
-    def share(self, event: QuotaChanged) -> None:
+    def change_quota(self, event: QuotaChanged) -> None:
         self.shares.append(event)
 
-    def wants(self) -> list[tuple[str, int, float, float, float]]:
+    def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         return [("p", 1, self.asked, self.asked, 0.0)] if self.asked else []
 
     def part(self) -> float:
@@ -125,7 +125,7 @@
     assert node is not None
     fleet.run(5)
     told = json.loads(agent.call("GET", ["budgets"])[1])
-    assert not node.keeper and not told["keeper"] and not told["leads"]
+    assert not node.is_replica and not told["keeper"] and not told["leads"]
     assert told["own"]["floors"] == before and told["own"]["lease_s"] > 0, "it serves on, as a holder"
     assert "fleet_store_failed" in fleet.log.getvalue()
     fleet.end()
@@ -144,7 +144,7 @@
     assert fleet.reactor.run_until(lambda: "fleet_store_failed" in fleet.log.getvalue(), 10.0)
     agent.leave()
     fleet.run(10)
-    assert "fleet_begins_anew" not in fleet.log.getvalue()
+    assert "fleet_restarted" not in fleet.log.getvalue()
     fleet.end()
 
 
@@ -160,7 +160,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(agent.node, "receive", wrong)
         fleet.run(0.5)
-    assert "fleet_raised" in fleet.log.getvalue() and not agent.node.keeper
+    assert "fleet_raised" in fleet.log.getvalue() and not agent.node.is_replica
     fleet.run(8)
     assert json.loads(agent.call("GET", ["budgets"])[1])["own"]["lease_s"] > 0
     fleet.end()
@@ -173,11 +173,11 @@
     second = fleet.start("b")
     fleet.run(2)
     assert second.node is None and second.call("GET", ["members"])[0] == 503
-    assert "fleet_waits" in fleet.log.getvalue()
+    assert "fleet_start_delayed" in fleet.log.getvalue()
     first.leave()
     first.close()
     fleet.run(4)
-    assert second.node is not None and second.node.holder.until > fleet.clock.now_us()
+    assert second.node is not None and second.node.lease_holder.lease_until > fleet.clock.now_us()
     fleet.end()
 
 
@@ -209,7 +209,7 @@
             lambda sender, process, message: heard.append(message),
         )  # fmt: skip
         links[name].listen(*where[name])
-    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MOST_DATAGRAM))
+    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MAX_DATAGRAM_BYTES))
     links["a"].send("b", large)
     links["a"].send("b", m.DigestOffer(1))
     links["a"].send("c", m.DigestOffer(2))
@@ -224,5 +224,5 @@
     assert len(heard) == 2 and links["a"].counts["too_large"] == 1
     reactor.run_until(lambda: False, 30)
     links["a"].sweep()
-    assert not links["a"]._exchanges
+    assert not links["a"]._channels
     links["a"].close()
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -58,24 +58,24 @@
 
 def old_life(head: Gateway) -> None:
     """A new life takes its part at once, as if no earlier one had spent it."""
-    head.cold._started_at = 0
+    head.slow_start._started_at = 0
 
 
 def forgets(head: Gateway) -> None:
     """What was sent is not kept."""
-    head.cold.record_sent = lambda now, node, units: None  # type: ignore[method-assign]
+    head.slow_start.record_sent = lambda now, node, units: None  # type: ignore[method-assign]
 
 
 def drops(head: Gateway) -> None:
     """What was sent is forgotten with the book of a node that a list has dropped."""
-    listed = head._list
+    update = head.node_table.update
 
     def heard(event: EndpointList) -> None:
         if event.kind is EndpointListKind.FULL:
-            head.cold._unserved.clear()
-        listed(event)
+            head.slow_start._unserved.clear()
+        update(event)
 
-    head.handlers[EndpointList] = heard
+    head.node_table.update = heard  # type: ignore[method-assign]
 
 
 def sound(head: Gateway) -> None:
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -12,10 +12,10 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from gaugesail import config
-from gaugesail.core.engine import MOST_IDS
-from gaugesail.core.retune import between
-from gaugesail.handover import Handover, Link
-from gaugesail.operations import NotYet, Operations
+from gaugesail.core.listed_nodes import MAX_LISTED_NODES
+from gaugesail.core.settings_transition import transition_settings
+from gaugesail.handover import Handover, HandoverConnection
+from gaugesail.operations import Operations, StateNotKnown
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from gaugesail.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from gaugesail.rehearsal.memory import MemoryReactor
@@ -44,7 +44,7 @@
 def test_what_cannot_be_written_down_is_told_no_and_not_done() -> None:
     asks = OUT.replace("200", "503 *down*")
     serves = "send c1 request a\nexpect b1 request a\nsend b1 answer a 200 hello\nexpect c1 200 hello"
-    assert not play(asks + serves, TMPDIR="/nowhere").head.engine.away
+    assert not play(asks + serves, TMPDIR="/nowhere").head.engine.in_maintenance
 
 
 def test_a_file_that_cannot_be_read_is_said_and_keeps_no_head_from_starting(tmp_path: Path) -> None:
@@ -64,9 +64,15 @@
 
 def test_ids_ever_listed_are_known_and_bounded() -> None:
     engine = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head.engine
-    for n in range(MOST_IDS + 10):
-        engine.listed(EndpointList(EndpointListKind.CHANGES, (Endpoint(b"s-%d" % n, 0, EndpointState.GONE),)))
-    assert engine.has_seen(b"s-11") and not engine.has_seen(b"s-1") and len(engine._seen) == MOST_IDS
+    for n in range(MAX_LISTED_NODES + 10):
+        engine.update_endpoints(
+            EndpointList(EndpointListKind.CHANGES, (Endpoint(b"s-%d" % n, 0, EndpointState.GONE),))
+        )
+    assert (
+        engine.has_listed(b"s-11")
+        and not engine.has_listed(b"s-1")
+        and len(engine._listed) == MAX_LISTED_NODES
+    )
 
 
 REPLACED = "brick b1\nclient c1\nclient c2\nsend c1 get /_health\nexpect c1 200\nsend daemon replace\n"
@@ -76,25 +82,25 @@
     old, new = play(REPLACED + "wait 0.1\nexpect c1 nothing").heads
     reactor = old._reactor
     assert not old.front.accepting and new.front.accepting and old.front.moved.on
-    assert old.buffers.limit == new.buffers.limit == old._most_buffers // 2
+    assert old.buffers.limit == new.buffers.limit == old._max_buffers // 2
     new._port.stopListening()
-    new._handover._links[0].link.abortConnection()
+    new._handover._connections[0].link.abortConnection()
     reactor.run_until(lambda: False, 4.0)
     assert old.front.accepting and not old.front.leaving and old.front.connections == 1
-    assert old.buffers.limit == old._most_buffers and len(reactor.ports[old._port.getHost()]) == 1
+    assert old.buffers.limit == old._max_buffers and len(reactor.ports[old._port.getHost()]) == 1
 
 
 def test_a_next_process_that_dies_before_it_serves_changes_nothing(tmp_path: Path) -> None:
     world = play("client c1\nsend c1 get /_health\nexpect c1 200\nsend list mute", TMPDIR=str(tmp_path))
     old = world.head
-    link = Link(Handover(world.reactor, old.clock, old._log, None, ("", 0), old), True)
-    link._handover._asked = Deferred()
+    link = HandoverConnection(Handover(world.reactor, old.clock, old._log, None, ("", 0), old), True)
+    link._handover._requested = Deferred()
     factory = type("One", (Factory,), {"noisy": False, "buildProtocol": lambda self, addr: link})()
     world.reactor.connectUNIX(str(tmp_path / "gaugesail-127.0.0.1-0.sock"), factory)
-    assert world.until(lambda: old.buffers.limit < old._most_buffers, 1.0)
+    assert world.until(lambda: old.buffers.limit < old._max_buffers, 1.0)
     link.link.abortConnection()
     world.until(lambda: False, 0.1)
-    assert old.front.accepting and not old.front.leaving and old.buffers.limit == old._most_buffers
+    assert old.front.accepting and not old.front.leaving and old.buffers.limit == old._max_buffers
 
 
 def test_a_dead_peer_a_silent_one_and_noise_keep_no_process_from_starting(tmp_path: Path) -> None:
@@ -139,10 +145,10 @@
     renamed = noise.replace('"give_up_us"', '"give_up"', 1)
     for text in ("", "{", "[]", "null", noise[: len(noise) // 2], renamed):
         file.write_text(text)
-        head.hang_up(lambda: config.load({"BALANCER_CONFIG": str(file)}))
+        head.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
         assert head.engine.settings is wanted and "level=error event=bad_configuration" in last_line(head)
     file.write_text(reads)
-    head.hang_up(lambda: config.load({"BALANCER_CONFIG": str(file)}))
+    head.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
     assert head.engine.settings.classes[0].name == "reads" and "event=reloaded" in last_line(head)
 
 
@@ -173,7 +179,7 @@
         "write", 9, 20, idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.SHARD
     )
     new = Settings((changed, RequestClass("seal", 1, 2)), (Plan("b", 7.0),), max_attempts=2)
-    both = between(old, new)
+    both = transition_settings(old, new)
     assert [spec.name for spec in both.classes] == ["write", "seal", "read"]
     assert both.classes[0] == RequestClass(
         "write", 9, 50, idempotency=Idempotency.NOT_IDEMPOTENT, deduplication_scope=DeduplicationScope.SHARD
@@ -186,18 +192,18 @@
     old, new = play(text, TMPDIR=str(tmp_path)).heads
     assert old.operations.maintain(b"b1", True) and new.operations.maintain(b"b2", True)
     old._reactor.run_until(lambda: False, 0.1)
-    assert old.engine.away == new.engine.away == {b"b1", b"b2"}
-    assert StateFile(str(tmp_path), ("127.0.0.1", 9000)).read().away == {b"b1", b"b2"}
+    assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b1", b"b2"}
+    assert StateFile(str(tmp_path), ("127.0.0.1", 9000)).read().in_maintenance == {b"b1", b"b2"}
     new.operations.maintain(b"b1", False)
     old._reactor.run_until(lambda: False, 0.1)
-    assert old.engine.away == new.engine.away == {b"b2"}
+    assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b2"}
 
 
 def test_before_it_knows_what_was_asked_a_process_takes_no_call(tmp_path: Path) -> None:
-    engine, front = Mock(away=set()), Mock()
+    engine, front = Mock(in_maintenance=set()), Mock()
     operations = Operations(engine, front, StateFile(str(tmp_path), ("", 1)), Mock(), Mock())
     for call in (lambda: operations.drain(True), lambda: operations.maintain(b"b1", True)):
-        with pytest.raises(NotYet):
+        with pytest.raises(StateNotKnown):
             call()
     assert not list(tmp_path.iterdir()) and not engine.mock_calls
 
@@ -210,6 +216,6 @@
     part = old._config.limits.of(2).client_connections
     assert part == 11 and old.front.connections == 3, "silent ones go at once, as more are here than its part"
     assert new.front._max == 2 * part - 3
-    old._handover._links[0].link.abortConnection()
+    old._handover._connections[0].link.abortConnection()
     old._reactor.run_until(lambda: False, 0.1)
     assert new.front._max == old._config.limits.client_connections
