--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -172,7 +172,7 @@
 
     # ---- the log ----
 
-    def entry_applied(self, now: int, index: int, command: Command, done: bool) -> None:
+    def entry_applied(self, now: int, command: Command, done: bool) -> None:
         """The ledger has applied an entry; ``done``: it changed something."""
         match command:
             case OpenSession():
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -106,7 +106,7 @@
             for index, command in raft.log.take_committed():
                 done = self.ledger.apply(index, command)
                 if self.lease_manager is not None:
-                    self.lease_manager.entry_applied(now, index, command, done)
+                    self.lease_manager.entry_applied(now, command, done)
                 if (asked := self._later.pop(index, None)) is not None:
                     self._hear(*asked, done, "" if done else "it changed nothing")
             self._seat_office(now)
--- a/tests/coordination/test_lease_manager.py
+++ b/tests/coordination/test_lease_manager.py
@@ -46,7 +46,7 @@
             for index, command in self.raft.log.take_committed():
                 done = self.ledger.apply(index, command)
                 if manager is not None:
-                    manager.entry_applied(self.now, index, command, done)
+                    manager.entry_applied(self.now, command, done)
             if manager is not None:
                 manager.tick(self.now)
             self.now += 30_000
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""Whole heads' agents in memory: what is written, told to the gateway and said, in this order."""
+"""Agents on a reactor in memory: what is persisted, passed to the engine and sent, in this order."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 KEY = "k" * 20
 
 
-class Gateway:
+class Engine:
     """The engine as an agent sees it."""
 
     def __init__(self) -> None:
@@ -31,23 +31,23 @@
             classes=(RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
             plans=(Plan("p", 100.0, limit=100.0, limit_burst=80.0),), max_request_units=8.0, fleet_quota=True,
         )  # fmt: skip
-        self.shares: list[QuotaChanged] = []
+        self.quota_events: list[QuotaChanged] = []
         self.asked = 0.0
 
     def change_quota(self, event: QuotaChanged) -> None:
-        self.shares.append(event)
+        self.quota_events.append(event)
 
     def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         return [("p", 1, self.asked, self.asked, 0.0)] if self.asked else []
 
-    def part(self) -> float:
-        """The rate that it was last told of."""
-        told = [part[2] for event in self.shares for part in event.allocations]
+    def rate(self) -> float:
+        """The rate that it was last told of, 0.0 before."""
+        told = [part[2] for event in self.quota_events for part in event.allocations]
         return told[-1] if told else 0.0
 
 
 class Fleet:
-    """Some heads on one reactor in memory."""
+    """The agents of some gateways on one reactor in memory."""
 
     def __init__(self, folder: Path, names: str = "abc") -> None:
         self.reactor, self.folder, self.names = UdpReactor(), folder, names
@@ -56,7 +56,7 @@
         self.clock = ReactorClock(
             self.reactor, lambda: round(self.reactor.seconds() * 1e9), lambda: 1_700_000_000 * 10**9
         )
-        self.gateways: dict[str, Any] = {}
+        self.engines: dict[str, Any] = {}
         self.agents: dict[str, FleetAgent] = {}
         for name in names:
             self.start(name)
@@ -70,8 +70,8 @@
             "peer": [{"name": other, "address": self.at(other)} for other in self.names if other != name],
         })  # fmt: skip
         agent = FleetAgent(self.reactor, self.clock, settings, make_logger(self.log))
-        self.agents[name], self.gateways[name] = agent, Gateway()
-        agent.start(self.gateways[name])
+        self.agents[name], self.engines[name] = agent, Engine()
+        agent.start(self.engines[name])
         return agent
 
     def at(self, name: str) -> str:
@@ -89,13 +89,13 @@
             agent.close()
 
 
-def test_heads_found_a_fleet_and_the_busy_one_has_the_part(tmp_path: Path) -> None:
+def test_gateways_bootstrap_a_fleet_and_the_busy_one_gets_the_quota(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(6)
-    fleet.gateways["b"].asked = 15.0  # in each tenth of a second
+    fleet.engines["b"].asked = 15.0  # in each tenth of a second
     fleet.run(3)
-    assert fleet.gateways["b"].part() > 80
-    floors = [event.floors for event in fleet.gateways["c"].shares if event.floors]
+    assert fleet.engines["b"].rate() > 80
+    floors = [event.floors for event in fleet.engines["c"].quota_events if event.floors]
     assert floors[-1] == (("p", 2.5, 10.0),)
     status, text = fleet.agents["a"].call("GET", ["budgets"])
     told = json.loads(text)
@@ -111,7 +111,7 @@
     fleet.end()
 
 
-def test_a_store_that_fails_stops_all_that_rests_on_it(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_store_that_fails_stops_what_rests_on_it(tmp_path: Path, monkeypatch: Any) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(4)
     agent = fleet.agents["a"]
@@ -126,12 +126,12 @@
     fleet.run(5)
     told = json.loads(agent.call("GET", ["budgets"])[1])
     assert not node.is_replica and not told["keeper"] and not told["leads"]
-    assert told["own"]["floors"] == before and told["own"]["lease_s"] > 0, "it serves on, as a holder"
+    assert told["own"]["floors"] == before and told["own"]["lease_s"] > 0, "it goes on, as a holder"
     assert "fleet_store_failed" in fleet.log.getvalue()
     fleet.end()
 
 
-def test_a_head_that_leaves_does_not_come_back_for_its_store(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_gateway_that_leaves_does_not_start_over_for_its_store(tmp_path: Path, monkeypatch: Any) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(4)
     agent = fleet.agents["a"]
@@ -148,7 +148,7 @@
     fleet.end()
 
 
-def test_a_step_that_raises_ends_neither_the_head_nor_its_place(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_step_that_raises_ends_neither_the_gateway_nor_its_lease(tmp_path: Path, monkeypatch: Any) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(3)
     agent = fleet.agents["a"]
@@ -166,7 +166,7 @@
     fleet.end()
 
 
-def test_a_second_process_waits_for_the_place_of_the_first(tmp_path: Path) -> None:
+def test_a_second_process_waits_until_the_first_has_ended(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(3)
     first = fleet.agents["b"]
@@ -196,7 +196,7 @@
     fleet.end()
 
 
-def test_what_is_large_goes_by_an_exchange_and_what_is_too_large_nowhere() -> None:
+def test_large_messages_go_by_tcp_and_those_too_large_are_dropped() -> None:
     reactor = UdpReactor()
     clock = ReactorClock(reactor, lambda: round(reactor.seconds() * 1e9), lambda: 0)
     heard: list[Any] = []
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -1,4 +1,4 @@
-"""A head's store: kept before anything rests on it, one process's at a time, and never a copy's."""
+"""A gateway's store: persisted before anything rests on it, of one process at a time, never a copy."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     return tuple(m.LogEntry(term, m.OpenSession("h", term, "")) for term in terms)
 
 
-def test_what_is_written_is_there_for_the_next_process(tmp_path: Path) -> None:
+def test_the_next_process_reads_what_was_written(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
     assert found.entries == [] and found.state.store_id
-    kept = PersistentState(
+    state = PersistentState(
         found.state.store_id,
         3,
         9,
@@ -36,11 +36,11 @@
         floor_version=4,
         floor_limits={"p": (1, 2)},
     )
-    store.write(StoreWrite(kept, 1, entries(1, 1, 2)))
-    store.write(StoreWrite(kept, 3, entries(3)))
+    store.write(StoreWrite(state, 1, entries(1, 1, 2)))
+    store.write(StoreWrite(state, 3, entries(3)))
     store.close()
     again = opened(tmp_path)[1]
-    assert again.state == kept and [entry.term for entry in again.entries] == [1, 1, 3]
+    assert again.state == state and [entry.term for entry in again.entries] == [1, 1, 3]
 
 
 def test_a_snapshot_takes_the_place_of_the_entries_before_it(tmp_path: Path) -> None:
@@ -61,7 +61,7 @@
     assert again.state.store_id == "other" and not again.entries and not again.snapshot.index
 
 
-def test_one_process_has_it_at_a_time(tmp_path: Path) -> None:
+def test_one_process_has_the_store_at_a_time(tmp_path: Path) -> None:
     store, _ = opened(tmp_path)
     with pytest.raises(StoreBusy):
         opened(tmp_path)
@@ -81,7 +81,7 @@
     other.close()
 
 
-def test_a_store_that_was_moved_is_at_home_once_operators_say_so(tmp_path: Path) -> None:
+def test_a_moved_store_is_accepted_once_operators_say_so(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
     with pytest.raises(StoreBusy):
         FleetStore(str(tmp_path), "h1").accept_home()
@@ -120,7 +120,7 @@
     again.close()
 
 
-def test_a_store_that_takes_no_more_says_so_and_keeps_what_it_had(tmp_path: Path) -> None:
+def test_a_write_that_fails_raises_and_leaves_what_was_stored(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
     store.write(StoreWrite(found.state, 1, entries(1)))
     assert store._db is not None
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""What comes on the wire: only what a head of this fleet said to this one, once, changes anything."""
+"""The wire: only what another gateway of this fleet sent to this one is taken in, and once."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return Wire("f", "a", 1, KEY), Wire("f", "b", 2, KEY)
 
 
-def test_a_message_comes_as_it_was_said() -> None:
+def test_a_message_arrives_as_it_was_sent() -> None:
     a, b = pair()
     said = m.LeaseRequest(
         1, 2, 3, "d", "s", (("p", 1, 2),), 0, 0, 5, "f", 6, (m.QuotaDemand("p/1", 1, 2, 3),), ()
@@ -28,7 +28,7 @@
     assert b.unpack(a.pack("b", said)) == ("a", 1, said)
 
 
-def test_what_comes_twice_is_taken_once_in_any_order() -> None:
+def test_replays_are_dropped_in_any_order() -> None:
     a, b = pair()
     said = [a.pack("b", m.DigestOffer(n)) for n in range(40)]
     random.Random(1).shuffle(said)
@@ -36,7 +36,7 @@
     assert b.dropped == {"replayed": 40}
 
 
-def test_each_reason_is_counted_and_nothing_is_taken() -> None:
+def test_each_reason_is_counted_and_nothing_is_taken_in() -> None:
     a, b = pair()
     good = a.pack("b", m.DigestOffer(1))
     cases = {
@@ -52,7 +52,7 @@
     assert b.unpack(good) is not None, "and what was damaged did not use its number up"
 
 
-def test_a_tag_that_is_right_makes_no_nonsense_good() -> None:
+def test_a_malformed_message_is_dropped_though_its_tag_is_right() -> None:
     a, b = pair()
     for body in (b"\xc1", b"\x93\x01", b"\x92\xa4Ping\xa1x", b"\xdd\xff\xff\xff\xff" * 4):
         text = a._encode(Envelope("f", "a", 1, 7, "b", msgspec.Raw(body)))
