--- a/gaugesail/coordination/demand_tracker.py
+++ b/gaugesail/coordination/demand_tracker.py
@@ -1,4 +1,4 @@
-"""What a gateway wants of each quota: its smoothed demand, and which changes of it the leader has to be told.
+"""What a gateway wants of each quota: its smoothed demand, and which changes of it are to be reported.
 
 Rates in thousandths of a unit a second; times in microseconds.
 """
@@ -37,7 +37,7 @@
     rate: float = 0.0
     used: float = 0.0
     saved: float = 0.0  # units
-    reported: int = -1  # the rate that the leader was told; -1: none
+    reported: int = -1  # the rate that the leader knows; -1: none
     carried_by: int = 0  # the request that carried it, while that has no answer
 
     def update(self, now: int, usage: QuotaUsage, gain: float, seconds: float) -> None:
@@ -91,7 +91,7 @@
         return reported < 0 or abs(rate - reported) > REPORT_CHANGE * max(rate, reported)
 
     def take_report(self, now: int, request_number: int, most: int) -> tuple[list[QuotaDemand], bool]:
-        """At most so many demands that the leader has to be told, carried by this request.
+        """At most so many demands that have to be reported, carried by this request.
 
         Returns them, and whether there are more.
         """
--- a/gaugesail/coordination/gateway_floor.py
+++ b/gaugesail/coordination/gateway_floor.py
@@ -54,10 +54,10 @@
         return tuple(floors)
 
     def accept(self, response: LeaseResponse) -> None:
-        """Go by the slot and the limits that a leader tells, unless they are older than the current ones."""
+        """Go by the slot and the limits of a response, unless they are older than the current ones."""
         current = self.current
-        told = response.floor_slot, response.limits_version
-        if not self.store or self._frozen or told == (current.slot, current.limits_version):
+        received = response.floor_slot, response.limits_version
+        if not self.store or self._frozen or received == (current.slot, current.limits_version):
             return
         if response.limits_version < current.limits_version and response.floor_slot == current.slot:
             return
--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -116,7 +116,7 @@
         self._demands.max_request = max_request
 
     def record_demand(self, now: int, usage: Mapping[str, QuotaUsage]) -> None:
-        """Take in what was used of each quota since the last call; the leader is told of changes soon."""
+        """Take in what was used of each quota since the last call; changes are reported soon."""
         self._demands.record(now, usage)
         if self._demands.has_changed(now):
             self._hurry(now)
@@ -156,8 +156,8 @@
         number = self._schedule.begin_request(now, replica)
         demands, more_demands = self._demands.take_report(now, number, MAX_REPORTED)
         held = self._rights.take_report(number, MAX_REPORTED)
-        more_to_tell = more_demands or self._rights.more_unreported_than(MAX_REPORTED)
-        self._schedule.request_sent(now, more_to_tell)
+        more_to_report = more_demands or self._rights.more_unreported_than(MAX_REPORTED)
+        self._schedule.request_sent(now, more_to_report)
         request = LeaseRequest(
             process=self._process,
             number=number,
@@ -181,7 +181,7 @@
         messages, self._outbox = self._outbox, []
         return messages
 
-    # ---- what it is told ----
+    # ---- what it receives ----
 
     def receive(self, now: int, sender: str, message: LeaseResponse | QuotaOrders) -> None:
         """Take in what a leader says; what is not for this process, or not for its session, is ignored."""
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -76,7 +76,7 @@
         return messages
 
     def take_notices(self) -> list[Notice]:
-        """What operators are to be told since the last call."""
+        """The notices for operators since the last call."""
         notices, self._notices = self._notices, []
         return notices
 
@@ -94,8 +94,8 @@
         if request.terms_digest != self._digest:
             self._respond(sender, request, LeaseStatus.TERMS_DIFFER)
         elif request.fleet == self._fleet and request.last_seen_index > self._raft.log.last_index:
-            # This log has lost entries.  What the holder has by those is not renewed: told so, it gives up
-            # all of it, and may then have what this log says.
+            # This log has lost entries.  What the holder has by those is not renewed: it gives up all
+            # of it when it hears so, and may then have what this log says.
             self._notify(
                 "stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.log.last_index
             )
--- a/gaugesail/coordination/lease_messages.py
+++ b/gaugesail/coordination/lease_messages.py
@@ -58,7 +58,7 @@
 
 
 class QuotaOrder(Record, frozen=True, tag="Order"):
-    """One allocation of the session that is told."""
+    """One allocation of a session."""
 
     quota_name: str
     version: int  # index of the entry that made it
--- a/gaugesail/coordination/limits_agreement.py
+++ b/gaugesail/coordination/limits_agreement.py
@@ -46,7 +46,7 @@
     def _agreed(self) -> dict[str, RateBurst]:
         """The least that any live session's file says, by plan.
 
-        While a session has not told this leader its limits, those may be less than all others: then the
+        While a session has not stated its limits to this leader, those may be less than all others: then the
         limits stated before count as well, so that nothing rises.
         """
         least: dict[str, RateBurst] = {} if self._all_stated() else dict(self._ledger.stated_limits)
--- a/gaugesail/coordination/quota_allocator.py
+++ b/gaugesail/coordination/quota_allocator.py
@@ -1,6 +1,6 @@
 """Divides each quota among the sessions that want it, and keeps their holders informed.
 
-More is committed to the log first and told to its holder then.  Less is asked of the holder first, and
+More is committed to the log first and sent to its holder then.  Less is asked of the holder first, and
 committed once it says that it has released it.  So what holders spend by is never more than the ledger has.
 """
 
@@ -92,7 +92,7 @@
             lease.unconfirmed.pop(held.quota_name, None)
 
     def allocation_applied(self, now: int, command: AllocateQuota, done: bool) -> None:
-        """An allocation is committed; ``done``: the ledger has taken it.  Its holder is told."""
+        """An allocation is committed; ``done``: the ledger has taken it.  Its holder is sent it."""
         quota_name = command.quota_name
         self._proposals.allocation_applied(command)
         self._to_divide[quota_name] = None
@@ -200,7 +200,7 @@
             if self._allocation(quota_name, number) is not None
         )
 
-    # ---- telling holders ----
+    # ---- orders to holders ----
 
     def resend_unconfirmed(self, now: int) -> None:
         """Send again, every RESEND_US, what holders have not confirmed."""
@@ -213,7 +213,7 @@
                 self._send_orders(now, number, lease, late)
 
     def _send_orders(self, now: int, number: int, lease: SessionLease, quota_names: list[str]) -> None:
-        """Tell a holder what the ledger says of some quotas, or what it is asked to come down to."""
+        """Send a holder what the ledger says of some quotas, or what it is asked to come down to."""
         orders = list[QuotaOrder]()
         for quota_name in quota_names:
             allocation = self._allocation(quota_name, number)
@@ -251,7 +251,7 @@
 def _order(quota_name: str, allocation: Allocation, target: RateBurst | None) -> QuotaOrder:
     """The order for one allocation; with a target, a request to release down to that.
 
-    A target may rest on an earlier allocation: nobody is told more than the ledger has now.
+    A target may rest on an earlier allocation: no order has more than the ledger has now.
     """
     if target is None:
         return QuotaOrder(quota_name, allocation.version, allocation.rate, allocation.burst, False)
--- a/gaugesail/coordination/request_schedule.py
+++ b/gaugesail/coordination/request_schedule.py
@@ -1,6 +1,6 @@
 """When a gateway sends its next lease request, and to which replica.
 
-A lease is renewed RENEWALS_PER_LEASE times while it lasts.  Something that has changed is told sooner.  A
+A lease is renewed RENEWALS_PER_LEASE times while it lasts.  A change is reported sooner.  A
 replica that does not answer in time, or that does not lead, is passed over until all of them were.
 """
 
@@ -57,9 +57,9 @@
             del self._sent_at[next(iter(self._sent_at))]
         return self.number
 
-    def request_sent(self, now: int, more_to_tell: bool) -> None:
-        """The next one follows soon where not all could be told, or else when this one is not answered."""
-        self.next_at = now + (MIN_GAP_US if more_to_tell else RESPONSE_TIMEOUT_US)
+    def request_sent(self, now: int, more_to_report: bool) -> None:
+        """The next follows soon where not all could be reported, or else when this one is not answered."""
+        self.next_at = now + (MIN_GAP_US if more_to_report else RESPONSE_TIMEOUT_US)
 
     def sent_at(self, number: int) -> int | None:
         """When a request was sent; None where it is not known any more."""
@@ -92,7 +92,7 @@
         """Nothing is to be had until operators change something."""
         self.next_at = now + self._lease_us
 
-    # ---- what is told sooner ----
+    # ---- what is reported sooner ----
 
     def hurry(self, now: int) -> None:
         """Ask soon, but not right after the latest request; while that has no response, after that."""
--- a/gaugesail/coordination/spending_rights.py
+++ b/gaugesail/coordination/spending_rights.py
@@ -67,11 +67,11 @@
 
     @property
     def has_unreported(self) -> bool:
-        """Whether the leader has to be told of any allocation."""
+        """Whether any allocation has to be reported to the leader."""
         return bool(self._unreported)
 
     def take_report(self, request_number: int, most: int) -> list[HeldQuota]:
-        """At most so many allocations that the leader has to be told, carried by this request."""
+        """At most so many allocations that have to be reported, carried by this request."""
         report = []
         for quota_name in list(self._unreported)[:most]:
             held = self.allocations.get(quota_name)
@@ -101,8 +101,8 @@
     def apply_order(self, order: QuotaOrder) -> None:
         """Take in one order of this session's leader.
 
-        An order older than the allocation is nothing.  One of the same entry may only lower it: told again,
-        it would give back what has been released since.
+        An order older than the allocation is nothing.  One of the same entry may only lower it: one that
+        comes twice would give back what has been released since.
         """
         held = self.allocations.get(order.quota_name)
         rate = order.rate
--- a/tests/coordination/test_fleet_token_bucket.py
+++ b/tests/coordination/test_fleet_token_bucket.py
@@ -67,10 +67,15 @@
 
 
 spans = st.lists(
-    st.tuples(st.integers(0, 3 * SECOND), st.floats(0, 100), st.floats(0, 80), st.integers(0, 4 * SECOND),
-              st.floats(0, 20)),
+    st.tuples(
+        st.integers(0, 3 * SECOND),
+        st.floats(0, 100),
+        st.floats(0, 80),
+        st.integers(0, 4 * SECOND),
+        st.floats(0, 20),
+    ),
     max_size=20,
-)  # fmt: skip
+)
 
 
 @given(spans)
--- a/tests/coordination/test_planted_faults.py
+++ b/tests/coordination/test_planted_faults.py
@@ -10,13 +10,25 @@
 from gaugesail.measure.planted import PLANTS, planted
 
 QUICK = {  # a case for each guard, among those that find it
-    "lease_from_receipt": "answer_late", "grant_twice": "answers_lost", "older_grant": "order_late",
-    "no_wait_after_election": "leader_wakes", "lower_unasked": "answers_lost", "no_drift": "clocks_differ",
-    "no_sum": "leader_errs", "told_before_committed": "minority_grants", "book_kept": "session_replaced",
-    "expired_spent": "halves", "minority": "halves", "entries_not_kept": "snapshot_and_log",
-    "floor_twice": "two_under_one_name", "grown_full": "files_differ", "born_full": "born_again",
-    "closed_early": "halves", "not_confirmed": "two_leaders", "vote_not_kept": "vote_forgotten",
-}  # fmt: skip
+    "lease_from_receipt": "answer_late",
+    "grant_twice": "answers_lost",
+    "older_grant": "order_late",
+    "no_wait_after_election": "leader_wakes",
+    "lower_unasked": "answers_lost",
+    "no_drift": "clocks_differ",
+    "no_sum": "leader_errs",
+    "told_before_committed": "minority_grants",
+    "book_kept": "session_replaced",
+    "expired_spent": "halves",
+    "minority": "halves",
+    "entries_not_kept": "snapshot_and_log",
+    "floor_twice": "two_under_one_name",
+    "grown_full": "files_differ",
+    "born_full": "born_again",
+    "closed_early": "halves",
+    "not_confirmed": "two_leaders",
+    "vote_not_kept": "vote_forgotten",
+}
 
 
 @pytest.mark.parametrize("name", CASES)
--- a/tests/coordination/test_quota_division.py
+++ b/tests/coordination/test_quota_division.py
@@ -10,11 +10,14 @@
 claims = st.dictionaries(
     st.integers(1, 9),
     st.builds(
-        QuotaClaim, st.integers(0, 200_000), st.integers(1, 5000),
-        st.tuples(st.integers(0, 100_000), st.integers(0, 50_000)), st.integers(0, 20_000),
+        QuotaClaim,
+        st.integers(0, 200_000),
+        st.integers(1, 5000),
+        st.tuples(st.integers(0, 100_000), st.integers(0, 50_000)),
+        st.integers(0, 20_000),
     ),
     max_size=6,
-)  # fmt: skip
+)
 
 
 @given(st.integers(0, 100_000), st.integers(0, 100_000), claims)
--- a/tests/coordination/test_quota_ledger.py
+++ b/tests/coordination/test_quota_ledger.py
@@ -144,8 +144,13 @@
         self.apply(m.CloseSession(session))
 
     @precondition(lambda self: self.ledger.sessions)
-    @rule(pick=st.integers(0, 9), rate=numbers, burst=numbers, amount=st.sampled_from(["p/1", "p/2"]),
-          fresh=st.booleans())  # fmt: skip
+    @rule(
+        pick=st.integers(0, 9),
+        rate=numbers,
+        burst=numbers,
+        amount=st.sampled_from(["p/1", "p/2"]),
+        fresh=st.booleans(),
+    )
     def allocate(self, pick: int, rate: int, burst: int, amount: str, fresh: bool) -> None:
         sessions = list(self.ledger.sessions)
         number = sessions[pick % len(sessions)]
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -29,8 +29,10 @@
     def __init__(self) -> None:
         self.settings = Settings(
             classes=(RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
-            plans=(Plan("p", 100.0, limit=100.0, limit_burst=80.0),), max_request_units=8.0, fleet_quota=True,
-        )  # fmt: skip
+            plans=(Plan("p", 100.0, limit=100.0, limit_burst=80.0),),
+            max_request_units=8.0,
+            fleet_quota=True,
+        )
         self.quota_events: list[QuotaChanged] = []
         self.asked = 0.0
 
@@ -63,12 +65,20 @@
 
     def start(self, name: str) -> FleetAgent:
         (self.folder / name).mkdir(exist_ok=True)
-        settings = read_fleet({
-            "fleet": {"name": "f", "head": name, "listen": self.at(name), "keepers": list(self.names[:3]),
-                      "key": KEY, "folder": str(self.folder / name)},
-            "budgets": {"lease_ms": 1000, "most_heads": 4},
-            "peer": [{"name": other, "address": self.at(other)} for other in self.names if other != name],
-        })  # fmt: skip
+        settings = read_fleet(
+            {
+                "fleet": {
+                    "name": "f",
+                    "head": name,
+                    "listen": self.at(name),
+                    "keepers": list(self.names[:3]),
+                    "key": KEY,
+                    "folder": str(self.folder / name),
+                },
+                "budgets": {"lease_ms": 1000, "most_heads": 4},
+                "peer": [{"name": other, "address": self.at(other)} for other in self.names if other != name],
+            }
+        )
         agent = FleetAgent(self.reactor, self.clock, settings, make_logger(self.log))
         self.agents[name], self.engines[name] = agent, Engine()
         agent.start(self.engines[name])
@@ -205,9 +215,13 @@
     for n, name in enumerate("ab"):
         wire = Wire("f", name, n, KEY.encode())
         links[name] = Link(
-            reactor, clock, wire, make_logger(io.StringIO()), where.get,
+            reactor,
+            clock,
+            wire,
+            make_logger(io.StringIO()),
+            where.get,
             lambda sender, process, message: heard.append(message),
-        )  # fmt: skip
+        )
         links[name].listen(*where[name])
     large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MAX_DATAGRAM_BYTES))
     links["a"].send("b", large)
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -110,8 +110,9 @@
             file.write(b"\x00noise" * 20)
     else:
         db = sqlite3.connect(store.path)
-        db.execute("update log set sum = 'x' where at = 2" if damage == "changed" else
-                   "delete from log where at = 2")  # fmt: skip
+        db.execute(
+            "update log set sum = 'x' where at = 2" if damage == "changed" else "delete from log where at = 2"
+        )
         db.commit()
         db.close()
     again, loaded = opened(tmp_path)
--- a/tests/fleet/test_store_failures.py
+++ b/tests/fleet/test_store_failures.py
@@ -60,11 +60,22 @@
             folder = folder_of(base, name)
             path = folder / "fleet.toml"
             peers = [{"name": HEADS[n], "address": f"{HOST}:{fleet[n]}"} for n in range(3) if n != number]
-            path.write_text(write_toml({
-                "fleet": {"name": "f", "head": name, "listen": f"{HOST}:{fleet[number]}", "key": KEY,
-                          "keepers": list(HEADS), "folder": str(folder)},
-                "budgets": {"lease_ms": 1000, "most_heads": 4}, "peer": peers,
-            }))  # fmt: skip
+            path.write_text(
+                write_toml(
+                    {
+                        "fleet": {
+                            "name": "f",
+                            "head": name,
+                            "listen": f"{HOST}:{fleet[number]}",
+                            "key": KEY,
+                            "keepers": list(HEADS),
+                            "folder": str(folder),
+                        },
+                        "budgets": {"lease_ms": 1000, "most_heads": 4},
+                        "peer": peers,
+                    }
+                )
+            )
             head = faulty(
                 folder, library, [HangingNode(0)], "--fleet", str(path), management=f"{HOST}:{calls[number]}"
             )
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -40,10 +40,13 @@
     a, b = pair()
     good = a.pack("b", m.DigestOffer(1))
     cases = {
-        "foreign": b"hello", "version": good[:2] + bytes([VERSION + 1]) + good[3:],
-        "tag": good[:-1] + bytes([good[-1] ^ 1]), "fleet": Wire("g", "a", 1, KEY).pack("b", m.DigestOffer(1)),
-        "not_ours": a.pack("c", m.DigestOffer(1)), "own": Wire("f", "b", 2, KEY).pack("b", m.DigestOffer(1)),
-    }  # fmt: skip
+        "foreign": b"hello",
+        "version": good[:2] + bytes([VERSION + 1]) + good[3:],
+        "tag": good[:-1] + bytes([good[-1] ^ 1]),
+        "fleet": Wire("g", "a", 1, KEY).pack("b", m.DigestOffer(1)),
+        "not_ours": a.pack("c", m.DigestOffer(1)),
+        "own": Wire("f", "b", 2, KEY).pack("b", m.DigestOffer(1)),
+    }
     for why, data in cases.items():
         before = b.dropped[why]
         assert b.unpack(data) is None and b.dropped[why] == before + 1, why
