--- a/gaugesail/coordination/consensus_messages.py
+++ b/gaugesail/coordination/consensus_messages.py
@@ -62,3 +62,6 @@
 
     sender: str
     term: int
+
+
+ConsensusMessage = VoteRequest | VoteResponse | AppendEntries | AppendResponse | InstallSnapshot | TimeoutNow
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -1,12 +1,10 @@
-"""A seat among the keepers: its replica of the log, the ledger that it makes, the office while it leads.
+"""A replica of the log with what it makes of it: the ledger, and the lease manager while it leads.
 
-Made when a keeper has a fleet, and gone when its store is put aside or fails.
+It is made when its gateway has a fleet, and ends when its store is replaced or fails.
 """
 
 from __future__ import annotations
 
-from typing import Any
-
 from .consensus import RaftNode
 from .elections import Role
 from .fleet_terms import FleetTerms
@@ -20,183 +18,164 @@
     OperatorCommandResult,
 )
 from .notices import Notice
-from .quota_ledger import QuotaLedger, plan_of
+from .operator_views import JsonObject, ledger_view
+from .outbox import Outbox
+from .quota_ledger import QuotaLedger
 from .raft_log import COMPACT_AFTER_ENTRIES
 from .replica_id import make_replica_id, name_of, store_id_of
 
-REPLACE_VOTER_AFTER_US = 5_000_000  # without a word from a seat whose keeper has come back with another store
-STEPS = 8  # of applying what one step commits
+REPLACE_VOTER_AFTER_US = 5_000_000  # without an answer of a voter whose gateway is back with another store
+MAX_ROUNDS = 8  # of applying what one step commits
 
 
 class Replica:
-    """The part of a head that only a keeper has."""
+    """One replica.  Times are in microseconds of its gateway's clock."""
 
-    def __init__(self, charter: FleetTerms, digest: str, fleet: str, raft: RaftNode, born: int) -> None:
-        self._charter, self._digest, self._fleet, self._born = charter, digest, fleet, born
+    def __init__(self, terms: FleetTerms, digest: str, fleet: str, raft: RaftNode, started_at: int) -> None:
+        self._terms = terms
+        self._digest = digest
+        self._fleet = fleet
+        self._started_at = started_at
         self.raft = raft
         self.name = name_of(raft.replica_id)
-        self.ledger = QuotaLedger(charter)
+        self.ledger = QuotaLedger(terms)
         self.ledger.load(raft.log.snapshot.state)
         self.lease_manager: LeaseManager | None = None
-        self._later: dict[int, tuple[str, int]] = {}  # whose petition waits for which entry
-        self._applicants: dict[str, str] = {}  # keepers with a store that has no seat
-        self.command_results: list[
-            tuple[str, OperatorCommandResult]
-        ] = []  # what became of petitions, and for whom
         self.notices: list[Notice] = []
+        self._results = Outbox()  # of operators' commands
+        self._waiting: dict[int, tuple[str, int]] = {}  # sender and number of a command, by its entry
+        self._applicants: dict[str, str] = {}  # gateways with a store that is no voter, and its id
 
     @property
     def is_voter(self) -> bool:
+        """Whether it is one of the log's voters."""
         return self.raft.is_voter
 
     @property
     def next_at(self) -> int:
-        return (
-            self.raft.next_at
-            if self.lease_manager is None
-            else min(self.raft.next_at, self.lease_manager.next_at)
-        )
+        """When the gateway's ``tick`` has something to do for it."""
+        if self.lease_manager is None:
+            return self.raft.next_at
+        return min(self.raft.next_at, self.lease_manager.next_at)
 
     # ---- what others ask ----
 
     def receive_lease_request(
-        self, now: int, sender: str, ask: LeaseRequest, leader: str
+        self, now: int, sender: str, request: LeaseRequest, leader: str
     ) -> list[tuple[str, Message]]:
-        """A holder's ask: answered by the office later, or at once with who leads."""
+        """Take in a request: the leader answers it later, any other replica at once with who leads."""
         if self.lease_manager is not None:
-            self.lease_manager.request(now, sender, ask)
+            self.lease_manager.request(now, sender, request)
             return []
-        return [(sender, redirect(ask, leader if leader != self.name else ""))]
+        return [(sender, redirect(request, leader if leader != self.name else ""))]
 
-    def receive_command(self, sender: str, petition: OperatorCommand, leader: str) -> None:
-        """What operators ask of the fleet; what becomes of it is in ``heard``."""
-        head, number = petition.command.gateway, petition.number
+    def receive_command(self, sender: str, command: OperatorCommand, leader: str) -> None:
+        """Take in an operator's command; its result is among the messages, once it is known."""
+        gateway = command.command.gateway
+        number = command.number
         if self.lease_manager is None:
-            self._hear(sender, number, False, f"the leader is {leader or 'not known'}")
-        elif any(session.gateway == head for session in self.ledger.sessions.values()):
-            self._hear(sender, number, False, f"{head} has a session: it is not gone")
-        elif not any(slot.gateway == head for slot in self.ledger.floor_slots.values()):
-            self._hear(sender, number, True, f"{head} has no floor")
-        elif (index := self.raft.propose(petition.command)) is not None:
-            self._later[index] = sender, number
+            self._send_result(sender, number, False, f"the leader is {leader or 'not known'}")
+        elif any(session.gateway == gateway for session in self.ledger.sessions.values()):
+            self._send_result(sender, number, False, f"{gateway} has a session: it is not gone")
+        elif not any(slot.gateway == gateway for slot in self.ledger.floor_slots.values()):
+            self._send_result(sender, number, True, f"{gateway} has no floor")
+        elif (index := self.raft.propose(command.command)) is not None:
+            self._waiting[index] = sender, number
 
-    def _hear(self, to: str, number: int, done: bool, why: str) -> None:
-        self.command_results.append((to, OperatorCommandResult(number, done, why)))
+    def _send_result(self, to: str, number: int, done: bool, reason: str) -> None:
+        self._results.send(to, OperatorCommandResult(number, done, reason))
 
     def add_applicants(self, applicants: dict[str, str]) -> None:
-        """Keepers by name that have come back with a store that has no seat."""
+        """Take in gateways, by name, that are back with a store that is no voter."""
         self._applicants.update(applicants)
 
     def transfer_leadership(self) -> None:
-        """It ends in order: who has most of the log may lead at once."""
-        others = [seat for seat in self.raft.voters if seat != self.raft.replica_id]
+        """This gateway shuts down: the voter that has most of the log may lead at once."""
+        others = [voter for voter in self.raft.voters if voter != self.raft.replica_id]
         if self.raft.role is Role.LEADER and others:
             self.raft.transfer_leadership(max(others, key=self.raft.replication.match_index))
 
     # ---- the end of a step ----
 
     def process(self, now: int) -> None:
-        """Carry out what is committed, let the office work on it, and pass on what it proposes."""
-        raft = self.raft
-        for _ in range(STEPS):
-            before = raft.log.commit_index, raft.log.last_index
-            if raft.log.snapshot_installed:
-                raft.log.snapshot_installed = False
-                self.ledger.load(raft.log.snapshot.state)
-            for index, command in raft.log.take_committed():
-                done = self.ledger.apply(index, command)
-                if self.lease_manager is not None:
-                    self.lease_manager.entry_applied(now, index, command, done)
-                if (asked := self._later.pop(index, None)) is not None:
-                    self._hear(*asked, done, "" if done else "it changed nothing")
-            self._seat_office(now)
+        """Apply what is committed, let the lease manager work on it, and replicate what it proposes."""
+        log = self.raft.log
+        for _ in range(MAX_ROUNDS):
+            before = log.commit_index, log.last_index
+            self._apply_committed(now)
+            self._update_lease_manager(now)
             if self.lease_manager is not None:
                 self.lease_manager.tick(now)
-                self._reseat(now)
-            raft.flush(now)
-            if (
-                raft.log.commit_index,
-                raft.log.last_index,
-            ) == before and raft.log.applied_index == raft.log.commit_index:
+                self._replace_voters(now)
+            self.raft.flush(now)
+            settled = (log.commit_index, log.last_index) == before
+            if settled and log.applied_index == log.commit_index:
                 break
-        if raft.log.applied_index - raft.log.snapshot.index > COMPACT_AFTER_ENTRIES:
-            raft.log.compact(self.ledger.dump())
-
-    def _seat_office(self, now: int) -> None:
-        """An office for each term that it leads, from when an entry of that term is committed."""
+        if log.applied_index - log.snapshot.index > COMPACT_AFTER_ENTRIES:
+            log.compact(self.ledger.dump())
+
+    def _apply_committed(self, now: int) -> None:
+        log = self.raft.log
+        if log.snapshot_installed:
+            log.snapshot_installed = False
+            self.ledger.load(log.snapshot.state)
+        for index, command in log.take_committed():
+            done = self.ledger.apply(index, command)
+            if self.lease_manager is not None:
+                self.lease_manager.entry_applied(now, index, command, done)
+            waiting = self._waiting.pop(index, None)
+            if waiting is not None:
+                sender, number = waiting
+                self._send_result(sender, number, done, "" if done else "it changed nothing")
+
+    def _update_lease_manager(self, now: int) -> None:
+        """There is one for each term that it leads, from when an entry of that term is committed."""
         raft = self.raft
+        manager = self.lease_manager
         if not raft.serving:
-            if self.lease_manager is not None:
-                self.notices.append(Notice("leads_no_more", {"term": self.lease_manager.term}))
+            if manager is not None:
+                self.notices.append(Notice("lost_leadership", {"term": manager.term}))
             self.lease_manager = None
-        elif self.lease_manager is None or self.lease_manager.term != raft.term:
-            fresh = now - self._born < self._charter.lease_with_drift_us or len(raft.voters) == 1
+        elif manager is None or manager.term != raft.term:
+            fresh = now - self._started_at < self._terms.lease_with_drift_us or len(raft.voters) == 1
             self.lease_manager = LeaseManager(
-                self._charter, self._digest, self._fleet, self.ledger, raft, now, fresh
+                self._terms, self._digest, self._fleet, self.ledger, raft, now, fresh
             )
-            self.notices.append(Notice("leads", {"term": raft.term}))
-
-    def _reseat(self, now: int) -> None:
-        """A keeper that has come back with another store gets a seat for that, once the old one is away."""
-        raft = self.raft
-        for name, store in list(self._applicants.items()):
-            fresh = make_replica_id(name, store)
-            olds = [seat for seat in raft.voters if name_of(seat) == name]
-            if fresh in raft.voters:
+            self.notices.append(Notice("became_leader", {"term": raft.term}))
+
+    def _replace_voters(self, now: int) -> None:
+        """A gateway that is back with another store becomes a voter by that, once the old one is removed."""
+        for name, store_id in list(self._applicants.items()):
+            applicant = make_replica_id(name, store_id)
+            former = [voter for voter in self.raft.voters if name_of(voter) == name]
+            if applicant in self.raft.voters:
                 del self._applicants[name]
-            elif not olds:
-                raft.replace_voters(now, {*raft.voters, fresh})
-            elif (
-                (heard := raft.replication.last_heard_at(olds[0])) is not None
-                and now - heard > REPLACE_VOTER_AFTER_US
-                and raft.replace_voters(now, set(raft.voters) - {olds[0]}) is not None
-            ):
-                self.notices.append(Notice("seat_taken_away", {"head": name, "store": store_id_of(olds[0])}))
+            elif not former:
+                self.raft.replace_voters(now, {*self.raft.voters, applicant})
+            else:
+                self._remove_voter_if_silent(now, former[0])
+
+    def _remove_voter_if_silent(self, now: int, voter: str) -> None:
+        heard_at = self.raft.replication.last_heard_at(voter)
+        if heard_at is None or now - heard_at <= REPLACE_VOTER_AFTER_US:
+            return
+        if self.raft.replace_voters(now, set(self.raft.voters) - {voter}) is not None:
+            fields = {"head": name_of(voter), "store": store_id_of(voter)}
+            self.notices.append(Notice("voter_removed", fields))
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """What is to be said, once what is to be kept is written."""
-        out: list[tuple[str, Message]] = [(name_of(seat), said) for seat, said in self.raft.take_messages()]
+        """Return what is to be sent, each with the gateway that it is for, once the write is done."""
+        messages = [(name_of(voter), message) for voter, message in self.raft.take_messages()]
         if self.lease_manager is not None:
-            out += self.lease_manager.take_messages()
+            messages += self.lease_manager.take_messages()
             self.notices += self.lease_manager.take_notices()
-        heard, self.command_results = self.command_results, []
-        return out + list[tuple[str, Message]](heard)
-
-    # ---- what staff see ----
-
-    def view(self, now: int) -> dict[str, Any]:
-        """The whole ledger; the leader also tells until when each lease is counted and what is used."""
-        ledger, office = self.ledger, self.lease_manager
-        return {
-            "settled": ledger.settled, "version": ledger.limits_version,
-            "wholes": {
-                plan: {"rate": rate / 1000, "burst": burst / 1000,
-                       "floors": ledger.reserved_for_floors(plan)[0] / 1000}
-                for plan, (rate, burst) in sorted(ledger.limits.items())
-            },
-            "slots": {n: {"head": slot.gateway, "store": slot.store_id}
-                      for n, slot in ledger.floor_slots.items()},
-            "sessions": [
-                {"session": n, "head": session.gateway, "slot": session.floor_slot}
-                | (office.lease_view(now, n) if office is not None else {})
-                for n, session in sorted(ledger.sessions.items())
-            ],
-            "amounts": {
-                amount: {
-                    "free": round(ledger.available(amount)[0] / 1000, 3),
-                    "whole": ledger.limits[plan_of(amount)][0] / 1000,
-                    "parts": [
-                        {"head": ledger.sessions[n].gateway, "session": n, "rate": stake.rate / 1000,
-                         "burst": stake.burst / 1000}
-                        | (office.demand_view(amount, n) if office is not None else {})
-                        for n, stake in sorted(stakes.items())
-                    ],
-                }
-                for amount, stakes in sorted(ledger.allocations.items())
-            },
-        }  # fmt: skip
-
-
-def redirect(ask: LeaseRequest, leader: str) -> LeaseResponse:
-    """Not here: perhaps at whom this one thinks leads."""
-    return LeaseResponse(ask.process, ask.number, LeaseStatus.NOT_LEADER, 0, 0, leader)
+        return messages + self._results.take()
+
+    def view(self, now: int) -> JsonObject:
+        """Return the whole ledger for operators."""
+        return ledger_view(now, self.ledger, self.lease_manager)
+
+
+def redirect(request: LeaseRequest, leader: str) -> LeaseResponse:
+    """Return the answer of a gateway that does not lead: ``leader`` is whom it takes for the leader."""
+    return LeaseResponse(request.process, request.number, LeaseStatus.NOT_LEADER, 0, 0, leader)
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -18,7 +18,9 @@
 
 from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.messages import Message
-from gaugesail.coordination.node import FleetNode, StepOutput, StoredState, quota_changed_event, quota_name_of
+from gaugesail.coordination.node import FleetNode, GatewayIdentity, StepOutput
+from gaugesail.coordination.persisted_state import StoredState
+from gaugesail.coordination.quota_names import quota_changed_event, quota_name_of
 from gaugesail.policy.settings import Settings
 
 from ..core.engine import Engine
@@ -37,7 +39,7 @@
 MIN_TICK_GAP_US = 1_000
 FIRST_STORE_RETRY_US = 500_000
 LONGEST_STORE_RETRY_US = 8_000_000
-ERROR_EVENTS = frozenset({"store_failed", "log_broken", "stores_are_old", "store_is_old", "name_taken"})
+ERROR_EVENTS = frozenset({"store_failed", "log_broken", "stores_are_old", "store_outdated", "name_taken"})
 
 
 class FleetAgent:
@@ -122,17 +124,9 @@
     def _start_node(self, address: str, loaded: StoredState | None) -> None:
         settings = self._settings
         now = self._clock.now_us()
-        self.node = FleetNode(
-            settings.terms,
-            digest(settings.terms),
-            settings.gateway,
-            address,
-            self.process,
-            now // 1000,
-            loaded,
-            secrets.randbits(63),
-            now,
-        )
+        identity = GatewayIdentity(settings.gateway, address, self.process, now // 1000)
+        seed = secrets.randbits(63)
+        self.node = FleetNode(settings.terms, digest(settings.terms), identity, loaded, seed, now)
         self._pass_limits()
         self._log.info(
             "fleet_started",
--- a/gaugesail/fleet/operator_calls.py
+++ b/gaugesail/fleet/operator_calls.py
@@ -68,8 +68,7 @@
     result = node.take_command_result(number)
     if result is None:
         return {"known": False}
-    done, why = result
-    return {"known": True, "done": done, "why": why}
+    return {"known": True, "done": result.done, "why": result.reason}
 
 
 def _refusal(path: list[str]) -> Answer:
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from gaugesail.coordination.messages import LogEntry
-from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
+from gaugesail.coordination.persisted_state import PersistentState, StoredState, StoreWrite
 from gaugesail.coordination.raft_log import Snapshot
 
 from .store_tables import DamagedStore, StoreTables
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -21,14 +21,9 @@
 from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.messages import Message
-from gaugesail.coordination.node import (
-    FleetNode,
-    PersistentState,
-    StepOutput,
-    StoredState,
-    quota_changed_event,
-    quota_name_of,
-)
+from gaugesail.coordination.node import FleetNode, GatewayIdentity, StepOutput
+from gaugesail.coordination.persisted_state import PersistentState, StoredState
+from gaugesail.coordination.quota_names import quota_changed_event, quota_name_of
 from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.coordination.spending_rights import QuotaUpdate
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
@@ -205,10 +200,8 @@
         self._carry(self.gateway.handle(self.now(), [
             EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 0),))
         ]))  # fmt: skip
-        self.node = FleetNode(
-            world.charter, "charter", self.name, f"{self.name}:1", process, self.wall_ms + world.now // 1000,
-            loaded, seed, self.now(),
-        )  # fmt: skip
+        identity = GatewayIdentity(self.name, f"{self.name}:1", process, self.wall_ms + world.now // 1000)
+        self.node = FleetNode(world.charter, "charter", identity, loaded, seed, self.now())
         self.tell_limit()
         self.step(lambda node: node.tick(self.now()))
         world.at(world.now + WANT_US, lambda: self._wants(life))
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -14,7 +14,8 @@
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.gateway_floor import HeadFloor
 from gaugesail.coordination.lease_holder import LeaseHolder
-from gaugesail.coordination.node import FleetNode, PersistentState, StepOutput
+from gaugesail.coordination.node import FleetNode, GatewayIdentity, StepOutput
+from gaugesail.coordination.persisted_state import PersistentState
 from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.coordination.replica_id import make_replica_id
@@ -467,7 +468,8 @@
 def _keeper(charter: FleetTerms, disk: Disk) -> FleetNode:
     """A seated keeper whose store is taken for the latest."""
     loaded = disk.load(random.Random(1))
-    node = FleetNode(charter, "d", "h1", "h1:1", 7 + loaded.state.starts, 1, loaded, 1, 0)
+    identity = GatewayIdentity("h1", "h1:1", 7 + loaded.state.starts, 1)
+    node = FleetNode(charter, "d", identity, loaded, 1, 0)
     _write(disk, node.trust_store(0))
     return node
 
--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -265,7 +265,7 @@
     Plant("not_confirmed", "an ask is answered without a round of the majority",
           lambda: [patch.object(consensus.RaftNode, "confirmed_round", property(_unconfirmed))]),
     Plant("vote_not_kept", "a vote is given and not written",
-          lambda: [_method(node.FleetNode, "_save", _vote_forgotten)]),
+          lambda: [_method(node.FleetNode, "_take_write", _vote_forgotten)]),
     Plant("closing_renewed", "a session whose end is on its way is renewed",
           lambda: [patch.object(lease_manager.LeaseManager, "_may_renew", _closing_renewed)]),
 )  # fmt: skip
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -217,7 +217,7 @@
     three.now += 3 * ELECTION_TIMEOUT_US
     raft.tick(three.now)
     seat.process(three.now)
-    assert seat.lease_manager is not None and Notice("leads", {"term": 1}) in seat.notices
+    assert seat.lease_manager is not None and Notice("became_leader", {"term": 1}) in seat.notices
     raft.propose(m.OpenSession("h", 5, "store"))
     seat.process(three.now)
     seat.receive_command("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gaugesail.coordination import messages as m
-from gaugesail.coordination.node import PersistentState, StoredState, StoreWrite
+from gaugesail.coordination.persisted_state import PersistentState, StoredState, StoreWrite
 from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.fleet.store import FleetStore, StoreBusy, StoreFailed
 
