--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -12,7 +12,7 @@
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
 from .handover import Takeover
-from .http.discovery import DiscoveryClient
+from .http.discovery import DiscoveryClient, DiscoverySettings
 from .http.front import ClientConnection, ClientFront
 from .http.node_connection import NodeConnection
 from .http.node_pool import NodePool
@@ -51,13 +51,15 @@
         self.discovery = DiscoveryClient(
             reactor,
             self.clock,
-            config.discovery,
-            config.zones,
-            config.kinds,
             log,
+            DiscoverySettings(
+                config.discovery,
+                config.zones,
+                config.kinds,
+                config.settings.drain_grace_us if config.pushed else None,
+            ),
             self.transport.update_addresses,
-            lambda news: self.engine.update_endpoints(news),
-            config.settings.drain_grace_us if config.pushed else None,
+            lambda endpoints: self.engine.update_endpoints(endpoints),
         )
         self.waits_for_list = config.pushed
         self.engine = Engine(config.settings, config.seed, self.clock, self.transport, self.discovery, log)
@@ -77,7 +79,7 @@
         """The list to start with: the predecessor's if it used the same discovery, or the configuration's."""
         # Another service may count its revisions from anywhere: the process before must have used the same.
         same = told.get("discovery") == self.discovery.host
-        news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
+        news: EndpointList = self.discovery.load_cached(told["list"] if same else self._config.known)
         return news
 
     def offer_takeover(self) -> Takeover | None:
@@ -135,8 +137,8 @@
         self._warn_of_restart(self._config, config, LIVE)
         self._config = replace(config, limits=self._config.limits)
         self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
-        self.discovery.retune(config.zones, config.kinds)
-        self.discovery.move(config.discovery)
+        self.discovery.change_names(config.zones, config.kinds)
+        self.discovery.change_address(config.discovery)
         self.change_settings(config.settings)
         classes = ",".join(spec.name for spec in config.settings.classes)
         self._log.info("reloaded", discovery=self.discovery.host, classes=classes)
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -17,7 +17,7 @@
 
 from gaugesail.coordination.fleet_terms import MAX_REPLICAS, MILLION, FleetTerms
 
-from ..http.discovery import BadList, split_address
+from ..http.endpoint_reader import BadList, split_address
 
 MIN_KEY_BYTES = 16
 
