--- a/gaugesail/coordination/bootstrap.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -1,9 +1,9 @@
-"""How a fleet begins: once, by all keepers that the files name, each of which binds itself to one founder.
+"""How a fleet begins: once, with all the replicas that the files name, each bound to one founder.
 
-The first of the names founds.  Each keeper without a fleet promises, in its store, to be founded by that
-founder's store and by no other; when all have, the founder writes down who they are, and from then on the
-seats are what the log says.  So no two fleets come of one set of stores, whatever arrives late or twice, or
-who starts under whose name.
+The first of the names is the founder.  Each replica without a fleet promises, in its store, to be founded
+by that founder's store and by no other; when all have, the founder writes down who they are, and from then on
+the voters are what the log says.  So no two fleets come of one set of stores, whatever arrives late or twice, or
+whoever starts under whose name.
 """
 
 from __future__ import annotations
@@ -14,124 +14,153 @@
 from .messages import BootstrapBind, BootstrapStatus, Message
 from .replica_id import make_replica_id, store_id_of
 
-HELLO_US = 500_000
-MOST_SEATS = 16
+STATUS_INTERVAL_US = 500_000  # between two questions to the others
+MAX_VOTERS = 16  # that are taken from a message
+FLEET_ID_BYTES = 8
+
+Sent = list[tuple[str, Message]]  # messages, each with its receiver
 
 
 @dataclass(slots=True)
 class BootstrapRecord:
-    """What a keeper has kept of its fleet's beginning."""
+    """What a replica has persisted of its fleet's beginning."""
 
-    fleet_id: str = ""  # its id; empty: none yet
-    voters: tuple[str, ...] = ()  # the first ones
-    bound_to: str = ""  # the founder's store that it promised itself to
+    fleet_id: str = ""  # empty: there is no fleet yet
+    voters: tuple[str, ...] = ()  # the first ones' replica ids
+    bound_to: str = ""  # the id of the founder's store that it promised itself to
 
 
 class Bootstrap:
-    """One keeper's way into its fleet."""
+    """One replica's way into its fleet.  ``unsaved``: ``record`` or ``store_id`` is to be persisted."""
 
     def __init__(
-        self, name: str, store: str, keepers: tuple[str, ...], charter: str, kept: BootstrapRecord
+        self, name: str, store_id: str, replicas: tuple[str, ...], terms_digest: str, record: BootstrapRecord
     ) -> None:
-        self._name, self.store_id, self._keepers, self._charter = name, store, keepers, charter
-        self.record = kept
-        self._hello_at = 0
-        self._bound: dict[str, str] = {}  # keepers that are bound to us, and their stores
-        self._asked: dict[str, str] = {}  # names of stores that want a seat in a fleet that there is
-        self.conflicts: dict[str, str] = {}  # keepers whose file differs in what binds, or of another fleet
+        self.store_id = store_id
+        self.record = record
         self.unsaved = False
+        self.conflicts: dict[str, str] = {}  # other replicas that do not fit, and why
+        self._name = name
+        self._replicas = replicas
+        self._terms_digest = terms_digest
+        self._ask_at = 0
+        self._bound_stores: dict[str, str] = {}  # replicas that are bound to this store, and their stores
+        self._applicants: dict[str, str] = {}  # replicas whose store is no voter of the fleet that there is
 
     @property
     def next_at(self) -> int:
-        return self._hello_at
+        """When ``tick`` has something to do."""
+        return self._ask_at
 
     @property
     def is_founder(self) -> bool:
-        """Whether this one founds."""
-        return self._name == self._keepers[0]
+        """Whether this replica founds the fleet: it is the first that the file names."""
+        return self._name == self._replicas[0]
 
     def take_applicants(self) -> dict[str, str]:
-        """Keepers by name that have a fresh store, since the last call."""
-        found, self._asked = self._asked, {}
-        return found
+        """Return the replicas, by name, whose store is no voter, since the last call."""
+        applicants = self._applicants
+        self._applicants = {}
+        return applicants
+
+    def replace_store(self, store_id: str) -> None:
+        """This replica's store is replaced by another, which applies to the same fleet."""
+        self.store_id = store_id
+        self.record.bound_to = ""
+        self.unsaved = True
 
-    def _hello(self) -> BootstrapStatus:
-        kept = self.record
-        return BootstrapStatus(self._charter, self.store_id, kept.fleet_id, kept.voters, kept.bound_to)
+    # ---- time ----
 
-    def tick(self, now: int, seated: bool) -> list[tuple[str, Message]]:
-        """Ask the others while there is no fleet, or no seat in it."""
-        if (self.record.fleet_id and seated) or now < self._hello_at:
+    def tick(self, now: int, is_voter: bool) -> Sent:
+        """Ask the others while there is no fleet, or this replica is no voter; return what is sent."""
+        if (self.record.fleet_id and is_voter) or now < self._ask_at:
             return []
-        self._hello_at = now + HELLO_US
-        others = [name for name in self._keepers if name != self._name]
-        said: list[tuple[str, Message]] = [(name, self._hello()) for name in others]
+        self._ask_at = now + STATUS_INTERVAL_US
+        others = [name for name in self._replicas if name != self._name]
+        sent: Sent = [(name, self._status()) for name in others]
         if self.is_founder and not self.record.fleet_id:
-            if self.record.bound_to != self.store_id:
-                self.record.bound_to, self.unsaved = self.store_id, True
-            said += [(name, BootstrapBind(self._charter, self.store_id)) for name in others]
-            self._found()
-        return said
-
-    def receive(self, sender: str, message: BootstrapStatus | BootstrapBind) -> list[tuple[str, Message]]:
-        """Take in what another keeper says; nothing it says undoes what is kept."""
-        if sender not in self._keepers:
+            self._bind_to(self.store_id)
+            sent += [(name, BootstrapBind(self._terms_digest, self.store_id)) for name in others]
+            self._found_if_all_bound()
+        return sent
+
+    def _status(self) -> BootstrapStatus:
+        record = self.record
+        return BootstrapStatus(
+            self._terms_digest, self.store_id, record.fleet_id, record.voters, record.bound_to
+        )
+
+    def _bind_to(self, founder_store: str) -> None:
+        if self.record.bound_to != founder_store:
+            self.record.bound_to = founder_store
+            self.unsaved = True
+
+    # ---- messages ----
+
+    def receive(self, sender: str, message: BootstrapStatus | BootstrapBind) -> Sent:
+        """Take in what another replica says, and return the answer.  Nothing undoes what is persisted."""
+        if sender not in self._replicas:
             return []
-        if message.terms_digest != self._charter:
+        if message.terms_digest != self._terms_digest:
             self.conflicts[sender] = "its file differs in what binds the fleet"
             return []
         self.conflicts.pop(sender, None)
         if isinstance(message, BootstrapBind):
-            return self._bind(sender, message)
-        kept = self.record
-        if message.fleet_id and not kept.fleet_id:
-            self._adopt(message)
-        elif message.fleet_id and message.fleet_id != kept.fleet_id:
+            return self._receive_bind(sender, message)
+        if message.fleet_id:
+            self._receive_fleet(sender, message)
+            return []
+        return self._receive_without_fleet(sender, message)
+
+    def _receive_bind(self, sender: str, message: BootstrapBind) -> Sent:
+        """Promise this replica to the founder, unless it is promised already."""
+        founds = sender == self._replicas[0] and not self.record.fleet_id
+        if founds and not self.record.bound_to:
+            self._bind_to(message.founder_store)
+        return [(sender, self._status())]
+
+    def _receive_fleet(self, sender: str, status: BootstrapStatus) -> None:
+        """Another replica has a fleet."""
+        if not self.record.fleet_id:
+            self._join(status)
+        elif status.fleet_id != self.record.fleet_id:
             self.conflicts[sender] = "it belongs to another fleet of this name"
-        elif not message.fleet_id and kept.fleet_id:
-            self._asked[sender] = message.store_id
-            return [(sender, self._hello())]
-        elif not message.fleet_id and self.is_founder:
-            self._bound.pop(sender, None)
-            if message.bound_to == self.store_id:
-                self._bound[sender] = message.store_id
-            self._found()
-        elif message.fleet_id and make_replica_id(sender, message.store_id) not in message.voters:
-            self._asked[sender] = message.store_id
+        elif make_replica_id(sender, status.store_id) not in status.voters:
+            self._applicants[sender] = status.store_id
+
+    def _receive_without_fleet(self, sender: str, status: BootstrapStatus) -> Sent:
+        """Another replica has no fleet: it is told of this one's, or counted among the founders."""
+        if self.record.fleet_id:
+            self._applicants[sender] = status.store_id
+            return [(sender, self._status())]
+        if self.is_founder:
+            self._bound_stores.pop(sender, None)
+            if status.bound_to == self.store_id:
+                self._bound_stores[sender] = status.store_id
+            self._found_if_all_bound()
         return []
 
-    def _bind(self, sender: str, message: BootstrapBind) -> list[tuple[str, Message]]:
-        kept = self.record
-        if sender != self._keepers[0] or kept.fleet_id:
-            return [(sender, self._hello())]
-        if not kept.bound_to:
-            kept.bound_to, self.unsaved = message.founder_store, True
-        return [(sender, self._hello())]
-
-    def _found(self) -> None:
-        """All others have bound themselves: from here on there is a fleet."""
-        if self.record.fleet_id or len(self._bound) < len(self._keepers) - 1:
+    # ---- the beginning ----
+
+    def _found_if_all_bound(self) -> None:
+        """Once all others are bound to this store there is a fleet."""
+        if self.record.fleet_id or len(self._bound_stores) < len(self._replicas) - 1:
             return
-        seats = [make_replica_id(name, store) for name, store in self._bound.items()]
-        seats.append(make_replica_id(self._name, self.store_id))
-        told = "\n".join([self._charter, *sorted(seats)])
-        fleet = hashlib.blake2b(told.encode(), digest_size=8).hexdigest()
-        self.record.fleet_id, self.record.voters, self.unsaved = fleet, tuple(sorted(seats)), True
-
-    def _adopt(self, told: BootstrapStatus) -> None:
-        """There is a fleet: this one is among its founders, or asks for a seat."""
-        mine = make_replica_id(self._name, self.store_id) in told.voters
-        if (
-            mine
-            and self.record.bound_to
-            and not any(self.record.bound_to == store_id_of(seat) for seat in told.voters)
-        ):
-            return  # it was promised to another founder
-        if len(told.voters) <= MOST_SEATS:
-            self.record.fleet_id, self.unsaved = told.fleet_id, True
-            self.record.voters = told.voters
-
-    def replace_store(self, store: str) -> None:
-        """This store is put aside; another one asks for a seat in the same fleet."""
-        self.store_id, self.unsaved = store, True
-        self.record.bound_to = ""
+        voters = [make_replica_id(name, store_id) for name, store_id in self._bound_stores.items()]
+        voters.append(make_replica_id(self._name, self.store_id))
+        voters.sort()
+        text = "\n".join([self._terms_digest, *voters])
+        self.record.fleet_id = hashlib.blake2b(text.encode(), digest_size=FLEET_ID_BYTES).hexdigest()
+        self.record.voters = tuple(voters)
+        self.unsaved = True
+
+    def _join(self, status: BootstrapStatus) -> None:
+        """Join the fleet that there is, unless this replica is promised to another founder."""
+        is_founding_voter = make_replica_id(self._name, self.store_id) in status.voters
+        founders = {store_id_of(voter) for voter in status.voters}
+        if is_founding_voter and self.record.bound_to and self.record.bound_to not in founders:
+            return
+        if len(status.voters) <= MAX_VOTERS:
+            self.record.fleet_id = status.fleet_id
+            self.record.voters = status.voters
+            self.unsaved = True
--- a/gaugesail/coordination/consensus_messages.py
+++ b/gaugesail/coordination/consensus_messages.py
@@ -1,4 +1,4 @@
-"""What replicas of the log say to each other (Raft)."""
+"""What replicas of the log say to each other (Raft).  ``sender`` is a replica id."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 
 
 class VoteResponse(Record, frozen=True, tag="Voted"):
+    """Answers a VoteRequest.  A refusal tells the voter's term."""
+
     sender: str
     term: int
     pre_vote: bool
@@ -24,7 +26,7 @@
 
 
 class AppendEntries(Record, frozen=True, tag="Append"):
-    """Entries after ``prev_index``, and a sign of life; ``round`` comes back with the answer."""
+    """Entries after ``prev_index``, or a heartbeat without any; ``round`` comes back with the answer."""
 
     sender: str
     term: int
@@ -36,7 +38,11 @@
 
 
 class AppendResponse(Record, frozen=True, tag="Appended"):
-    """``match``: all up to there is the leader's, and kept; where not ``ok``, what the sender has at most."""
+    """Answers AppendEntries or InstallSnapshot.
+
+    With ``success`` all up to ``match_index`` is the leader's and written; without, the sender has no more
+    than up to there in common with it.
+    """
 
     sender: str
     term: int
@@ -46,7 +52,7 @@
 
 
 class InstallSnapshot(Record, frozen=True, tag="Install"):
-    """The ledger as it stood after entry ``index``, in place of all entries up to there."""
+    """The state after entry ``last_index``, in place of all entries up to there."""
 
     sender: str
     term: int
@@ -58,7 +64,7 @@
 
 
 class TimeoutNow(Record, frozen=True, tag="Lead"):
-    """The leader goes: the one that is told stands for election at once."""
+    """The leader hands over: the receiver stands for election at once."""
 
     sender: str
     term: int
--- a/gaugesail/coordination/membership_messages.py
+++ b/gaugesail/coordination/membership_messages.py
@@ -17,12 +17,14 @@
 
 
 class Ping(Record, frozen=True, tag="Ping"):
+    """Asks whether the receiver is alive."""
+
     number: int
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class Ack(Record, frozen=True, tag="Ack"):
-    """``about`` is the one that was asked after: itself, or who was pinged for another."""
+    """Answers a Ping.  ``target`` is alive: the sender, or one that it has pinged for the receiver."""
 
     number: int
     target: str
@@ -30,7 +32,7 @@
 
 
 class PingRequest(Record, frozen=True, tag="PingFor"):
-    """Ping another, and tell; a NACK says that the relay itself is well."""
+    """Asks the receiver to ping ``target`` and to pass its answer on."""
 
     number: int
     target: str
@@ -38,18 +40,20 @@
 
 
 class Nack(Record, frozen=True, tag="Nack"):
+    """A relay has got a PingRequest, and is well itself."""
+
     number: int
     target: str
 
 
 class DigestOffer(Record, frozen=True, tag="Compare"):
-    """A hash of all that is known; who knows otherwise answers with a Sync."""
+    """A hash of all that is known; one that knows otherwise answers with a StateSync."""
 
     digest: int
 
 
 class StateSync(Record, frozen=True, tag="Sync"):
-    """All that is known, to a head that joins or whose view differs; ``answer`` asks for the other's."""
+    """All that the sender knows; ``wants_reply`` asks for what the receiver knows."""
 
     updates: tuple[MemberUpdate, ...]
     wants_reply: bool
--- a/gaugesail/coordination/operator_messages.py
+++ b/gaugesail/coordination/operator_messages.py
@@ -7,14 +7,14 @@
 
 
 class OperatorCommand(Record, frozen=True, tag="Petition"):
-    """What operators asked of any head, for the leader to put into the log."""
+    """A command that operators gave to any gateway, for the leader to put into the log."""
 
     number: int
     command: ForgetHead
 
 
 class OperatorCommandResult(Record, frozen=True, tag="Heard"):
-    """What became of a petition."""
+    """What became of a command; ``reason`` says why it was not done, or that there was nothing to do."""
 
     number: int
     done: bool
--- a/gaugesail/coordination/store_messages.py
+++ b/gaugesail/coordination/store_messages.py
@@ -6,17 +6,17 @@
 
 
 class StoreMark(Record, frozen=True, tag="Mark"):
-    """A keeper's store: its start's number, its save's number, and that of the save it was started from."""
+    """How far a replica's store has come."""
 
     store_id: str
-    starts: int
+    starts: int  # of processes with this store
     writes: int
-    loaded_writes: int
+    loaded_writes: int  # that it held when this process started
     process: int
 
 
 class StoreMarkVerdict(Record, frozen=True, tag="Marked"):
-    """What a witness makes of a mark: ``good``, or a later one is known to it."""
+    """Whether the store may be the latest: False if a later mark of it is known."""
 
     store_id: str
     process: int
