--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -337,7 +337,7 @@
     Plant(
         "vote_not_kept",
         "a vote is given and not persisted",
-        lambda: [_method(node.FleetNode, "_save", _forget_vote)],
+        lambda: [_method(node.FleetNode, "_take_write", _forget_vote)],
     ),
     Plant(
         "closing_renewed",
