--- a/gaugesail/policy/admission.py
+++ b/gaugesail/policy/admission.py
@@ -10,7 +10,7 @@
 from .records import PendingRequest
 from .recovery import RecoveryRamp
 from .recovery_queue import QueuePriority
-from .rejections import RejectionReason
+from .rejections import NodeState, RejectionReason
 from .request_queue import RequestQueue
 from .retry_budget import RetryBudget
 from .settings import Settings
@@ -46,7 +46,7 @@
         state = self._state
         if event.shard >= 0 and event.shard not in self._node_table.shards:
             # A record made on the word of a client would let clients fill the memory.
-            self._recovery.count_rejection(RejectionReason.UNLISTED_SHARD.value, "none")
+            self._recovery.count_rejection(RejectionReason.UNLISTED_SHARD, NodeState.NONE)
             state.actions.append(RejectRequest(event.request_id, state.settings.longest_retry_after_us))
             return
         self._retry_budget.record_request(state.now)
--- a/gaugesail/policy/rate_limits.py
+++ b/gaugesail/policy/rate_limits.py
@@ -65,11 +65,11 @@
             bucket.requested_units += units
             self._requested[bucket.plan.name, volume] = bucket
 
-    def refill(self, now: int, bucket: TokenBucket, gateways_in_use: float, sibling_processes: int) -> None:
+    def refill(self, now: int, bucket: TokenBucket, gateways_in_use: float, process_count: int) -> None:
         """Bring a bucket up to now; two processes of one gateway split the rate of an even share."""
         if not self._settings.fleet_quota:
             plan = bucket.plan
-            bucket.own_rate = plan.limit / gateways_in_use / sibling_processes
+            bucket.own_rate = plan.limit / gateways_in_use / process_count
             bucket.own_burst = plan.limit_burst / gateways_in_use
         bucket.fill(now, self._lease_until)
 
--- a/gaugesail/policy/recovery.py
+++ b/gaugesail/policy/recovery.py
@@ -21,6 +21,7 @@
 from .first_requests import FirstRequests
 from .records import NodeRecord, PendingRequest
 from .recovery_queue import QueuePriority, RecoveryQueue
+from .rejections import NodeState, RejectionReason
 from .retry_after import RetryAfterPolicy
 from .retry_tickets import RetryTicket, RetryTickets
 from .settings import Settings
@@ -50,7 +51,7 @@
 class RecoveryRamp:
     """The shards in recovery, for one gateway.  All times are microseconds, rates units a second.
 
-    ``sibling_processes`` counts the processes of this gateway that serve at once, 1 or 2.
+    ``process_count`` counts the processes of this gateway that serve at once, 1 or 2.
     """
 
     def __init__(self, settings: Settings, slow_start: SlowStart, rng: random.Random) -> None:
@@ -191,14 +192,14 @@
             return False
         return now - recovery.health.phase_since > self._long_outage_us
 
-    def update_capacity(self, now: int, shard: int, node: NodeRecord | None, sibling_processes: int) -> None:
+    def update_capacity(self, now: int, shard: int, node: NodeRecord | None, process_count: int) -> None:
         """Bring the shard's queue up to now, and to the capacity of the node that it has."""
         recovery = self.shards.get(shard)
         if recovery is None:
             return
         recovery.queue.advance(now)
         recovery.queue.capacity_per_s = self._capacity.units_per_s(
-            now, shard, recovery.health, node, sibling_processes
+            now, shard, recovery.health, node, process_count
         )
 
     # ---- requests ----
@@ -245,13 +246,14 @@
         """What is sent first under an ordering queue; requests that the gateway itself retries go last."""
         return request.queue_priority if not request.attempts else QueuePriority.EARLY_RETRY - 1
 
-    def reject(self, now: int, request: PendingRequest, reason: str, node: NodeRecord | None) -> int:
+    def reject(
+        self, now: int, request: PendingRequest, reason: RejectionReason, node: NodeRecord | None
+    ) -> int:
         """The Retry-After time of a request that is rejected, in microseconds.
 
-        ``reason`` names the check that rejected it; it is counted with the state of the shard's node.
+        It is counted by its reason and the state of the shard's node.
         """
-        state = "none" if node is None else "cold" if node.warming_since is not None else "warm"
-        self.count_rejection(reason, state)
+        self.count_rejection(reason, _state_of(node))
         if not self._enabled or not self.retry_after.can_be_spread:
             return self.retry_after.longest_us
         recovery = self.shards.get(request.shard)
@@ -277,9 +279,9 @@
             self._keep(RetryTicket(fingerprint, shard, None, 0.0, 0.0, now + wait_us, wait_us, now, timeouts))
         return wait_us
 
-    def count_rejection(self, reason: str, node_state: str) -> None:
+    def count_rejection(self, reason: RejectionReason, node_state: NodeState) -> None:
         """Count a rejection for operators, as ``refused_<reason>_<node_state>``."""
-        self.rejections[f"refused_{reason}_{node_state}"] += 1
+        self.rejections[f"refused_{reason.value}_{node_state.value}"] += 1
 
     def client_disconnected(self, now: int, request: PendingRequest) -> None:
         """A client left without an answer: it may come back at any time."""
@@ -317,7 +319,7 @@
     # ---- the control period ----
 
     def end_control_period(
-        self, now: int, nodes: Mapping[int, NodeRecord | None], sibling_processes: int
+        self, now: int, nodes: Mapping[int, NodeRecord | None], process_count: int
     ) -> list[WriteLog]:
         """Bring all queues up to now; what is to be logged of retry storms."""
         span_s = max(1, now - self._period_ended_at) / 1e6
@@ -327,7 +329,7 @@
         notices: list[WriteLog] = []
         for shard, recovery in list(self.shards.items()):
             node = nodes.get(shard)
-            self.update_capacity(now, shard, node, sibling_processes)
+            self.update_capacity(now, shard, node, process_count)
             recovery.queue.end_period(span_s)
             self._update_phase(now, recovery, node)
             notices += recovery.update_storm(now, self._capacity.served_per_s(shard))
@@ -354,3 +356,9 @@
         for ticket in [ticket for ticket in self.tickets if ticket.shard == shard]:
             self.tickets.drop(ticket.fingerprint)
         del self.shards[shard]
+
+
+def _state_of(node: NodeRecord | None) -> NodeState:
+    if node is None:
+        return NodeState.NONE
+    return NodeState.WARM if node.warming_since is None else NodeState.WARMING_UP
--- a/gaugesail/policy/rejections.py
+++ b/gaugesail/policy/rejections.py
@@ -15,3 +15,11 @@
     IN_MAINTENANCE = "away"  # the node of its shard is in maintenance
     OBJECTIVE_MISSED = "aim"  # it waited until it was too late to start
     QUEUE_TOO_LONG = "hopeless"  # more is sent before it than can be until its objective
+
+
+class NodeState(Enum):
+    """What the node of a rejected request was; the value is the ``node`` of its counter."""
+
+    NONE = "none"  # its shard has no node
+    WARMING_UP = "cold"
+    WARM = "warm"
--- a/gaugesail/policy/retry_budget.py
+++ b/gaugesail/policy/retry_budget.py
@@ -33,10 +33,10 @@
         if self._settings.retry_budget_window_us:
             self._retries.append(now)
 
-    def retry_allowed(self, now: int, sibling_processes: int) -> bool:
+    def retry_allowed(self, now: int, process_count: int) -> bool:
         """Whether one more retry stays within the budget.
 
-        ``sibling_processes`` counts the processes of this gateway, 1 or 2; they split the free retries.
+        ``process_count`` counts the processes of this gateway, 1 or 2; they split the free retries.
         """
         window_us = self._settings.retry_budget_window_us
         if not window_us:
@@ -46,5 +46,5 @@
             self._requests.popleft()
         while self._retries and self._retries[0] < now - window_us:
             self._retries.popleft()
-        free = self._settings.retry_budget_free / sibling_processes
+        free = self._settings.retry_budget_free / process_count
         return len(self._retries) + 1 <= free + self._settings.retry_budget_share * len(self._requests)
--- a/gaugesail/policy/shard_capacity.py
+++ b/gaugesail/policy/shard_capacity.py
@@ -52,7 +52,7 @@
         return 0.0 if served is None else served.per_s
 
     def units_per_s(
-        self, now: int, shard: int, health: ShardHealth, node: NodeRecord | None, sibling_processes: int
+        self, now: int, shard: int, health: ShardHealth, node: NodeRecord | None, process_count: int
     ) -> float:
         """Units a second that this gateway may send; 0 while the shard is unavailable.
 
@@ -67,5 +67,5 @@
             allowed = settings.initial_capacity_units / settings.initial_capacity_share
         if allowed and settings.overload_window_us:
             per_s = allowed * 1e6 / settings.overload_window_us
-            return per_s / settings.gateway_count / sibling_processes
+            return per_s / settings.gateway_count / process_count
         return max(self.served_per_s(shard) * SERVED_RATE_HEADROOM, settings.max_request_units)
--- a/gaugesail/policy/slow_start.py
+++ b/gaugesail/policy/slow_start.py
@@ -38,7 +38,7 @@
 class SlowStart:
     """The capacity of nodes in slow start, for one gateway.  Times are microseconds.
 
-    ``warming_since`` is when a node started, None for one that is warm; ``sibling_processes`` counts the
+    ``warming_since`` is when a node started, None for one that is warm; ``process_count`` counts the
     processes of this gateway that serve at once, 1 or 2.
     """
 
@@ -74,7 +74,7 @@
         return settings.initial_capacity_units * share / settings.initial_capacity_share
 
     def capacity(
-        self, now: int, node: NodeRecord, sibling_processes: int, count_served: bool
+        self, now: int, node: NodeRecord, process_count: int, count_served: bool
     ) -> SlowStartCapacity:
         """What a node in slow start may be sent.
 
@@ -93,9 +93,9 @@
             # An earlier process of this gateway may have spent its share, or given it away.
             return SlowStartCapacity(unserved, 0.0)
         if settings.peer_messages_allowed:
-            share = node.slow_start_share / sibling_processes
+            share = node.slow_start_share / process_count
         else:
-            share = self._rotation.share(now, node.node_id, unserved) / sibling_processes
+            share = self._rotation.share(now, node.node_id, unserved) / process_count
         room = unserved * share - self._unserved.unserved_since(node.node_id, window_start)
         if count_served:
             sent = self._unserved.sent_since(node.node_id, window_start - ARRIVAL_JITTER_US)
@@ -128,10 +128,10 @@
     # ---- messages between gateways ----
 
     def give_share(
-        self, now: int, shard: ShardRecord, node: NodeRecord, sibling_processes: int
+        self, now: int, shard: ShardRecord, node: NodeRecord, process_count: int
     ) -> SendPeerMessage | None:
         """Give what is not needed here to a gateway that has asked; it is deducted before it is sent."""
-        capacity = self.capacity(now, node, sibling_processes, False)
+        capacity = self.capacity(now, node, process_count, False)
         largest = max((request.units for queue in shard.waiting for request in queue), default=0.0)
         spare = (capacity.room_units - largest) / capacity.unserved_units
         requesters = node.share_requesters.items()
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -1,4 +1,4 @@
-"""The recovery decisions by example: evidence, places, who goes first, times to come back, bounded memory."""
+"""The recovery decisions by example: evidence of faults, queue, priorities, Retry-After, bounded memory."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
     QueuePriority,
     RecoveryQueue,
 )
+from gaugesail.policy.rejections import RejectionReason
 from gaugesail.policy.retry_after import SHORTEST_LIST_DELAY_US
 from gaugesail.policy.retry_schedule import SLOTS, RetrySchedule
 from gaugesail.policy.retry_storm import LONGEST_RECOVERY_US, STORM_TICKETS
@@ -55,13 +56,13 @@
     return RequestReceived(number, 0, NOW + SEC, more.pop("shard", 0), key=number, **more)
 
 
-def job(one: RecoveryRamp, number: int = 1, **more: Any) -> PendingRequest:
+def pending_request(ramp: RecoveryRamp, number: int = 1, **more: Any) -> PendingRequest:
     """A request that has come."""
-    given, asked = settings(), request(number, **more)
+    given, pending = settings(), request(number, **more)
     volume = VolumeBudget(given.plans[0], 1.0, NOW, 0.0, 0.0, limit_bucket=None)  # type: ignore[arg-type]
-    spec, units = given.classes[0], asked.units
-    made = PendingRequest(number, 0, spec, volume, asked.shard, False, units, NOW, 0, NOW + SEC, None, 3)
-    one.request_received(NOW, made, asked)
+    spec, units = given.classes[0], pending.units
+    made = PendingRequest(number, 0, spec, volume, pending.shard, False, units, NOW, 0, NOW + SEC, None, 3)
+    ramp.request_received(NOW, made, pending)
     return made
 
 
@@ -71,202 +72,213 @@
     )
 
 
-def away(one: RecoveryRamp, tickets: int = 0, first: int = 1) -> list[PendingRequest]:
-    """Its node is gone, and some were refused for that."""
-    one.node_removed(NOW, 0, "gone")
-    jobs = [job(one, first + n) for n in range(tickets)]
-    for each in jobs:
-        one.reject(NOW, each, "away", None)
-    return jobs
+def take_down(ramp: RecoveryRamp, tickets: int = 0, first: int = 1) -> list[PendingRequest]:
+    """Its node is gone, and some requests were rejected for that."""
+    ramp.node_removed(NOW, 0, "gone")
+    requests = [pending_request(ramp, first + n) for n in range(tickets)]
+    for each in requests:
+        ramp.reject(NOW, each, RejectionReason.IN_MAINTENANCE, None)
+    return requests
 
 
-def phase(one: RecoveryRamp) -> ShardPhase:
-    return one.shards[0].health.phase
+def phase(ramp: RecoveryRamp) -> ShardPhase:
+    return ramp.shards[0].health.phase
 
 
-# ---- the line ----
+# ---- the queue ----
 
 
-def line(bears: float = 10.0, fresh: float = 0.0) -> RecoveryQueue:
+def queue_with(bears: float = 10.0, fresh: float = 0.0) -> RecoveryQueue:
     made = RecoveryQueue(0, NOW)
     made.capacity_per_s, made.new_per_s = bears, fresh
     return made
 
 
-def test_what_comes_fresh_is_taken_off_what_the_node_bears_but_not_all_of_it() -> None:
-    assert line(10.0, 4.0).retry_rate == 6.0
-    assert line(10.0, 400.0).retry_rate == 10.0 * (1 - MAX_NEW_SHARE)
+def test_new_requests_are_taken_off_the_capacity_but_not_all_of_it() -> None:
+    assert queue_with(10.0, 4.0).retry_rate == 6.0
+    assert queue_with(10.0, 400.0).retry_rate == 10.0 * (1 - MAX_NEW_SHARE)
 
 
-def test_a_place_comes_after_all_that_is_before_it_as_fast_as_the_line_moves() -> None:
-    one = line(10.0)
-    tags = [one.enter(("p", "c"), 2.0, 5.0) for _ in range(3)]
-    assert [one.wait_us(tag) for tag in tags] == [0, 500_000, 1_000_000]
-    one.advance(NOW + 750_000)
-    assert [one.wait_us(tag) for tag in tags] == [0, 0, 250_000]
-    assert line(0.0).wait_us(1.0) is None, "it stands still"
+def test_a_turn_comes_after_all_before_it_as_fast_as_the_queue_advances() -> None:
+    ramp = queue_with(10.0)
+    tags = [ramp.enter(("p", "c"), 2.0, 5.0) for _ in range(3)]
+    assert [ramp.wait_us(tag) for tag in tags] == [0, 500_000, 1_000_000]
+    ramp.advance(NOW + 750_000)
+    assert [ramp.wait_us(tag) for tag in tags] == [0, 0, 250_000]
+    assert queue_with(0.0).wait_us(1.0) is None, "it stands still"
 
 
-def test_lanes_are_served_by_their_weight() -> None:
-    one = line(9.0)
-    light = [one.enter(("a", "c"), 1.0, 1.0) for _ in range(6)]
-    heavy = [one.enter(("b", "c"), 2.0, 1.0) for _ in range(6)]
-    one.advance(NOW + SEC)
-    assert sum(tag < one.progress for tag in heavy) == 2 * sum(tag < one.progress for tag in light) == 6
+def test_flows_are_served_by_their_weight() -> None:
+    ramp = queue_with(9.0)
+    light = [ramp.enter(("a", "c"), 1.0, 1.0) for _ in range(6)]
+    heavy = [ramp.enter(("b", "c"), 2.0, 1.0) for _ in range(6)]
+    ramp.advance(NOW + SEC)
+    assert sum(tag < ramp.progress for tag in heavy) == 2 * sum(tag < ramp.progress for tag in light) == 6
 
 
-def test_nobody_is_called_while_the_due_still_wait() -> None:
-    one = line(10.0)
-    one.enter(("p", "c"), 1.0, 1.0)
-    one.due_units = DUE_BACKLOG_S * 10 + 0.1
-    one.advance(NOW + SEC)
-    assert one.progress == 0.0
-    one.due_units = 0.0
-    one.advance(NOW + 2 * SEC)
-    assert one.progress == 10.0
+def test_the_queue_does_not_advance_while_due_retries_wait() -> None:
+    ramp = queue_with(10.0)
+    ramp.enter(("p", "c"), 1.0, 1.0)
+    ramp.due_units = DUE_BACKLOG_S * 10 + 0.1
+    ramp.advance(NOW + SEC)
+    assert ramp.progress == 0.0
+    ramp.due_units = 0.0
+    ramp.advance(NOW + 2 * SEC)
+    assert ramp.progress == 10.0
 
 
-def test_fresh_requests_are_smoothed_over_the_periods() -> None:
-    one = line()
+def test_the_rate_of_new_requests_is_smoothed_over_control_periods() -> None:
+    ramp = queue_with()
     for _ in range(30):
-        one.new_units = 2.0
-        one.end_period(0.5)
-    assert 3.9 < one.new_per_s <= 4.0 and one.new_units == 0.0
+        ramp.new_units = 2.0
+        ramp.end_period(0.5)
+    assert 3.9 < ramp.new_per_s <= 4.0 and ramp.new_units == 0.0
 
 
 # ---- evidence ----
 
 
-def test_a_node_fails_by_points_in_a_row_and_one_answer_clears_them() -> None:
-    one = recovery()
-    asked = job(one)
+def test_a_node_is_failing_after_points_in_a_row_and_one_answer_clears_them() -> None:
+    ramp = recovery()
+    pending = pending_request(ramp)
     for _ in range(3):
-        one.attempt_ended(NOW, asked, AttemptResult.TIMEOUT)
-    assert phase(one) is ShardPhase.SERVING
-    one.attempt_ended(NOW, asked, AttemptResult.SERVED)
-    assert one.shards[0].health.failure_points == 0
+        ramp.attempt_ended(NOW, pending, AttemptResult.TIMEOUT)
+    assert phase(ramp) is ShardPhase.SERVING
+    ramp.attempt_ended(NOW, pending, AttemptResult.SERVED)
+    assert ramp.shards[0].health.failure_points == 0
     for _ in range(4):
-        one.attempt_ended(NOW, asked, AttemptResult.RESET)
-    assert phase(one) is ShardPhase.FAILING and one.shards[0].health.failure_points >= FAILING_POINTS
-    one.attempt_ended(NOW, asked, AttemptResult.REJECTED)
-    assert one.shards[0].health.failure_points == 24, "that it is full says nothing against it"
+        ramp.attempt_ended(NOW, pending, AttemptResult.RESET)
+    assert phase(ramp) is ShardPhase.FAILING and ramp.shards[0].health.failure_points >= FAILING_POINTS
+    ramp.attempt_ended(NOW, pending, AttemptResult.REJECTED)
+    assert ramp.shards[0].health.failure_points == 24, "that it is full says nothing against it"
 
 
-def test_a_failing_node_is_tried_by_one_at_a_time_and_after_its_wait() -> None:
-    one = recovery()
+def test_a_failing_node_gets_one_trial_at_a_time_after_its_backoff() -> None:
+    ramp = recovery()
     for _ in range(4):
-        one.attempt_ended(NOW, job(one), AttemptResult.RESET)
-    at = one.shards[0].health.trial_at
+        ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.RESET)
+    at = ramp.shards[0].health.trial_at
     assert NOW < at <= NOW + FIRST_TRIAL_WAIT_US * 1.25
-    assert not one.may_send(at - 1, 0, 0)
-    assert one.may_send(at, 0, 0) and not one.may_send(at, 0, 1)
-    assert one.may_send(NOW, 1, 9), "another shard"
+    assert not ramp.may_send(at - 1, 0, 0)
+    assert ramp.may_send(at, 0, 0) and not ramp.may_send(at, 0, 1)
+    assert ramp.may_send(NOW, 1, 9), "another shard"
     for _ in range(12):
-        one.attempt_ended(at, job(one), AttemptResult.TIMEOUT)
-    assert one.shards[0].health.trial_wait_us == LONGEST_TRIAL_WAIT_US, "doubled each time, up to a bound"
-    assert one.attempt_ended(at, job(one), AttemptResult.SERVED), "a trial that it stood"
-    assert phase(one) is ShardPhase.RECOVERING and one.may_send(at, 0, 9)
+        ramp.attempt_ended(at, pending_request(ramp), AttemptResult.TIMEOUT)
+    assert ramp.shards[0].health.trial_wait_us == LONGEST_TRIAL_WAIT_US, "doubled each time, up to a bound"
+    assert ramp.attempt_ended(at, pending_request(ramp), AttemptResult.SERVED), "a trial that it stood"
+    assert phase(ramp) is ShardPhase.RECOVERING and ramp.may_send(at, 0, 9)
 
 
-def test_one_that_failed_trials_lately_fails_again_at_once() -> None:
-    one = recovery()
+def test_a_node_that_failed_trials_lately_is_failing_again_at_once() -> None:
+    ramp = recovery()
     for _ in range(5):
-        one.attempt_ended(NOW, job(one), AttemptResult.RESET)
-    one.attempt_ended(NOW, job(one), AttemptResult.SERVED)
-    one.attempt_ended(NOW, job(one), AttemptResult.ERROR)
-    assert phase(one) is ShardPhase.FAILING
+        ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.RESET)
+    ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.SERVED)
+    ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.ERROR)
+    assert phase(ramp) is ShardPhase.FAILING
 
 
-def test_what_ran_out_of_time_has_longer_the_next_time_up_to_a_bound() -> None:
-    one = recovery()
-    asked = job(one)
+def test_a_timeout_doubles_the_next_timeout_up_to_a_bound() -> None:
+    ramp = recovery()
+    pending = pending_request(ramp)
     told = []
     for _ in range(5):
-        told.append(one.timeout_factor(asked))
-        one.attempt_ended(NOW, asked, AttemptResult.TIMEOUT)
+        told.append(ramp.timeout_factor(pending))
+        ramp.attempt_ended(NOW, pending, AttemptResult.TIMEOUT)
     assert told == [1, 2, 4, 8, 8]
 
 
-def test_a_client_that_comes_back_brings_its_patience_along() -> None:
-    one = recovery()
-    first = job(one)
-    one.attempt_ended(NOW, first, AttemptResult.TIMEOUT)
-    one.reject(NOW, first, "aim", node())
-    assert one.timeout_factor(job(one)) == 2 and one.timeout_factor(job(one, 2)) == 1
+def test_a_retry_keeps_the_timeouts_of_its_client() -> None:
+    ramp = recovery()
+    first = pending_request(ramp)
+    ramp.attempt_ended(NOW, first, AttemptResult.TIMEOUT)
+    ramp.reject(NOW, first, RejectionReason.OBJECTIVE_MISSED, node())
+    assert (
+        ramp.timeout_factor(pending_request(ramp)) == 2 and ramp.timeout_factor(pending_request(ramp, 2)) == 1
+    )
 
 
-# ---- the four cases of a list ----
+# ---- the endpoint list ----
 
 
-def test_a_list_that_says_gone_and_back() -> None:
-    one = recovery()
-    one.node_removed(NOW, 0, "gone")
-    one.node_ready(NOW + 9 * SEC, node(cold=True, started=NOW + 8 * SEC))
-    assert phase(one) is ShardPhase.WARMING_UP and list(one.retry_after.list_delays_us) == [SEC]
+def test_a_node_that_the_list_drops_and_names_again_warms_up() -> None:
+    ramp = recovery()
+    ramp.node_removed(NOW, 0, "gone")
+    ramp.node_ready(NOW + 9 * SEC, node(cold=True, started=NOW + 8 * SEC))
+    assert phase(ramp) is ShardPhase.WARMING_UP and list(ramp.retry_after.list_delays_us) == [SEC]
 
 
-def test_a_list_that_says_only_that_it_started_again() -> None:
-    one = recovery()
-    one.node_removed(NOW, 0, "gone")
-    one.node_ready(NOW, node(started=5))
-    one.node_ready(NOW + SEC, node(cold=True, started=NOW))
-    assert phase(one) is ShardPhase.WARMING_UP
+def test_a_restart_that_the_list_tells_makes_a_node_warm_up() -> None:
+    ramp = recovery()
+    ramp.node_removed(NOW, 0, "gone")
+    ramp.node_ready(NOW, node(started=5))
+    ramp.node_ready(NOW + SEC, node(cold=True, started=NOW))
+    assert phase(ramp) is ShardPhase.WARMING_UP
 
 
-def test_a_list_that_says_nothing_new_of_a_node_that_failed() -> None:
-    one = recovery()
-    one.node_removed(NOW, 0, "gone")
-    one.node_ready(NOW, node(started=5))
+def test_a_list_with_the_same_start_leaves_a_failing_node_failing() -> None:
+    ramp = recovery()
+    ramp.node_removed(NOW, 0, "gone")
+    ramp.node_ready(NOW, node(started=5))
     for _ in range(4):
-        one.attempt_ended(NOW, job(one), AttemptResult.RESET)
-    one.node_ready(NOW, node(started=5))
-    assert phase(one) is ShardPhase.FAILING, "the same process: it has to stand a trial"
-
-
-def test_a_list_that_is_late_tells_by_how_much_and_who_is_away_is_asked_for_no_sooner() -> None:
-    one = recovery()
-    one.retry_after.list_delays_us.append(300_000)
-    (asked,) = away(one, 1)
-    waits = [one.reject(NOW, job(one, 50 + n), "away", None) for n in range(40)]
-    assert all(150_000 <= wait <= 300_000 for wait in waits) and asked.fingerprint
-    one.retry_after.list_delays_us.append(10 * SEC)
-    waits = [one.reject(NOW, job(one, 150 + n), "away", None) for n in range(40)]
+        ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.RESET)
+    ramp.node_ready(NOW, node(started=5))
+    assert phase(ramp) is ShardPhase.FAILING, "the same process: it has to stand a trial"
+
+
+def test_retry_after_of_a_shard_that_is_down_follows_the_delay_of_the_list() -> None:
+    ramp = recovery()
+    ramp.retry_after.list_delays_us.append(300_000)
+    (pending,) = take_down(ramp, 1)
+    waits = [
+        ramp.reject(NOW, pending_request(ramp, 50 + n), RejectionReason.IN_MAINTENANCE, None)
+        for n in range(40)
+    ]
+    assert all(150_000 <= wait <= 300_000 for wait in waits) and pending.fingerprint
+    ramp.retry_after.list_delays_us.append(10 * SEC)
+    waits = [
+        ramp.reject(NOW, pending_request(ramp, 150 + n), RejectionReason.IN_MAINTENANCE, None)
+        for n in range(40)
+    ]
     assert all(LONGEST // 2 <= wait <= LONGEST for wait in waits)
-    one.retry_after.list_delays_us.clear()
-    one.retry_after.list_delays_us.append(1000)
-    assert one.reject(NOW, job(one, 200), "away", None) >= SHORTEST_LIST_DELAY_US // 2
+    ramp.retry_after.list_delays_us.clear()
+    ramp.retry_after.list_delays_us.append(1000)
+    assert (
+        ramp.reject(NOW, pending_request(ramp, 200), RejectionReason.IN_MAINTENANCE, None)
+        >= SHORTEST_LIST_DELAY_US // 2
+    )
 
 
 def test_two_restarts_within_a_warm_up() -> None:
-    one = recovery()
-    away(one)
-    one.node_ready(NOW, node(cold=True, started=NOW))
-    one.node_ready(NOW + SEC, node(cold=True, started=NOW + SEC))
-    assert phase(one) is ShardPhase.WARMING_UP and one.shards[0].health.phase_since == NOW + SEC
-    one.end_control_period(NOW + 30 * SEC, {0: node(cold=True, started=NOW + SEC)}, 1)
-    assert phase(one) is ShardPhase.RECOVERING
+    ramp = recovery()
+    take_down(ramp)
+    ramp.node_ready(NOW, node(cold=True, started=NOW))
+    ramp.node_ready(NOW + SEC, node(cold=True, started=NOW + SEC))
+    assert phase(ramp) is ShardPhase.WARMING_UP and ramp.shards[0].health.phase_since == NOW + SEC
+    ramp.end_control_period(NOW + 30 * SEC, {0: node(cold=True, started=NOW + SEC)}, 1)
+    assert phase(ramp) is ShardPhase.RECOVERING
 
 
-# ---- who goes first ----
+# ---- priorities ----
 
 
-def test_the_due_go_before_the_fresh_who_go_before_repeats_and_further_attempts_go_last() -> None:
-    one = recovery()
-    away(one, 3)
-    one.node_ready(NOW, node())
-    one.shards[0].queue.progress = 0.001
-    ticket = one.tickets.find(job(one, 1).fingerprint)
+def test_due_retries_go_before_new_requests_and_retries_of_the_gateway_go_last() -> None:
+    ramp = recovery()
+    take_down(ramp, 3)
+    ramp.node_ready(NOW, node())
+    ramp.shards[0].queue.progress = 0.001
+    ticket = ramp.tickets.find(pending_request(ramp, 1).fingerprint)
     assert ticket is not None
     ticket.retry_at = NOW
-    due, fresh = job(one, 1), job(one, 99)
-    early = job(one, 2)
-    late = one.tickets.find(early.fingerprint)
+    due, fresh = pending_request(ramp, 1), pending_request(ramp, 99)
+    early = pending_request(ramp, 2)
+    late = ramp.tickets.find(early.fingerprint)
     assert late is not None
     late.retry_at, late.tag = NOW, 5.0
-    asking = job(one, 2)
-    again = job(one, 98)
-    again.attempts = 1
-    order = [one.priority(each) for each in (due, fresh, asking, early, again)]
+    asking = pending_request(ramp, 2)
+    retried = pending_request(ramp, 98)
+    retried.attempts = 1
+    order = [ramp.priority(each) for each in (due, fresh, asking, early, retried)]
     assert order == [
         QueuePriority.DUE_RETRY,
         QueuePriority.NEW,
@@ -275,105 +287,108 @@
         -1,
     ]
     assert order == sorted(order, reverse=True)
-    one.left_queue(due)
-    assert due.queue_priority is QueuePriority.NEW and one.shards[0].queue.due_units == 0.0, (
+    ramp.left_queue(due)
+    assert due.queue_priority is QueuePriority.NEW and ramp.shards[0].queue.due_units == 0.0, (
         "it holds nobody up any more"
     )
 
 
-def test_who_comes_early_goes_to_the_end_of_its_lane() -> None:
-    one = recovery()
-    jobs = away(one, 4)
-    before = one.tickets.find(jobs[0].fingerprint)
+def test_a_client_that_retries_early_goes_to_the_end_of_its_flow() -> None:
+    ramp = recovery()
+    requests = take_down(ramp, 4)
+    before = ramp.tickets.find(requests[0].fingerprint)
     assert before is not None and before.tag == 0.0
-    one.reject(NOW, job(one, 1), "away", None)
-    after = one.tickets.find(jobs[0].fingerprint)
-    assert after is not None and after.tag > 0 and one.shards[0].queue.ticket_count == 4, (
+    ramp.reject(NOW, pending_request(ramp, 1), RejectionReason.IN_MAINTENANCE, None)
+    after = ramp.tickets.find(requests[0].fingerprint)
+    assert after is not None and after.tag > 0 and ramp.shards[0].queue.ticket_count == 4, (
         "and has no second place"
     )
 
 
-def test_a_line_is_crowded_from_so_many_tickets_on_and_keeps_the_windows_short() -> None:
-    one = recovery()
-    away(one, ORDERING_TICKETS - 1)
-    assert not one.is_crowded(0) and one.ordering_queue(0) is None
-    one.reject(NOW, job(one, 77), "away", None)
-    assert one.is_crowded(0) and one.ordering_queue(0) is one.shards[0].queue and not one.is_crowded(1)
-    assert one.window_bounds(0, 4.0) == (0.0, 1.0), "while it is away there is none"
-    one.node_ready(NOW, node())
-    assert one.window_bounds(0, 4.0) == (CROWDED_IN_FLIGHT / 2, CROWDED_LATENCY_SHARE)
-    assert one.window_bounds(0, 1.5) == (1.5, CROWDED_LATENCY_SHARE)
+def test_a_crowded_queue_orders_requests_and_keeps_windows_short() -> None:
+    ramp = recovery()
+    take_down(ramp, ORDERING_TICKETS - 1)
+    assert not ramp.is_crowded(0) and ramp.ordering_queue(0) is None
+    ramp.reject(NOW, pending_request(ramp, 77), RejectionReason.IN_MAINTENANCE, None)
+    assert ramp.is_crowded(0) and ramp.ordering_queue(0) is ramp.shards[0].queue and not ramp.is_crowded(1)
+    assert ramp.window_bounds(0, 4.0) == (0.0, 1.0), "while it is away there is none"
+    ramp.node_ready(NOW, node())
+    assert ramp.window_bounds(0, 4.0) == (CROWDED_IN_FLIGHT / 2, CROWDED_LATENCY_SHARE)
+    assert ramp.window_bounds(0, 1.5) == (1.5, CROWDED_LATENCY_SHARE)
 
 
-def test_who_has_waited_long_for_a_shard_that_is_away_is_given_up() -> None:
-    one = recovery()
-    one.node_removed(NOW, 0, "gone")
+def test_a_shard_is_unavailable_for_long_after_four_objectives() -> None:
+    ramp = recovery()
+    ramp.node_removed(NOW, 0, "gone")
     aims = 4 * 400_000
-    assert not one.unavailable_for_long(NOW + aims, 0) and one.unavailable_for_long(NOW + aims + 1, 0)
-    one.node_ready(NOW + aims + 1, node())
-    assert not one.unavailable_for_long(NOW + 9 * aims, 0)
+    assert not ramp.unavailable_for_long(NOW + aims, 0) and ramp.unavailable_for_long(NOW + aims + 1, 0)
+    ramp.node_ready(NOW + aims + 1, node())
+    assert not ramp.unavailable_for_long(NOW + 9 * aims, 0)
 
 
-def test_a_client_that_left_without_an_answer_has_a_place_and_not_two() -> None:
-    one = recovery()
-    one.node_removed(NOW, 0, "gone")
-    asked = job(one)
-    one.client_disconnected(NOW, asked)
-    one.client_disconnected(NOW, asked)
-    assert one.shards[0].queue.ticket_count == 1
-    one.attempt_ended(NOW, asked, AttemptResult.SERVED)
-    assert one.shards[0].queue.ticket_count == 0 and not len(one.tickets)
+def test_a_client_that_disconnected_has_one_ticket() -> None:
+    ramp = recovery()
+    ramp.node_removed(NOW, 0, "gone")
+    pending = pending_request(ramp)
+    ramp.client_disconnected(NOW, pending)
+    ramp.client_disconnected(NOW, pending)
+    assert ramp.shards[0].queue.ticket_count == 1
+    ramp.attempt_ended(NOW, pending, AttemptResult.SERVED)
+    assert ramp.shards[0].queue.ticket_count == 0 and not len(ramp.tickets)
 
 
-# ---- times to come back ----
+# ---- Retry-After ----
 
 
-def test_times_are_level_over_what_is_allowed_and_no_two_gateways_are_in_step() -> None:
-    one, other = (RetrySchedule(random.Random(n), LONGEST) for n in (1, 2))
-    told = [one.choose(NOW, 100_000, LONGEST) for _ in range(200)]
+def test_retry_after_times_are_spread_evenly_and_differ_between_gateways() -> None:
+    ramp, other = (RetrySchedule(random.Random(n), LONGEST) for n in (1, 2))
+    told = [ramp.choose(NOW, 100_000, LONGEST) for _ in range(200)]
     assert all(100_000 <= wait <= LONGEST for wait in told)
     slots = Counter((NOW + wait) // (LONGEST // SLOTS) for wait in told)
     assert max(slots.values()) <= 2 * 200 / (SLOTS * 0.8) and len(slots) >= 45
     assert told != [other.choose(NOW, 100_000, LONGEST) for _ in range(200)]
 
 
-def test_a_time_with_another_reason_counts_and_old_turns_of_the_ring_do_not() -> None:
-    one = RetrySchedule(random.Random(1), LONGEST)
+def test_recorded_times_count_and_old_rounds_of_the_ring_do_not() -> None:
+    ramp = RetrySchedule(random.Random(1), LONGEST)
     width = LONGEST // SLOTS
     for _ in range(50):
-        one.record(NOW, 10 * width)
-    near = [one.choose(NOW, 8 * width, 13 * width) for _ in range(12)]
+        ramp.record(NOW, 10 * width)
+    near = [ramp.choose(NOW, 8 * width, 13 * width) for _ in range(12)]
     assert not any((NOW + wait) // width == (NOW + 10 * width) // width for wait in near)
     later = NOW + 2 * SLOTS * width * 3
-    assert one._count((later + 10 * width) // width) == 0
+    assert ramp._count((later + 10 * width) // width) == 0
 
 
-def test_a_place_that_is_near_is_told_as_it_is() -> None:
-    one = recovery()
-    jobs = away(one, ORDERING_TICKETS)
-    one.node_ready(NOW, node())
-    one.update_capacity(NOW, 0, node(), 1)
-    queue = one.shards[0].queue
-    ticket = one.tickets.find(jobs[-1].fingerprint)
+def test_a_client_whose_turn_is_near_is_told_it() -> None:
+    ramp = recovery()
+    requests = take_down(ramp, ORDERING_TICKETS)
+    ramp.node_ready(NOW, node())
+    ramp.update_capacity(NOW, 0, node(), 1)
+    queue = ramp.shards[0].queue
+    ticket = ramp.tickets.find(requests[-1].fingerprint)
     assert ticket is not None
     ticket.retry_at = NOW
     wait = queue.wait_us(ticket.tag)
     assert wait is not None
-    told = one.reject(NOW, job(one, ORDERING_TICKETS), "aim", node())
+    told = ramp.reject(NOW, pending_request(ramp, ORDERING_TICKETS), RejectionReason.OBJECTIVE_MISSED, node())
     assert told == wait if 5000 <= wait < LONGEST else told <= LONGEST
 
 
-def test_refusals_elsewhere_are_spread_and_nothing_is_remembered_of_them() -> None:
-    one = recovery()
-    waits = [one.reject(NOW, job(one, n), "aim", node()) for n in range(1, 50)]
+def test_rejections_at_a_shard_that_serves_are_spread_and_leave_no_ticket() -> None:
+    ramp = recovery()
+    waits = [
+        ramp.reject(NOW, pending_request(ramp, n), RejectionReason.OBJECTIVE_MISSED, node())
+        for n in range(1, 50)
+    ]
     assert all(0.8 * LONGEST <= wait <= LONGEST for wait in waits) and len(set(waits)) > 20
-    assert not len(one.tickets) and not one.shards
+    assert not len(ramp.tickets) and not ramp.shards
 
 
 # ---- memory ----
 
 
-def test_a_million_ids_cost_no_more_than_the_bound() -> None:
+def test_tickets_are_bounded_and_the_oldest_go() -> None:
     tickets = RetryTickets(1)
     gone = 0
     for mark in range(1_000_000):
@@ -386,83 +401,83 @@
     assert first is not None and first.fingerprint == 1_000_000 - MAX_TICKETS
 
 
-def test_a_ticket_that_goes_for_another_leaves_its_line() -> None:
-    one = recovery()
-    one.tickets.max_tickets = 10
-    away(one, 30)
-    assert one.shards[0].queue.ticket_count == len(one.tickets) == 10
-
-
-def test_who_does_not_come_loses_its_place_and_a_line_that_is_over_is_forgotten() -> None:
-    one = recovery()
-    away(one, 6)
-    one.node_ready(NOW, node())
-    one.end_control_period(NOW + SEC, {0: node()}, 1)
-    assert one.shards[0].queue.ticket_count == 6
-    one.end_control_period(NOW + 3 * SEC, {0: node()}, 1)
-    assert one.shards[0].queue.ticket_count == 0
-    one.end_control_period(NOW + LONGEST_RECOVERY_US + SEC, {0: node()}, 1)
-    assert not one.shards
-
-
-def test_a_storm_is_told_when_it_begins_at_its_height_and_when_it_ends() -> None:
-    one = recovery()
-    away(one, 4 * STORM_TICKETS)
-    events = [log.event for log in one.end_control_period(NOW + 1000, {0: None}, 1)]
-    for ticket in list(one.tickets)[: 3 * STORM_TICKETS]:
-        one._leave_queue(one.tickets.drop(ticket.fingerprint))
-    events += [log.event for log in one.end_control_period(NOW + 2000, {0: None}, 1)]
-    one.node_ready(NOW + 3000, node())
-    for ticket in list(one.tickets):
-        one._leave_queue(one.tickets.drop(ticket.fingerprint))
-    events += [log.event for log in one.end_control_period(NOW + 4000, {0: node()}, 1)]
+def test_a_ticket_dropped_for_another_leaves_its_queue() -> None:
+    ramp = recovery()
+    ramp.tickets.max_tickets = 10
+    take_down(ramp, 30)
+    assert ramp.shards[0].queue.ticket_count == len(ramp.tickets) == 10
+
+
+def test_overdue_tickets_are_dropped_and_a_recovered_shard_is_forgotten() -> None:
+    ramp = recovery()
+    take_down(ramp, 6)
+    ramp.node_ready(NOW, node())
+    ramp.end_control_period(NOW + SEC, {0: node()}, 1)
+    assert ramp.shards[0].queue.ticket_count == 6
+    ramp.end_control_period(NOW + 3 * SEC, {0: node()}, 1)
+    assert ramp.shards[0].queue.ticket_count == 0
+    ramp.end_control_period(NOW + LONGEST_RECOVERY_US + SEC, {0: node()}, 1)
+    assert not ramp.shards
+
+
+def test_a_retry_storm_is_logged_when_it_begins_past_its_peak_and_when_it_ends() -> None:
+    ramp = recovery()
+    take_down(ramp, 4 * STORM_TICKETS)
+    events = [log.event for log in ramp.end_control_period(NOW + 1000, {0: None}, 1)]
+    for ticket in list(ramp.tickets)[: 3 * STORM_TICKETS]:
+        ramp._leave_queue(ramp.tickets.drop(ticket.fingerprint))
+    events += [log.event for log in ramp.end_control_period(NOW + 2000, {0: None}, 1)]
+    ramp.node_ready(NOW + 3000, node())
+    for ticket in list(ramp.tickets):
+        ramp._leave_queue(ramp.tickets.drop(ticket.fingerprint))
+    events += [log.event for log in ramp.end_control_period(NOW + 4000, {0: node()}, 1)]
     assert events == ["storm_begins", "storm_height", "storm_ends"]
 
 
 class Tickets(RuleBasedStateMachine):
-    """Requests that come, are refused, served, go and come back, against plain counts."""
+    """Requests that are received, rejected, served, cancelled and retried, against plain counts."""
 
     @initialize()
     def begin(self) -> None:
-        self.one, self.now = recovery(), NOW
-        self.one.tickets.max_tickets = 12
-        self.one.node_removed(NOW, 0, "gone")
+        self.ramp, self.now = recovery(), NOW
+        self.ramp.tickets.max_tickets = 12
+        self.ramp.node_removed(NOW, 0, "gone")
 
     def come(self, number: int) -> PendingRequest:
-        given, asked = settings(), request(number)
+        given, pending = settings(), request(number)
         volume = VolumeBudget(given.plans[0], 1.0, NOW, 0.0, 0.0, limit_bucket=None)  # type: ignore[arg-type]
         made = PendingRequest(
             number, 0, given.classes[0], volume, 0, False, 1.0, self.now, 0, NOW + SEC, None, 3
         )
-        self.one.request_received(self.now, made, asked)
+        self.ramp.request_received(self.now, made, pending)
         return made
 
     @rule(number=st.integers(1, 30))
     def refused(self, number: int) -> None:
-        job = self.come(number)
-        wait = self.one.reject(self.now, job, "x", None)
-        self.one.left_queue(job)
+        pending_request = self.come(number)
+        wait = self.ramp.reject(self.now, pending_request, RejectionReason.OBJECTIVE_MISSED, None)
+        self.ramp.left_queue(pending_request)
         assert 0 < wait <= LONGEST
-        assert self.one.tickets.find(job.fingerprint) is not None or 0 not in self.one.shards
+        assert self.ramp.tickets.find(pending_request.fingerprint) is not None or 0 not in self.ramp.shards
 
     @rule(number=st.integers(1, 30))
     def served(self, number: int) -> None:
-        job = self.come(number)
-        self.one.left_queue(job)
-        self.one.attempt_ended(self.now, job, AttemptResult.SERVED)
-        if 0 in self.one.shards:
-            assert self.one.tickets.find(job.fingerprint) is None
+        pending_request = self.come(number)
+        self.ramp.left_queue(pending_request)
+        self.ramp.attempt_ended(self.now, pending_request, AttemptResult.SERVED)
+        if 0 in self.ramp.shards:
+            assert self.ramp.tickets.find(pending_request.fingerprint) is None
 
     @rule(number=st.integers(1, 30))
     def gone(self, number: int) -> None:
-        job = self.come(number)
-        self.one.left_queue(job)
-        self.one.client_disconnected(self.now, job)
+        pending_request = self.come(number)
+        self.ramp.left_queue(pending_request)
+        self.ramp.client_disconnected(self.now, pending_request)
 
     @rule(span=st.integers(1000, 900_000))
     def pass_time(self, span: int) -> None:
         self.now += span
-        self.one.end_control_period(self.now, {0: node() if self.up else None}, 1)
+        self.ramp.end_control_period(self.now, {0: node() if self.up else None}, 1)
 
     up = False
 
@@ -470,37 +485,37 @@
     @rule()
     def back(self) -> None:
         self.up = True
-        self.one.node_ready(self.now, node(started=self.now))
+        self.ramp.node_ready(self.now, node(started=self.now))
 
     @precondition(lambda self: self.up)
     @rule()
-    def away(self) -> None:
+    def take_down(self) -> None:
         self.up = False
-        self.one.node_removed(self.now, 0, "gone")
+        self.ramp.node_removed(self.now, 0, "gone")
 
-    @precondition(lambda self: self.up and 0 in self.one.shards and self.one.shards[0].queue.ticket_count)
+    @precondition(lambda self: self.up and 0 in self.ramp.shards and self.ramp.shards[0].queue.ticket_count)
     @rule()
     def moves(self) -> None:
-        """The line comes on while the node bears anything and nobody due waits."""
-        found = self.one.shards[0].queue
-        self.one.update_capacity(self.now, 0, node(), 1)
-        before = found.progress
-        self.one.update_capacity(self.now + SEC, 0, node(), 1)
+        """The queue advances while the node has capacity and no due retry waits."""
+        queue = self.ramp.shards[0].queue
+        self.ramp.update_capacity(self.now, 0, node(), 1)
+        before = queue.progress
+        self.ramp.update_capacity(self.now + SEC, 0, node(), 1)
         self.now += SEC
-        assert found.progress > before or found.due_units > 0
+        assert queue.progress > before or queue.due_units > 0
 
     @invariant()
     def counts_agree(self) -> None:
-        tickets = [ticket for ticket in self.one.tickets if ticket.flow is not None]
-        assert len(self.one.tickets) <= 12
-        recovering = self.one.shards.get(0)
+        tickets = [ticket for ticket in self.ramp.tickets if ticket.flow is not None]
+        assert len(self.ramp.tickets) <= 12
+        recovering = self.ramp.shards.get(0)
         if recovering is None:
             assert not tickets
             return
-        found = recovering.queue
-        assert found.ticket_count == len(tickets) == sum(lane.tickets for lane in found.flows.values())
-        assert abs(found.ticket_units - sum(ticket.units for ticket in tickets)) < 1e-6
-        assert found.due_units >= 0 and len({ticket.fingerprint for ticket in tickets}) == len(tickets)
+        queue = recovering.queue
+        assert queue.ticket_count == len(tickets) == sum(lane.tickets for lane in queue.flows.values())
+        assert abs(queue.ticket_units - sum(ticket.units for ticket in tickets)) < 1e-6
+        assert queue.due_units >= 0 and len({ticket.fingerprint for ticket in tickets}) == len(tickets)
 
 
 Tickets.TestCase.settings = hypothesis_settings(max_examples=50, stateful_step_count=25)
