--- a/gaugesail/coordination/bootstrap.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -2,8 +2,8 @@
 
 The first of the names is the founder.  Each replica without a fleet promises, in its store, to be founded
 by that founder's store and by no other; when all have, the founder writes down who they are, and from then on
-the voters are what the log says.  So no two fleets come of one set of stores, whatever arrives late or twice, or
-whoever starts under whose name.
+the voters are what the log says.  So no two fleets come of one set of stores, whatever arrives late or twice,
+or whoever starts under whose name.
 """
 
 from __future__ import annotations
--- a/gaugesail/coordination/store_fencing.py
+++ b/gaugesail/coordination/store_fencing.py
@@ -2,10 +2,10 @@
 
 A store that was restored from a backup has forgotten votes and entries that its replica had promised, and
 a replica that acts on it could help two leaders to one term.  So each replica tells the others its store's
-latest write now and then, and they keep the largest that they heard.  After a start it makes no promise before more
-than half of the others have said that they know of nothing later: any two such groups share one, which heard
-of the earlier process.  What was written in the second before a stop may be untold; a copy so young is not
-seen by this, but by its file (docs/fleet-agreement.md).
+latest write now and then, and they keep the largest that they heard.  After a start it makes no promise
+before more than half of the others have said that they know of nothing later: any two such groups share one,
+which heard of the earlier process.  What was written in the second before a stop may be untold; a copy so
+young is not seen by this, but by its file (docs/fleet-agreement.md).
 """
 
 from __future__ import annotations
