--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -22,13 +22,13 @@
 from .operations import Operations
 from .service import Service
 
-LIVE = {  # what may change while the head runs, or is for a start
+RELOADABLE_ENTRIES = {  # of a configuration: taken while the gateway runs, or only read at a start
     "discovery", "known", "seed", "settings", "conn_idle_us", "connect_timeout_us", "zones", "kinds", "raw",
 }  # fmt: skip
 
 
-class Head(Service):
-    """One head on the platform's protocol.  Embeddable: the reactor is passed in, nothing is global."""
+class PlatformGateway(Service):
+    """One gateway on the platform's protocol.  Embeddable: the reactor is passed in, nothing is global."""
 
     def __init__(
         self, reactor: Reactor, config: configuration.Config, log: Logger, clock: Clock | None = None
@@ -76,12 +76,14 @@
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
-    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
         """The list to start with: the predecessor's if it used the same discovery, or the configuration's."""
         # Another service may count its revisions from anywhere: the process before must have used the same.
-        same = told.get("discovery") == self.discovery.host
-        news: EndpointList = self.discovery.load_cached(told["list"] if same else self._config.known)
-        return news
+        same = handed_over.get("discovery") == self.discovery.host
+        endpoints: EndpointList = self.discovery.load_cached(
+            handed_over["list"] if same else self._config.known
+        )
+        return endpoints
 
     def offer_takeover(self) -> Takeover | None:
         """Add the latest list, and which discovery it came from."""
@@ -137,7 +139,7 @@
     def apply_configuration(self, config: configuration.Config) -> None:
         """Take the file whole or not at all."""
         configuration.check_shape(self._config.raw, config.raw)
-        self._warn_of_restart(self._config, config, LIVE)
+        self._warn_of_restart(self._config, config, RELOADABLE_ENTRIES)
         self._config = replace(config, limits=self._config.limits)
         self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
         self.discovery.change_names(config.zones, config.kinds)
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -90,7 +90,7 @@
         self._handover = handover
         self.is_successor = is_successor  # this process is the next one
         self.successor_serves = False  # the other process has said that it serves
-        self.received: deque[int] = deque()  # descriptors that came and nobody has taken yet
+        self.received_descriptors: deque[int] = deque()  # that nobody has taken yet
         self.unconfirmed: deque[int] = deque()  # descriptors of ours, until the other process has them
         self._buffer = bytearray()
 
@@ -100,13 +100,13 @@
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
         """Twisted: a descriptor has come, ahead of the message that says what it is."""
-        self.received.append(descriptor)
+        self.received_descriptors.append(descriptor)
 
     def take_descriptors(self, count: int) -> list[int]:
         """Descriptors that came with the latest message.  MalformedMessage where there are too few."""
-        if len(self.received) < count:
-            raise MalformedMessage(f"{count} descriptors are needed, {len(self.received)} came")
-        return [self.received.popleft() for _ in range(count)]
+        if len(self.received_descriptors) < count:
+            raise MalformedMessage(f"{count} descriptors are needed, {len(self.received_descriptors)} came")
+        return [self.received_descriptors.popleft() for _ in range(count)]
 
     def hand_over(self, descriptors: Sequence[int], message: HandoverMessage) -> None:
         """Send descriptors and what they are; ours are closed once the other process has them."""
@@ -140,13 +140,14 @@
                 self.link.abortConnection()
                 return
         if len(self._buffer) > MAX_LINE_BYTES:
+            self._handover.log.error("handover_message_malformed", error="a line is too long")
             self.link.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted: the connection has ended; descriptors that nobody took are closed."""
-        for descriptor in (*self.received, *self.unconfirmed):
+        for descriptor in (*self.received_descriptors, *self.unconfirmed):
             os.close(descriptor)
-        self.received.clear()
+        self.received_descriptors.clear()
         self.unconfirmed.clear()
         self._handover.disconnected(self)
 
@@ -334,10 +335,10 @@
                 self._owner.follow(message.call)
 
     def _take_over(self, connection: HandoverConnection, offer: TakeoverOffer) -> None:
-        if offer.version != VERSION or not connection.received or self._requested is None:
+        if offer.version != VERSION or not connection.received_descriptors or self._requested is None:
             raise MalformedMessage("not what this version can take over")
         self._owner.sibling_process(True)
-        takeover = Takeover(connection.received.popleft(), offer.state)
+        takeover = Takeover(connection.received_descriptors.popleft(), offer.state)
         if (requested := self._take_request()) is not None:
             requested.callback(takeover)
 
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -12,7 +12,7 @@
 from ..core.ports import Clock, Logger
 from ..net import Connection
 from ..operations import StateNotKnown
-from .management_calls import CallAnswer, FleetCall, ManagementCalls, Operations
+from .management_calls import CallAnswer, FleetCall, ManagementCalls, OperatorActions
 from .messages import BadMessage, Data, Head
 from .parser import Parser
 
@@ -97,7 +97,7 @@
 
     noisy = False
 
-    def __init__(self, operations: Operations, clock: Clock, log: Logger) -> None:
+    def __init__(self, operations: OperatorActions, clock: Clock, log: Logger) -> None:
         self.calls = ManagementCalls(operations)
         self.clock = clock
         self.log = log
--- a/gaugesail/http/management_calls.py
+++ b/gaugesail/http/management_calls.py
@@ -15,7 +15,7 @@
 FleetCall = Callable[[str, list[str]], tuple[int, str]]
 
 
-class Operations(Protocol):
+class OperatorActions(Protocol):
     """What can be asked of a running gateway."""
 
     @property
@@ -62,7 +62,7 @@
     too early.
     """
 
-    def __init__(self, operations: Operations) -> None:
+    def __init__(self, operations: OperatorActions) -> None:
         self._operations = operations
         self.fleet: FleetCall | None = None  # calls under /fleet, where the gateway is a member of one
 
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -28,7 +28,7 @@
 
     up = True
 
-    def __init__(self, head: IscsiHead) -> None:
+    def __init__(self, head: IscsiGateway) -> None:
         self._head = head
 
     def watch(self, on: bool) -> None:
@@ -43,7 +43,7 @@
         pass
 
 
-class IscsiHead(Service):
+class IscsiGateway(Service):
     """One head on the iSCSI-style wire: same engine, same module, same rules."""
 
     def __init__(self, reactor: Reactor, operator: Operator, log: Logger, clock: Clock | None = None) -> None:
--- a/gaugesail/lab/storm.py
+++ b/gaugesail/lab/storm.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from .. import config as configuration
-from ..app import Head
+from ..app import PlatformGateway
 from ..core.clock import ReactorClock
 from ..logs import make_logger
 from ..rehearsal import defaults
@@ -163,7 +163,7 @@
         read = configuration.read(config, {})
         if self.storm.baseline:
             read = replace(read, settings=replace(read.settings, recovery_queue=False))
-        head = Head(self.reactor, read, make_logger(self.log), clock)
+        head = PlatformGateway(self.reactor, read, make_logger(self.log), clock)
         gateway: Any = head.engine.policy.gateway
         handle = gateway.handle
 
--- a/gaugesail/operations.py
+++ b/gaugesail/operations.py
@@ -29,7 +29,7 @@
     def set(self, on: bool) -> None: ...
 
 
-class ClientServer(Protocol):
+class DrainableClients(Protocol):
     """The server of clients, as far as operators' calls concern it."""
 
     drain: Drain
@@ -47,7 +47,7 @@
     def __init__(
         self,
         engine: Engine,
-        clients: ClientServer,
+        clients: DrainableClients,
         file: StateFile,
         announce: Callable[[OperatorCall], None],
         log: Logger,
--- a/gaugesail/rehearsal/worlds.py
+++ b/gaugesail/rehearsal/worlds.py
@@ -19,10 +19,10 @@
 from twisted.python.failure import Failure
 
 from .. import config as configuration
-from ..app import Head
+from ..app import PlatformGateway
 from ..core.clock import ReactorClock, use_monotonic_time
 from ..http.endpoint_reader import split_address
-from ..iscsi.app import IscsiHead
+from ..iscsi.app import IscsiGateway
 from ..iscsi.operator import read_operator, write_toml
 from ..logs import make_logger
 from .memory import MemoryReactor, ProcessReactor
@@ -95,9 +95,9 @@
         log, own = make_logger(self.log), ProcessReactor(self.reactor)
         clock = self.clock(own)
         if wire == "iscsi":
-            made: Any = IscsiHead(own, read_operator(config, self._environ), log, clock)
+            made: Any = IscsiGateway(own, read_operator(config, self._environ), log, clock)
         else:
-            made = Head(own, configuration.read(config, self._environ), log, clock)
+            made = PlatformGateway(own, configuration.read(config, self._environ), log, clock)
         self.heads.append(made)
         made.stopped.addCallback(lambda _: daemon.saw("exit", "0"))
         made.stopped.addCallback(lambda _: self.reactor.callLater(0, own.end))
@@ -116,7 +116,7 @@
     def change(self, config: dict[str, Any]) -> None:
         """The file that the daemon was started with is another, and SIGHUP tells it so."""
         head, environ = self.heads[-1], self._environ
-        iscsi = isinstance(head, IscsiHead)
+        iscsi = isinstance(head, IscsiGateway)
         head.reload_from(
             lambda: read_operator(config, environ) if iscsi else configuration.read(config, environ)
         )
--- a/gaugesail/runner.py
+++ b/gaugesail/runner.py
@@ -13,13 +13,13 @@
 from twisted.logger import globalLogBeginner
 
 from . import config as configuration
-from .app import Head
+from .app import PlatformGateway
 from .core.clock import ReactorClock, boot_ns, use_monotonic_time
 from .core.ports import Logger
 from .service import Service
 
-BAD_CONFIGURATION = 2  # exit codes
-CANNOT_START = 1
+EXIT_BAD_CONFIGURATION = 2
+EXIT_CANNOT_START = 1
 TRACE_CHARACTERS = 2000  # of a traceback that is logged
 FLEET_OPTION = "--fleet"
 
@@ -28,7 +28,7 @@
     """Run a gateway until SIGTERM: by the platform's environment, or by an operator's file.
 
     ``--fleet FILE`` makes it a member of a fleet; without it nothing of that is imported, opened or started.
-    The exit code is 0, ``BAD_CONFIGURATION`` or ``CANNOT_START``.
+    The exit code is 0, ``EXIT_BAD_CONFIGURATION`` or ``EXIT_CANNOT_START``.
     """
     gateway: Service
     load: Callable[[], Any]
@@ -43,7 +43,7 @@
         gateway = _build(reactor, log, load, files, fleet_file)
     except ValueError as error:
         log.error("bad_configuration", error=str(error))
-        return BAD_CONFIGURATION
+        return EXIT_BAD_CONFIGURATION
     _log_uncaught_errors(log)
     return _run_until_stopped(reactor, log, gateway)
 
@@ -94,11 +94,11 @@
         member = FleetAgent(reactor, clock, load_fleet(fleet_file), log)
     gateway: Service
     if files:
-        from .iscsi.app import IscsiHead
+        from .iscsi.app import IscsiGateway
 
-        gateway = IscsiHead(reactor, load(), log, clock)
+        gateway = IscsiGateway(reactor, load(), log, clock)
     else:
-        gateway = Head(reactor, load(), log, clock)
+        gateway = PlatformGateway(reactor, load(), log, clock)
     gateway.fleet = member
     return gateway
 
@@ -121,7 +121,7 @@
 
     def cannot_start(failure: Any) -> None:  # an address in use, say: there is nothing to serve
         log.error("cannot_start", error=repr(failure.value))
-        exit_codes.append(CANNOT_START)
+        exit_codes.append(EXIT_CANNOT_START)
         reactor.stop()
 
     def start() -> None:
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -1,4 +1,4 @@
-"""The life of a head on any wire: start, service, a new configuration, an orderly stop."""
+"""The life of a gateway on any wire: start, service, a new configuration, an orderly stop."""
 
 from __future__ import annotations
 
@@ -20,25 +20,23 @@
 from .core.settings_transition import TRANSITION_US, transition_settings
 from .handover import Handover, Takeover, adopt_port
 from .http.management import ACCEPTS_PER_TURN, ManagementServer
-from .listening import ListeningPort, retry_while_in_use
+from .listening import ACCEPT_RETRY_US, ListeningPort, retry_while_in_use
 from .logs import LimitedLogger
 from .operations import Operations
 from .state import OperatorCall, StateFile
 
-STOP_ACCEPTING_AFTER_US = 450_000  # after SIGTERM: new connections come for up to 0.4 s
-STOP_ACCEPTING_BY_US = 1_500_000  # and later where they had to wait for a place
-ACCEPT_RETRY_US = 20_000
-CLOSE_IDLE_AFTER_US = 700_000  # after SIGTERM: until then, connections in use are kept
-SHORTEST_KILL_DELAY_US = 3_000_000  # SIGKILL comes the longest deadline after SIGTERM, and this at the least,
-ANSWER_THE_REST_AFTER_US = 500_000  # and 0.7 s more: by then all has its answer
-READ_ANSWERS_US = 150_000  # for the answers to be read: what is left then has nothing to wait for
-LIST_TIMEOUT_US, LIST_RETRY_US = (
-    3_000_000,
-    20_000,
-)  # how long a next process waits for its watch before it serves
+# Spans after SIGTERM.  SIGKILL follows 0.7 s after the longest deadline, 3.7 s after SIGTERM at the least.
+STOP_ACCEPTING_AFTER_US = 450_000  # clients still connect for up to 0.4 s
+STOP_ACCEPTING_BY_US = 1_500_000  # where connections had to wait in the kernel for a place
+CLOSE_IDLE_AFTER_US = 700_000  # until then connections in use are kept
+SHORTEST_KILL_DELAY_US = 3_000_000  # the least that counts as the longest deadline
+ANSWER_THE_REST_AFTER_US = 500_000  # after the longest deadline
+READ_ANSWERS_US = 150_000  # for clients to read those answers
+CONFIRM_RETRY_US = 20_000  # between two looks whether the successor has all descriptors
+LIST_TIMEOUT_US = 3_000_000  # how long a process waits for a fresh endpoint list before it serves
+LIST_RETRY_US = 20_000
 SWEEP_INTERVAL_US = 250_000
-CONFIRM_RETRY_US = 20_000
-SWEEPS_PER_REPORT = 40  # sweeps
+SWEEPS_PER_REPORT = 40
 LISTEN_BACKLOG = 512
 
 
@@ -67,7 +65,7 @@
 
 
 class Service:
-    """The life of a head on any wire: start, a sweep four times a second, an orderly stop."""
+    """The life of a gateway on any wire: start, a sweep four times a second, an orderly stop."""
 
     def __init__(
         self,
@@ -79,11 +77,12 @@
         memory_mb: int,
         folder: str | None,
     ) -> None:
-        self._reactor, self._listen = reactor, listen
+        self._reactor = reactor
+        self._listen = listen
         self._state = StateFile(folder, listen)
         self.clock = clock
         self._log = LimitedLogger(log, clock.now_us)
-        # A quarter of the memory for buffers: the interpreter and the books take about 30 MB.
+        # A quarter of the memory for buffers: the interpreter and the policy's records take about 30 MB.
         self._max_buffers = max(64, memory_mb * 1024 * 1024 // 4 // BUFFER_BYTES)
         self.buffers = BufferPool(self._max_buffers)
         self.engine: Engine
@@ -92,18 +91,21 @@
         self.discovery: Any
         self.operations: Operations
         self.stopped: Deferred[None] = Deferred()
-        self.address, self.management_address = listen, management
+        self.address = listen
+        self.management_address = management
         self._management: ManagementServer | None = None
         self._handover = Handover(reactor, clock, self._log, folder, listen, self)
         self._port: Any = None
         self._listener: ListeningPort
-        self._stopping, self._stopping_since, self._serve_by = False, 0, 0
+        self._stopping = False
+        self._stopping_since_us = 0
+        self._serve_by_us = 0
         self._replaced = False
         self._wanted: Settings  # what is in force, or will be when clients have left what was before
         self._sweeps = 0
         self._reported: Counter[str] = Counter()
         self.fleet: FleetMember | None = None
-        self.waits_for_list = False  # what it starts with may be older than what binds it
+        self.waits_for_list = False  # accept nothing before a fresh list: the cached one may miss drains
 
     # ---- start ----
 
@@ -148,14 +150,14 @@
         if takeover is None and not self.waits_for_list:
             self._serve()
         else:
-            self._serve_by = self.clock.now_us() + LIST_TIMEOUT_US
+            self._serve_by_us = self.clock.now_us() + LIST_TIMEOUT_US
             self._serve_when_listed()
 
     def _serve_when_listed(self) -> None:
         """What comes waits, or is left to the process before this one, until our list is fresh."""
         if self._stopping:
             return
-        if self.discovery.up or self.clock.now_us() >= self._serve_by:
+        if self.discovery.up or self.clock.now_us() >= self._serve_by_us:
             self._serve()
         else:
             self.clock.call_later(LIST_RETRY_US, self._serve_when_listed)
@@ -270,7 +272,8 @@
     def stop(self) -> Deferred[None]:
         """Finish in order: accept a while, serve a while, close what is idle, finish what was taken."""
         if not self._stopping:
-            self._stopping, self._stopping_since = True, self.clock.now_us()
+            self._stopping = True
+            self._stopping_since_us = self.clock.now_us()
             self.operations.stopping = True
             self._log.info("stopping", open=self.engine.open_requests, clients=self.front.connections)
             self.clock.call_later(STOP_ACCEPTING_AFTER_US, self._stop_accepting)
@@ -305,12 +308,12 @@
         if self._replaced or self._port is None:
             return  # the next process accepts
         # What came in time but waits in the kernel, as all places were in use, must not be reset.
-        if self.front.held and self.clock.now_us() < self._stopping_since + STOP_ACCEPTING_BY_US:
+        if self.front.held and self.clock.now_us() < self._stopping_since_us + STOP_ACCEPTING_BY_US:
             self.clock.call_later(ACCEPT_RETRY_US, self._stop_accepting)
             return
         self._listener.accept_pending()
         waits = self.front.held or self._listener.short
-        if waits and self.clock.now_us() < self._stopping_since + STOP_ACCEPTING_BY_US:
+        if waits and self.clock.now_us() < self._stopping_since_us + STOP_ACCEPTING_BY_US:
             self.clock.call_later(
                 ACCEPT_RETRY_US, self._stop_accepting
             )  # more may wait than there were places
@@ -321,7 +324,7 @@
 
     def _close_idle(self) -> None:
         # Clients of a process that is replaced are in no hurry: each request that crosses a close costs one.
-        if self._replaced and self.clock.now_us() < self._stopping_since + MIGRATION_ENDS_US:
+        if self._replaced and self.clock.now_us() < self._stopping_since_us + MIGRATION_ENDS_US:
             self.clock.call_later(SWEEP_INTERVAL_US, self._close_idle)
             if self.front.connections:
                 return
@@ -332,9 +335,9 @@
     def _finished(self) -> None:
         if (
             self._handover.unconfirmed
-            and self.clock.now_us() < self._stopping_since + self.longest_deadline_us()
+            and self.clock.now_us() < self._stopping_since_us + self.longest_deadline_us()
         ):
-            self.clock.call_later(LIST_RETRY_US, self._finished)  # what was handed over must have arrived
+            self.clock.call_later(CONFIRM_RETRY_US, self._finished)  # what was handed over must have arrived
             return
         if self.stopped.called:
             return
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import Factory
 
 from gaugesail import config as configuration
-from gaugesail.app import Head
+from gaugesail.app import PlatformGateway
 from gaugesail.core.clock import ReactorClock
 from gaugesail.logs import make_logger
 from gaugesail.net import Connection
@@ -501,7 +501,9 @@
             self.head_reactor, lambda: round(self.memory.seconds() * 1e9), lambda: 1_700_000_000 * 10**9
         )
         self.log = io.StringIO()
-        self.head = Head(self.head_reactor, configuration.read(self.config, {}), make_logger(self.log), clock)
+        self.head = PlatformGateway(
+            self.head_reactor, configuration.read(self.config, {}), make_logger(self.log), clock
+        )
         if seed % 2:
             self.head.engine.policy.gateway.state.random = LatestDraw()
         self.head.start()
--- a/tests/iscsi/test_target_and_initiator.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gaugesail.http.management import MAX_CONNECTIONS as MAX_CALLS
-from gaugesail.iscsi.app import IscsiHead
+from gaugesail.iscsi.app import IscsiGateway
 from gaugesail.iscsi.operator import read_operator
 from gaugesail.logs import make_logger
 from gaugesail.net import unread
@@ -30,7 +30,7 @@
         config = operator_file(
             [self.node], {path.replace("__", "."): value for path, value in changes.items()}
         )
-        self.head = IscsiHead(self.reactor, read_operator(config, {}), make_logger(self.log), self.clock)
+        self.head = IscsiGateway(self.reactor, read_operator(config, {}), make_logger(self.log), self.clock)
         self.head.start()
         self.turn(3)
 
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -146,7 +146,7 @@
 
 def test_what_waits_to_be_accepted_is_taken_before_the_port_closes() -> None:
     head, port = play("client c1\nsend c1 get /_health\nexpect c1 200").head, Mock()
-    head._port, head._stopping_since, head.front.held = port, head.clock.now_us(), True
+    head._port, head._stopping_since_us, head.front.held = port, head.clock.now_us(), True
     head._listener = ListeningPort(port, head.clock, lambda: 1, lambda: True)
     head._stop_accepting()
     assert not port.mock_calls, "a place must come free first"
--- a/tests/support/live_head.py
+++ b/tests/support/live_head.py
@@ -21,7 +21,7 @@
 from twisted.python.failure import Failure
 
 from gaugesail import config as configuration
-from gaugesail.app import Head
+from gaugesail.app import PlatformGateway
 from gaugesail.core.clock import ReactorClock
 from gaugesail.http import node_pool
 from gaugesail.logs import make_logger
@@ -232,7 +232,9 @@
         }  # fmt: skip
         for path, value in changes.items():
             defaults.change(self.config, path.replace("__", "."), value)
-        self.head = Head(self.reactor, configuration.read(self.config, {}), make_logger(self.log), self.clock)
+        self.head = PlatformGateway(
+            self.reactor, configuration.read(self.config, {}), make_logger(self.log), self.clock
+        )
         self.stopped: list[float] = []
         self.head.stopped.addCallback(lambda _: self.stopped.append(self.now))
 
