--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -140,7 +140,6 @@
                 self.link.abortConnection()
                 return
         if len(self._buffer) > MAX_LINE_BYTES:
-            self._handover.log.error("handover_message_malformed", error="a line is too long")
             self.link.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
