--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -9,31 +9,27 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from . import messages as m
-from .bootstrap import Bootstrap, BootstrapRecord
-from .consensus import RaftNode, RaftWrite
 from .consensus_messages import ConsensusMessage
 from .demand_tracker import QuotaUsage
 from .fleet_terms import FleetTerms
 from .gateway_floor import HeadFloor
 from .lease_holder import LeaseHolder
-from .log_commands import LogEntry
+from .local_store import LocalStore
 from .member import MemberState
 from .membership import Membership
 from .messages import Message
-from .notices import Notice, NoticeField
+from .notices import Notice
 from .operator_views import JsonObject, lease_view, members_view
-from .outbox import Outbox
-from .persisted_state import PersistentState, StoredState, StoreWrite
+from .persisted_state import StoredState, StoreWrite
 from .quota_ledger import RateBurst
-from .raft_log import LogBroken, RaftLog, Snapshot
 from .replica import Replica, redirect
-from .replica_id import make_replica_id, name_of
+from .replica_host import ReplicaHost
+from .replica_id import name_of
 from .spending_rights import QuotaUpdate
-from .store_fencing import KnownStore, StoreFence
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,86 +68,49 @@
         now: int,
     ) -> None:
         self.terms = terms
-        self.terms_digest = terms_digest
         self.name = identity.name
         self.process = identity.process
-        self.is_replica = identity.name in terms.replicas and stored is not None
-        self.has_store = stored is not None
         self._rng = random.Random(seed)
-        self._started_at = now
-        self.persisted = stored.state if stored is not None else PersistentState("")
-        self._loaded_writes = self.persisted.writes
-        self._begin_life(identity)
-        self._make_parts(identity, now)
-        self._state_changed = self.has_store  # the start counts before anything is said
-        self._replaces_store = False
-        self._notices: list[Notice] = []
-        self._outbox = Outbox()
-        self._command_results: dict[int, m.OperatorCommandResult] = {}  # of this gateway's commands
-        self._last_command = 0
-        self._noted_once: set[str] = set()
-        self._replica_failed = False
-        if self.is_replica and stored is not None:
-            self._open_replica(now, stored.snapshot, stored.entries)
-        self.membership.join(terms.replicas)
-
-    def _begin_life(self, identity: GatewayIdentity) -> None:
-        persisted = self.persisted
-        persisted.starts += 1
-        persisted.process = identity.process
-        persisted.generation = max(identity.started_unix_ms, persisted.generation + 1)
-
-    def _make_parts(self, identity: GatewayIdentity, now: int) -> None:
-        persisted = self.persisted
-        terms = self.terms
-        digest = self.terms_digest
+        self._store = LocalStore(stored, identity.process, identity.started_unix_ms)
+        state = self._store.state
         self.membership = Membership(
-            identity.name, identity.address, identity.process, persisted.generation, self._rng, now
-        )
-        record = BootstrapRecord(persisted.fleet_id, persisted.voters, persisted.bound_to)
-        self.bootstrap = Bootstrap(identity.name, persisted.store_id, terms.replicas, digest, record)
-        known_stores = {store: KnownStore(*known) for store, known in persisted.known_stores.items()}
-        self.store_fence = StoreFence(known_stores, now)
-        self.replica: Replica | None = None
-        floor = HeadFloor(
-            persisted.floor_slot, persisted.floor_version, persisted.floor_limits, persisted.floor_fleet
+            identity.name, identity.address, identity.process, state.generation, self._rng, now
         )
+        self._host = ReplicaHost(terms, terms_digest, identity.name, self._store, self._rng, now)
+        self._outbox = self._host.outbox
+        self._notices = self._host.notices
+        floor = HeadFloor(state.floor_slot, state.floor_version, state.floor_limits, state.floor_fleet)
         self.lease_holder = LeaseHolder(
-            terms, digest, identity.process, persisted.store_id, floor, now, self._rng
+            terms, terms_digest, identity.process, state.store_id, floor, now, self._rng
         )
         self._persisted_floor = floor
-
-    def _open_replica(self, now: int, snapshot: Snapshot, entries: list[LogEntry]) -> None:
-        """Take up the log as it was persisted, if there is a fleet."""
-        record = self.bootstrap.record
-        if not record.fleet_id:
-            return
-        persisted = self.persisted
-        replica_id = make_replica_id(self.name, persisted.store_id)
-        if not snapshot.index and replica_id in record.voters:
-            snapshot = Snapshot(0, 0, record.voters, b"")
-        log = RaftLog(snapshot, entries)
-        raft = RaftNode(replica_id, self._rng, now, persisted.term, persisted.voted_for, log)
-        self.replica = Replica(self.terms, self.terms_digest, record.fleet_id, raft, self._started_at)
+        self._command_results: dict[int, m.OperatorCommandResult] = {}  # of this gateway's commands
+        self._last_command = 0
+        if self.is_replica and stored is not None:
+            self._host.open(now, stored.snapshot, stored.entries)
+        self.membership.join(terms.replicas)
 
     # ---- what holds ----
 
     @property
     def next_at(self) -> int:
         """When ``tick`` has something to do."""
-        times = [self.membership.next_at, self.lease_holder.next_at]
-        if self.is_replica:
-            times.append(self.store_fence.next_at)
-            if not self.is_voter:
-                times.append(self.bootstrap.next_at)
-        if self.replica is not None:
-            times.append(self.replica.next_at)
-        return min(times)
+        return min([self.membership.next_at, self.lease_holder.next_at, *self._host.due_times()])
+
+    @property
+    def has_store(self) -> bool:
+        """Whether there is a store that takes writes."""
+        return self._store.available
+
+    @property
+    def is_replica(self) -> bool:
+        """Whether this gateway may run a replica of the log."""
+        return self._host.enabled
 
     @property
-    def is_voter(self) -> bool:
-        """Whether this gateway's replica is one of the log's voters."""
-        return self.replica is not None and self.replica.is_voter
+    def replica(self) -> Replica | None:
+        """The replica; None if there is none, or no fleet yet."""
+        return self._host.replica
 
     @property
     def is_leader(self) -> bool:
@@ -165,16 +124,9 @@
             return name_of(self.replica.raft.leader)
         return self.lease_holder.leader
 
-    def _voters(self) -> tuple[str, ...]:
-        """The voters' replica ids, by the log or else by the bootstrap."""
-        replica = self.replica
-        if replica is not None and replica.raft.voters:
-            return replica.raft.voters
-        return self.bootstrap.record.voters
-
     def _likely_leaders(self) -> list[str]:
         """The replicas to ask for a lease, the likeliest leader first; one that seems gone comes last."""
-        names = sorted({name_of(voter) for voter in self._voters()} or self.terms.replicas)
+        names = sorted({name_of(voter) for voter in self._host.voters} or self.terms.replicas)
         states = {name: self.membership.state_of(name) or MemberState.ALIVE for name in names}
         return sorted(names, key=lambda name: (name != self.leader, states[name] >= MemberState.GONE, name))
 
@@ -221,7 +173,7 @@
 
     def trust_store(self, now: int) -> StepOutput:
         """Operators say that this store is the latest: it need not wait for others to confirm it."""
-        self.store_fence.trusted_by_operator = True
+        self._host.store_fence.trusted_by_operator = True
         return self.tick(now)
 
     # ---- steps ----
@@ -231,7 +183,7 @@
         self.membership.tick(now)
         if self.is_replica:
             self._maintain_replica(now)
-        self._run_raft(now, lambda raft: raft.tick(now))
+        self._host.run_raft(lambda raft: raft.tick(now))
         self.lease_holder.tick(now, self._likely_leaders())
         return self._finish(now)
 
@@ -249,11 +201,10 @@
             case m.OperatorCommandResult():
                 self._keep_result(message)
             case m.StoreMark() | m.StoreMarkVerdict() | m.BootstrapStatus() | m.BootstrapBind():
-                if self.is_replica:
-                    self._receive_for_replica(now, sender, message)
+                if self.is_replica and self._host.receive(sender, message):
+                    self._maintain_replica(now)
             case _:
-                if name_of(message.sender) == sender:
-                    self._receive_consensus(now, message)
+                self._receive_consensus(now, sender, message)
         return self._finish(now)
 
     def _receive_lease_request(self, now: int, sender: str, request: m.LeaseRequest) -> None:
@@ -271,106 +222,23 @@
         result = m.OperatorCommandResult(command.number, False, "this head is no keeper")
         self._outbox.send(sender, result)
 
-    def _receive_for_replica(
-        self,
-        now: int,
-        sender: str,
-        message: m.StoreMark | m.StoreMarkVerdict | m.BootstrapStatus | m.BootstrapBind,
-    ) -> None:
-        match message:
-            case m.StoreMark():
-                self._outbox.send(sender, self.store_fence.receive_mark(message))
-            case m.StoreMarkVerdict():
-                if message.store_id == self.persisted.store_id and message.process == self.process:
-                    self.store_fence.receive_verdict(sender, message)
-                    self._maintain_replica(now)
-            case m.BootstrapStatus() | m.BootstrapBind():
-                for receiver, response in self.bootstrap.receive(sender, message):
-                    self._outbox.send(receiver, response)
-                self._maintain_replica(now)
-
-    def _receive_consensus(self, now: int, message: ConsensusMessage) -> None:
-        self._run_raft(now, lambda raft: raft.receive(now, message))
-
-    def _run_raft(self, now: int, step: Callable[[RaftNode], None]) -> None:
-        if self.replica is None:
-            return
-        try:
-            step(self.replica.raft)
-        except LogBroken as error:
-            self._note("log_broken", why=str(error))
-            self._close_replica()
-
-    # ---- the replica's store and its place among the voters ----
+    def _receive_consensus(self, now: int, sender: str, message: ConsensusMessage) -> None:
+        if name_of(message.sender) == sender:
+            self._host.run_raft(lambda raft: raft.receive(now, message))
 
     def _maintain_replica(self, now: int) -> None:
-        """What follows from whether the store is the latest and the replica a voter."""
-        mark = self._store_mark()  # of the store as this step found it
-        if self.store_fence.stale:
-            self._replace_store(now)
-        record = self.bootstrap.record
-        if record.fleet_id and self.replica is None and not self._replica_failed:
-            self._open_replica(now, Snapshot(), [])
-            voters = ",".join(map(name_of, record.voters))
-            self._note("bootstrapped", fleet=record.fleet_id, voters=voters)
-        others = [name_of(voter) for voter in self._voters() if name_of(voter) != self.name]
-        may_vote = self.store_fence.may_vote(len(others))
-        self._set_may_vote(may_vote)
-        if self.store_fence.mark_is_due(now, may_vote):
-            for name in others:
-                self._outbox.send(name, mark)
-        for receiver, message in self.bootstrap.tick(now, self.is_voter):
-            self._outbox.send(receiver, message)
-        for name, why in self.bootstrap.conflicts.items():
-            self._note_once(f"{name} {why}", "replica_conflict", head=name, why=why)
-
-    def _store_mark(self) -> m.StoreMark:
-        persisted = self.persisted
-        return m.StoreMark(
-            persisted.store_id, persisted.starts, persisted.writes, self._loaded_writes, self.process
-        )
-
-    def _set_may_vote(self, may_vote: bool) -> None:
-        if self.replica is None:
-            return
-        if may_vote and not self.replica.raft.may_vote:
-            self._note("voting_enabled", replica=self.replica.raft.replica_id)
-        self.replica.raft.may_vote = may_vote
-        self.replica.add_applicants(self.bootstrap.take_applicants())
-
-    def _replace_store(self, now: int) -> None:
-        """This store is an old copy: a fresh one takes its place and applies to become a voter."""
-        old = self.persisted
-        self._note("store_outdated", store=old.store_id)
-        store_id = f"{self._rng.getrandbits(48):012x}"
-        self.persisted = PersistentState(
-            store_id,
-            starts=old.starts,
-            writes=old.writes,
-            process=old.process,
-            generation=old.generation,
-            fleet_id=self.bootstrap.record.fleet_id,
-            voters=self.bootstrap.record.voters,
-        )
-        self.bootstrap.replace_store(store_id)
-        self.store_fence.reset(now)
-        self.replica = None
-        self.lease_holder.replace_store(now, store_id)
-        self._persisted_floor = self.lease_holder.floor
-        self._state_changed = True
-        self._replaces_store = True
-
-    def _close_replica(self) -> None:
-        """A replica no longer: its store takes no more writes, or its log is broken."""
-        self.replica = None
-        self.is_replica = False
-        self._replica_failed = True
+        mark = self._store.mark()  # of the store as this step found it
+        if self._host.store_fence.stale:
+            store_id = self._host.replace_store(now)
+            self.lease_holder.replace_store(now, store_id)
+            self._persisted_floor = self.lease_holder.floor
+        self._host.maintain(now, mark)
 
     def store_failed(self, now: int, why: str) -> None:
         """The last write failed: nothing that it was for is done."""
-        self._note("store_failed", why=why)
-        self._close_replica()
-        self.has_store = False
+        self._notices.add("store_failed", why=why)
+        self._host.close()
+        self._store.available = False
         self.lease_holder.floor_not_persisted(self._persisted_floor)
 
     # ---- the end of a step ----
@@ -379,9 +247,9 @@
         if self.replica is not None:
             self.replica.process(now)
         for change in self.membership.take_changes():
-            self._note(f"member_{change.kind}", head=change.name, address=change.address)
+            self._notices.add(f"member_{change.kind}", head=change.name, address=change.address)
         if self.membership.name_taken:
-            self._note_once("name_taken", "name_taken", head=self.name)
+            self._notices.add_once("name_taken", "name_taken", head=self.name)
         output = StepOutput()
         output.write = self._take_write()
         output.quota = self.lease_holder.take_quota_update()
@@ -390,10 +258,9 @@
         output.messages += self.lease_holder.take_messages()
         output.messages += self.membership.take_messages()
         output.messages += self._outbox.take()
-        self._notices += self.lease_holder.notices
+        self._notices.extend(self.lease_holder.notices)
         self.lease_holder.notices.clear()
-        output.notices = self._notices
-        self._notices = []
+        output.notices = self._notices.take()
         return output
 
     def _collect_from_replica(self, replica: Replica, output: StepOutput) -> None:
@@ -402,66 +269,39 @@
                 self._keep_result(message)
             else:
                 output.messages.append((receiver, message))
-        self._notices += replica.notices
+        self._notices.extend(replica.notices)
         replica.notices.clear()
 
     def _take_write(self) -> StoreWrite | None:
         """Return what is to be persisted before anything else of this step is done."""
         if not self.has_store:
             return None
-        log_write = self.replica.raft.take_write() if self.replica is not None else None
-        if log_write is None and not self._take_state_changed():
+        raft = self.replica.raft if self.replica is not None else None
+        log_write = raft.take_write() if raft is not None else None
+        state_changed = self._take_state_changed()
+        if log_write is None and not state_changed:
             return None
-        self._take_state_changed()
-        self._update_persisted()
-        write = StoreWrite(self.persisted, replaces_store=self._replaces_store)
-        self._replaces_store = False
-        if log_write is not None:
-            _add_log(write, log_write)
-        return write
+        store = self._store
+        store.update_bootstrap(self._host.bootstrap.record)
+        store.update_known_stores(self._host.store_fence.known_stores)
+        self._persisted_floor = self.lease_holder.floor
+        store.update_floor(self._persisted_floor)
+        if raft is not None:
+            store.update_vote(raft)
+        return store.next_write(log_write)
 
     def _take_state_changed(self) -> bool:
         """Return whether anything beside the log has changed since the last call."""
-        changed = (
-            self._state_changed
-            or self.store_fence.unsaved
-            or self.bootstrap.unsaved
-            or self.lease_holder.floor_changed
-        )
-        self._state_changed = False
-        self.store_fence.unsaved = False
-        self.bootstrap.unsaved = False
+        changed = [
+            self._store.take_changed(),
+            self._host.store_fence.unsaved,
+            self._host.bootstrap.unsaved,
+            self.lease_holder.floor_changed,
+        ]
+        self._host.store_fence.unsaved = False
+        self._host.bootstrap.unsaved = False
         self.lease_holder.floor_changed = False
-        return changed
-
-    def _update_persisted(self) -> None:
-        persisted = self.persisted
-        record = self.bootstrap.record
-        floor = self.lease_holder.floor
-        persisted.writes += 1
-        persisted.fleet_id = record.fleet_id
-        persisted.voters = record.voters
-        persisted.bound_to = record.bound_to
-        persisted.known_stores = {
-            store: (known.starts, known.writes, known.process)
-            for store, known in self.store_fence.known_stores.items()
-        }
-        persisted.floor_slot = floor.slot
-        persisted.floor_version = floor.limits_version
-        persisted.floor_limits = floor.limits
-        persisted.floor_fleet = floor.fleet
-        self._persisted_floor = floor
-        if self.replica is not None:
-            persisted.term = self.replica.raft.term
-            persisted.voted_for = self.replica.raft.voted_for
-
-    def _note(self, event: str, **fields: NoticeField) -> None:
-        self._notices.append(Notice(event, fields))
-
-    def _note_once(self, key: str, event: str, **fields: NoticeField) -> None:
-        if key not in self._noted_once:
-            self._noted_once.add(key)
-            self._note(event, **fields)
+        return any(changed)
 
     # ---- what operators see ----
 
@@ -469,9 +309,9 @@
         """Return all members as this gateway sees them; times in seconds."""
         return {
             "head": self.name,
-            "fleet": self.bootstrap.record.fleet_id,
+            "fleet": self._host.bootstrap.record.fleet_id,
             "leader": self.leader,
-            "keepers": [name_of(voter) for voter in self._voters()],
+            "keepers": [name_of(voter) for voter in self._host.voters],
             "health": self.membership.local_health,
             "members": members_view(now, self.membership),
         }
@@ -486,9 +326,3 @@
             "own": lease_view(now, self.lease_holder),
         }
         return view | (self.replica.view(now) if self.replica is not None else {})
-
-
-def _add_log(write: StoreWrite, log_write: RaftWrite) -> None:
-    write.first_index = log_write.first_index
-    write.entries = log_write.entries
-    write.snapshot = log_write.snapshot
