--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -122,7 +122,7 @@
         for index, command in log.take_committed():
             done = self.ledger.apply(index, command)
             if self.lease_manager is not None:
-                self.lease_manager.entry_applied(now, index, command, done)
+                self.lease_manager.entry_applied(now, command, done)
             waiting = self._waiting.pop(index, None)
             if waiting is not None:
                 sender, number = waiting
