--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""Members: rumours in any order come to the same, a false death is refuted, a new life replaces the old."""
+"""Membership: updates in any order come to the same, a false suspicion is refuted, a restart replaces."""
 
 from __future__ import annotations
 
@@ -17,80 +17,80 @@
 SECOND = 1_000_000
 
 
-def head(name: str, process: int = 1, generation: int = 1, now: int = 0) -> Membership:
+def member(name: str, process: int = 1, generation: int = 1, now: int = 0) -> Membership:
     return Membership(name, f"{name}:1", process, generation, random.Random(name), now)
 
 
-def rumour(
+def update(
     name: str, state: MemberState, incarnation: int = 0, generation: int = 1, process: int = 9
 ) -> m.MemberUpdate:
     return m.MemberUpdate(name, f"{name}:1", generation, incarnation, state, process)
 
 
 class Fleet:
-    """Some heads in virtual time; what goes to the deaf, or comes from them, is lost."""
+    """Some members in virtual time; messages to and from those that are cut off are lost."""
 
     def __init__(self, count: int) -> None:
-        self.now, self.deaf = 0, set[str]()
-        self.all = {f"h{n}": head(f"h{n}", n + 1) for n in range(count)}
-        for one in self.all.values():
+        self.now, self.cut_off = 0, set[str]()
+        self.members = {f"h{n}": member(f"h{n}", n + 1) for n in range(count)}
+        for one in self.members.values():
             one.join(["h0"])
 
     def run(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
         while self.now < end:
             self.now += 20_000
-            for one in self.all.values():
+            for one in self.members.values():
                 one.tick(self.now)
-            self.talk()
+            self.deliver()
 
-    def talk(self) -> None:
+    def deliver(self) -> None:
         for _ in range(4):
-            for name, one in self.all.items():
+            for name, one in self.members.items():
                 for to, said in one.take_messages():
-                    if to in self.all and not {name, to} & self.deaf:
-                        self.all[to].receive(self.now, name, said)
+                    if to in self.members and not {name, to} & self.cut_off:
+                        self.members[to].receive(self.now, name, said)
 
 
-def test_all_learn_of_all_and_one_that_is_silent_is_gone_and_then_back() -> None:
+def test_all_members_learn_of_all_and_a_silent_one_is_gone_and_then_back() -> None:
     fleet = Fleet(6)
     fleet.run(4)
-    assert all(len(one) == 6 for one in fleet.all.values())
-    fleet.deaf = {"h3"}
+    assert all(len(one) == 6 for one in fleet.members.values())
+    fleet.cut_off = {"h3"}
     fleet.run(25)
-    assert fleet.all["h0"].state_of("h3") == MemberState.GONE
-    fleet.deaf = set()
+    assert fleet.members["h0"].state_of("h3") == MemberState.GONE
+    fleet.cut_off = set()
     fleet.run(20)
-    assert all(one.state_of("h3") == MemberState.ALIVE for one in fleet.all.values())
-    told = [change.kind for change in fleet.all["h0"].take_changes() if change.name == "h3"]
+    assert all(one.state_of("h3") == MemberState.ALIVE for one in fleet.members.values())
+    told = [change.kind for change in fleet.members["h0"].take_changes() if change.name == "h3"]
     assert told[:3] == ["join", "suspect", "gone"] and told[-1] in ("back", "refute")
 
 
-def test_a_head_refutes_what_is_said_of_it_by_a_larger_incarnation() -> None:
-    one = head("a", 5)
-    one.receive(10, "b", m.StateSync((rumour("a", MemberState.SUSPECT, 3, process=5),), False))
+def test_a_member_refutes_a_suspicion_by_a_larger_incarnation() -> None:
+    one = member("a", 5)
+    one.receive(10, "b", m.StateSync((update("a", MemberState.SUSPECT, 3, process=5),), False))
     assert one.own_update.incarnation == 4 and one.own_update.state == MemberState.ALIVE
     assert one.local_health > 0, "it was slow to answer"
 
 
-def test_a_new_life_takes_the_place_of_an_earlier_one_whose_clock_was_ahead() -> None:
-    one = head("a", 5, generation=10)
-    one.receive(10, "b", m.StateSync((rumour("a", MemberState.ALIVE, 0, generation=900, process=4),), False))
+def test_a_restarted_member_replaces_its_former_process_whose_clock_was_ahead() -> None:
+    one = member("a", 5, generation=10)
+    one.receive(10, "b", m.StateSync((update("a", MemberState.ALIVE, 0, generation=900, process=4),), False))
     assert one.own_update.generation == 901 and not one.name_taken
     one.receive(
-        900 * SECOND, "b", m.StateSync((rumour("a", MemberState.ALIVE, 0, generation=990, process=6),), False)
+        900 * SECOND, "b", m.StateSync((update("a", MemberState.ALIVE, 0, generation=990, process=6),), False)
     )
     assert one.name_taken, "long after its start that is another process under its name"
 
 
-def test_rumours_in_any_order_come_to_the_same() -> None:
+def test_updates_in_any_order_come_to_the_same() -> None:
     told = [
-        rumour("x", MemberState.ALIVE), rumour("x", MemberState.SUSPECT), rumour("x", MemberState.ALIVE, 1),
-        rumour("x", MemberState.GONE, 1), rumour("x", MemberState.ALIVE, 0, generation=2),
+        update("x", MemberState.ALIVE), update("x", MemberState.SUSPECT), update("x", MemberState.ALIVE, 1),
+        update("x", MemberState.GONE, 1), update("x", MemberState.ALIVE, 0, generation=2),
     ]  # fmt: skip
     digests = set()
     for order in permutations(told):
-        one = head("a")
+        one = member("a")
         for item in order:
             one.receive(10, "b", m.StateSync((item,), False))
         digests.add(one.digest())
@@ -98,10 +98,10 @@
     assert len(digests) == 1
 
 
-def test_a_head_that_did_not_run_accuses_nobody() -> None:
+def test_a_member_that_did_not_run_suspects_nobody() -> None:
     fleet = Fleet(3)
     fleet.run(4)
-    one = fleet.all["h0"]
+    one = fleet.members["h0"]
     one.take_changes()
     one.tick(fleet.now + 60 * SECOND)
     one.tick(fleet.now + 60 * SECOND + PERIOD_US // 2)
@@ -109,34 +109,34 @@
     assert one.local_health > 0
 
 
-def test_one_that_leaves_is_left_and_not_gone() -> None:
+def test_a_member_that_leaves_is_left_and_not_gone() -> None:
     fleet = Fleet(4)
     fleet.run(3)
-    fleet.all["h2"].leave(fleet.now)
-    fleet.talk()
+    fleet.members["h2"].leave(fleet.now)
+    fleet.deliver()
     fleet.run(3)
-    assert fleet.all["h0"].state_of("h2") == MemberState.LEFT
+    assert fleet.members["h0"].state_of("h2") == MemberState.LEFT
 
 
-class AnyRumours(RuleBasedStateMachine):
-    """One head hears anything of anybody; a plain oracle keeps the largest rumour of each."""
+class AnyUpdates(RuleBasedStateMachine):
+    """One member hears anything of any other; a plain oracle keeps the largest update of each."""
 
     @initialize()
     def begin(self) -> None:
-        self.one, self.now = head("a", 5), 0
+        self.one, self.now = member("a", 5), 0
         self.largest: dict[str, tuple[int, int, int]] = {}
         self.mine = rank(self.one.own_update)
 
     @rule(name=st.sampled_from("bcd"), state=st.sampled_from(list(MemberState)), generation=st.integers(1, 3),
           incarnation=st.integers(0, 3))  # fmt: skip
     def hear(self, name: str, state: MemberState, generation: int, incarnation: int) -> None:
-        said = rumour(name, state, incarnation, generation)
+        said = update(name, state, incarnation, generation)
         self.one.receive(self.now, "z", m.StateSync((said,), False))
         self.largest[name] = max(self.largest.get(name, (0, 0, 0)), rank(said))
 
     @rule(state=st.sampled_from(list(MemberState)), incarnation=st.integers(0, 9))
-    def slander(self, state: MemberState, incarnation: int) -> None:
-        self.one.receive(self.now, "z", m.StateSync((rumour("a", state, incarnation, process=5),), False))
+    def hear_of_itself(self, state: MemberState, incarnation: int) -> None:
+        self.one.receive(self.now, "z", m.StateSync((update("a", state, incarnation, process=5),), False))
 
     @rule(span=st.integers(0, 100_000))
     def pass_time(self, span: int) -> None:
@@ -147,7 +147,7 @@
                 self.largest[name] = max(self.largest[name], rank(member.update))
 
     @invariant()
-    def the_largest_holds_and_it_lives(self) -> None:
+    def the_largest_holds_and_it_is_alive(self) -> None:
         for name, largest in self.largest.items():
             member = dict(self.one).get(name)
             assert member is not None and rank(member.update) == largest
@@ -155,5 +155,5 @@
         self.mine = rank(self.one.own_update)
 
 
-AnyRumours.TestCase.settings = settings(max_examples=50, stateful_step_count=25)
-TestAnyRumours = AnyRumours.TestCase
+AnyUpdates.TestCase.settings = settings(max_examples=50, stateful_step_count=25)
+TestAnyUpdates = AnyUpdates.TestCase
