--- a/gaugesail/core/attempts.py
+++ b/gaugesail/core/attempts.py
@@ -84,7 +84,7 @@
 
     def _deny(self, action: StartAttempt, entry: OpenRequest | None, denial: Denial) -> None:
         """The attempt that is not made counts as one, unless another is in flight."""
-        self.activity.counts["moot_send"] += 1
+        self.activity.counts["attempts_denied"] += 1
         number = 0
         client_request_id = ""
         if entry is not None:
@@ -101,7 +101,7 @@
 
     def _send(self, entry: OpenRequest, attempt: Attempt) -> None:
         if entry.latest_result is not None:
-            self.activity.counts[f"again_after_{entry.latest_result.name.lower()}"] += 1
+            self.activity.counts[f"retried_after_{entry.latest_result.name.lower()}"] += 1
         self.table.add_attempt(entry, attempt)
         self.activity.counts["sent"] += 1
         node = attempt.node_id.decode(errors="replace")
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -193,7 +193,7 @@
             self._clock.call_later(0, lambda: reply.fail(FailureReason.ID_IN_USE))
             return False
         if len(self._open) >= self._max_open or self.closing:
-            self.counts["refused_at_door"] += 1
+            self.counts["rejected_at_limit"] += 1
             why = "ending" if self.closing else "too many open"
             self._activity.note(request.client_request_id, Step.NOT_ADMITTED, why)
             self._clock.call_later(0, lambda: reply.reject(request.settings.longest_retry_after_us))
--- a/gaugesail/core/policy_runner.py
+++ b/gaugesail/core/policy_runner.py
@@ -76,8 +76,8 @@
         try:
             return self.gateway.handle(self._clock.now_us(), events)
         except Exception as error:  # a fault of the policy must not end the gateway or lose requests
-            self._activity.log.error("module_raised", error=repr(error), events=len(events))
-            self._activity.counts["module_raised"] += 1
+            self._activity.log.error("policy_raised", error=repr(error), events=len(events))
+            self._activity.counts["policy_raised"] += 1
             return [FailRequest(event.request_id) for event in events if isinstance(event, RequestReceived)]
 
     def _carry_out_safely(self, action: Action) -> None:
--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -246,7 +246,7 @@
             return
         self._upload = None
         self._answered_early = True
-        self.owner.engine.counts["refused_coming"] += 1
+        self.owner.engine.counts["rejected_uploads"] += 1
         self.answer(503, b"refused", retry_after_us=self.owner.retry_after_us)
         self.resume()
 
--- a/gaugesail/rehearsal/fleet/heads.py
+++ b/gaugesail/rehearsal/fleet/heads.py
@@ -147,4 +147,4 @@
 
 
 def _bad(line: str) -> bool:
-    return any(word in line for word in ("fleet_raised", "module_raised", "callback_raised", "Traceback"))
+    return any(word in line for word in ("fleet_raised", "policy_raised", "callback_raised", "Traceback"))
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -172,7 +172,7 @@
 def test_a_module_that_raises_loses_no_request_and_not_the_head() -> None:
     rig = Rig()
     rig.take(WriteLog("raise"))
-    assert rig.answers == [("failed", "failed")] and rig.engine.counts["module_raised"] == 1
+    assert rig.answers == [("failed", "failed")] and rig.engine.counts["policy_raised"] == 1
     rig.take(RejectRequest(2), name="b")
     assert rig.answers[-1] == ("refused", 0)
 
