--- a/gaugesail/core/__init__.py
+++ b/gaugesail/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes; no wire is known here."""
+"""Requests, attempts and outcomes; it knows no wire."""
--- a/gaugesail/http/__init__.py
+++ b/gaugesail/http/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: clients, bricks and discovery over HTTP/1.1."""
+"""The platform's protocol: clients, nodes and discovery over HTTP/1.1."""
