--- a/gaugesail/core/__init__.py
+++ b/gaugesail/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes; it knows no wire."""
+"""The engine: requests, their attempts and their answers, on any wire."""
