--- a/gaugesail/core/attempts.py
+++ b/gaugesail/core/attempts.py
@@ -7,7 +7,6 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from gaugesail.policy.actions import CancelAttempt, StartAttempt
 from gaugesail.policy.events import AttemptEnded, AttemptResult, HealthCheckEnded
@@ -188,7 +187,7 @@
         attempt.answer_started = True
         self.table.reserve_id(attempt.client_request_id)
 
-    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: Any = None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: bytes = b"") -> None:
         """The one end of an attempt.  A second report of it is dropped, and so are its late bytes."""
         if attempt.ended:
             return
--- a/gaugesail/core/final_answers.py
+++ b/gaugesail/core/final_answers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from enum import Enum
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from .activity import Activity
 from .ports import BodySink, BodySource, FailureReason
@@ -30,8 +30,8 @@
         self._table = table
         self._activity = activity
 
-    def serve(self, entry: OpenRequest, answer: Any) -> None:
-        """Deliver a complete answer; what it is made of is between the wires."""
+    def serve(self, entry: OpenRequest, answer: bytes) -> None:
+        """Deliver a complete answer."""
         reply = entry.reply
         self._close(entry, "served")
         self._deliver(entry, AnswerKind.SERVED, lambda: reply.send_answer(answer))
--- a/gaugesail/core/ports.py
+++ b/gaugesail/core/ports.py
@@ -94,7 +94,7 @@
         """Begin an answer that is passed on while it comes; None where the client has gone."""
         ...
 
-    def send_answer(self, answer: Any) -> None:
+    def send_answer(self, answer: bytes) -> None:
         """Answer with what the node transport reported for the attempt."""
         ...
 
@@ -167,7 +167,7 @@
         """The answer is to be passed on while it comes; None where nobody receives it."""
         ...
 
-    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: Any = None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: bytes = b"") -> None:
         """The attempt has its result, and its answer where that is complete."""
         ...
 
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import connectionDone
@@ -60,7 +60,7 @@
         """It carries nothing any more; reported at least once."""
         ...
 
-    def finish(self, request: NodeRequest, result: AttemptResult, answer: Any = None) -> None:
+    def finish(self, request: NodeRequest, result: AttemptResult, answer: bytes = b"") -> None:
         """Report the result of what it carried."""
         ...
 
--- a/gaugesail/http/node_pool.py
+++ b/gaugesail/http/node_pool.py
@@ -206,7 +206,7 @@
             raise
         return connection
 
-    def finish(self, request: NodeRequest, result: AttemptResult, answer: Any = None) -> None:
+    def finish(self, request: NodeRequest, result: AttemptResult, answer: bytes = b"") -> None:
         """Report the result of a request, once."""
         if request.ended:
             return
