--- a/gaugesail/core/__init__.py
+++ b/gaugesail/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes; no wire is known here."""
+"""The engine: requests, their attempts and their answers, on any wire."""
--- a/gaugesail/core/attempts.py
+++ b/gaugesail/core/attempts.py
@@ -7,7 +7,6 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from gaugesail.policy.actions import CancelAttempt, StartAttempt
 from gaugesail.policy.events import AttemptEnded, AttemptResult, HealthCheckEnded
@@ -84,7 +83,7 @@
 
     def _deny(self, action: StartAttempt, entry: OpenRequest | None, denial: Denial) -> None:
         """The attempt that is not made counts as one, unless another is in flight."""
-        self.activity.counts["moot_send"] += 1
+        self.activity.counts["attempts_denied"] += 1
         number = 0
         client_request_id = ""
         if entry is not None:
@@ -101,7 +100,7 @@
 
     def _send(self, entry: OpenRequest, attempt: Attempt) -> None:
         if entry.latest_result is not None:
-            self.activity.counts[f"again_after_{entry.latest_result.name.lower()}"] += 1
+            self.activity.counts[f"retried_after_{entry.latest_result.name.lower()}"] += 1
         self.table.add_attempt(entry, attempt)
         self.activity.counts["sent"] += 1
         node = attempt.node_id.decode(errors="replace")
@@ -188,7 +187,7 @@
         attempt.answer_started = True
         self.table.reserve_id(attempt.client_request_id)
 
-    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: Any = None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: bytes = b"") -> None:
         """The one end of an attempt.  A second report of it is dropped, and so are its late bytes."""
         if attempt.ended:
             return
