--- a/gaugesail/coordination/operator_views.py
+++ b/gaugesail/coordination/operator_views.py
@@ -44,9 +44,10 @@
         "slot": holder.floor.slot,
         "refused": holder.refusal_reason,
         "floors": {plan: rate_burst_view(rate, burst) for plan, rate, burst in holder.floors()},
-        "parts": {held.quota_name: rate_burst_view(held.rate, held.burst)
-                  for held in holder.allocations.values()},
-    }  # fmt: skip
+        "parts": {
+            held.quota_name: rate_burst_view(held.rate, held.burst) for held in holder.allocations.values()
+        },
+    }
 
 
 def ledger_view(now: int, ledger: QuotaLedger, manager: LeaseManager | None) -> JsonObject:
@@ -63,9 +64,10 @@
             for number, slot in ledger.floor_slots.items()
         },
         "sessions": _sessions_view(now, ledger, manager),
-        "amounts": {quota_name: _quota_view(quota_name, ledger, manager)
-                    for quota_name in sorted(ledger.allocations)},
-    }  # fmt: skip
+        "amounts": {
+            quota_name: _quota_view(quota_name, ledger, manager) for quota_name in sorted(ledger.allocations)
+        },
+    }
 
 
 def _sessions_view(now: int, ledger: QuotaLedger, manager: LeaseManager | None) -> Sequence[JsonObject]:
