--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -26,6 +26,9 @@
 from gaugesail.coordination.fleet_terms import FleetTerms
 from gaugesail.coordination.gateway_floor import HeadFloor
 from gaugesail.coordination.lease_holder import LeaseHolder
+from gaugesail.coordination.limits_agreement import LimitsAgreement
+from gaugesail.coordination.proposed_commands import ProposedCommands
+from gaugesail.coordination.quota_allocator import QuotaAllocator
 from gaugesail.coordination.quota_ledger import RateBurst
 from gaugesail.coordination.raft_log import RaftLog, Snapshot
 from gaugesail.coordination.replica import Replica
@@ -90,11 +93,21 @@
 _read: msgspec.msgpack.Decoder[m.Message] = msgspec.msgpack.Decoder(m.Message)
 
 
+# Parts of a lease manager that refer to what their replica or their manager has: it counts there, once.
+SHARING = (LimitsAgreement, ProposedCommands, QuotaAllocator)
+SHARED_FIELDS = frozenset({"_ledger", "_leases", "_outbox", "_proposals", "_raft", "_terms"})
+
+
+def _own_state(part: Any) -> tuple[type, tuple[Any]]:
+    return dict, ({name: value for name, value in vars(part).items() if name not in SHARED_FIELDS},)
+
+
 def _key(room: Room) -> int:
     """The same for states that are the same, whichever of their parts are one object."""
     out = io.BytesIO()
     pickler = pickle.Pickler(out, 5)
     pickler.fast = True
+    pickler.dispatch_table = {owner: _own_state for owner in SHARING}
     pickler.dump(room)
     return hash(out.getvalue())
 
