--- a/gaugesail/core/deadlines.py
+++ b/gaugesail/core/deadlines.py
@@ -11,21 +11,21 @@
 LONGEST_DELAY_US = 10 * 60 * 1_000_000  # of one delayed call; a later deadline is waited for in several
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class PolicyTimer:
     """A timer that the policy has set; the policy gets its token back."""
 
     token: int
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class AttemptDeadline:
     """The end of the time that an attempt may take."""
 
     attempt: Attempt
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class RequestDeadline:
     """The last moment for a request's final answer."""
 
