--- a/tests/policy/test_gateway_properties.py
+++ b/tests/policy/test_gateway_properties.py
@@ -48,6 +48,12 @@
 )  # fmt: skip
 
 
+def listed_start(driver: Driver, number: int) -> int:
+    """The start of a node as the gateway was told last; 0: none."""
+    endpoint = driver.endpoints.get(gateway_driver.node_id(number))
+    return 0 if endpoint is None else endpoint.started_at
+
+
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
 @given(st.lists(STEP, min_size=30, max_size=90), st.booleans())
 def test_rules_hold_on_odd_days(steps: list[tuple], ask: bool) -> None:  # type: ignore[type-arg]
@@ -59,37 +65,34 @@
         retry_budget_share=0.1,
         ordered_key_pause_us=400_000,
     )
-    rig = Driver(site)
+    driver = Driver(site)
     for step in steps:
         match step:
             case ("ask", kind, shard, key, plan, units, tenths):
-                rig.ask(
+                driver.send_request(
                     kind,
                     shard,
-                    rig.given.classes[kind].deadline_us * tenths // 8,
+                    driver.settings.classes[kind].deadline_us * tenths // 8,
                     key=key,
                     plan_index=plan,
                     units=float(units),
                     volume_id=plan * 4 + key,
                     gateways_in_use=2.0,
                 )
-            case ("answer", which, result) if rig.out:
-                rig.answer(list(rig.out)[which % len(rig.out)], result)
+            case ("answer", which, result) if driver.in_flight:
+                driver.end_attempt(list(driver.in_flight)[which % len(driver.in_flight)], result)
             case ("wait", span):
-                rig.pass_time(span)
-            case ("gone", which) if rig.open:
-                rig.gone(list(rig.open)[which % len(rig.open)])
+                driver.pass_time(span)
+            case ("gone", which) if driver.open_requests:
+                driver.disconnect(list(driver.open_requests)[which % len(driver.open_requests)])
             case ("list", number, mode, fresh):
-                known = rig.modes.get(gateway_driver.node_id(number), (mode, 0, 0, 0))[3]
-                rig.list_nodes([(number, mode, rig.now if fresh else known)])
+                known = listed_start(driver, number)
+                driver.list_nodes([(number, mode, driver.now if fresh else known)])
             case ("whole", numbers):
-                listed = [
-                    (n, EndpointState.READY, rig.modes.get(gateway_driver.node_id(n), (0, 0, 0, 0))[3])
-                    for n in sorted(numbers)
-                ]
-                rig.list_nodes(listed, EndpointListKind.FULL)
+                listed = [(n, EndpointState.READY, listed_start(driver, n)) for n in sorted(numbers)]
+                driver.list_nodes(listed, EndpointListKind.FULL)
             case ("maintain", number, on):
-                rig.maintain(number, on)
+                driver.set_maintenance(number, on)
             case ("retune", first, most):
                 # Classes change places, effects and times; one is dropped and another added.
                 specs = site.classes[first:] + site.classes[:first]
@@ -99,11 +102,11 @@
                     idempotency=Idempotency.IDEMPOTENT,
                     latency_objective_us=90_000 * most,
                 )
-                rig.retune(replace(site, classes=(*specs[:2], more), max_attempts=most))
+                driver.change_settings(replace(site, classes=(*specs[:2], more), max_attempts=most))
             case ("failed",):
-                rig.feed(EndpointList(EndpointListKind.FAILED))
+                driver.feed(EndpointList(EndpointListKind.FAILED))
             case ("stale",):
-                rig.feed(
+                driver.feed(
                     ClientDisconnected(99_999),
                     TimerFired(77),
                     HealthCheckEnded(b"nobody", AttemptResult.TIMEOUT),
@@ -111,30 +114,35 @@
                     PeerMessageReceived(1, b"?"),
                 )
             case ("restart",):
-                lines = [(int(n[3]), m[0], m[3]) for n, m in rig.modes.items() if m[0] is EndpointState.READY]
-                away, rig = rig.away, Driver(site, 0, rig.now + 1000)
+                lines = [
+                    (int(node[3]), endpoint.state, endpoint.started_at)
+                    for node, endpoint in driver.endpoints.items()
+                    if endpoint.state is EndpointState.READY
+                ]
+                away, driver = driver.in_maintenance, Driver(site, 0, driver.now + 1000)
                 for node in away:
-                    rig.maintain(int(node[3]), True)
-                rig.list_nodes(lines, EndpointListKind.CACHED)
-        rig.pass_time(1000)
+                    driver.set_maintenance(int(node[3]), True)
+                driver.list_nodes(lines, EndpointListKind.CACHED)
+        driver.pass_time(1000)
     for _ in range(60):
-        rig.pass_time(SEC // 10)
-        for key in [k for k in rig.out if k[0] not in rig.open]:
-            rig.answer(key, AttemptResult.CANCELLED)
-    assert not rig.open, "rule 1: left without an answer"
+        driver.pass_time(SEC // 10)
+        for key in [k for k in driver.in_flight if k[0] not in driver.open_requests]:
+            driver.end_attempt(key, AttemptResult.CANCELLED)
+    assert not driver.open_requests, "rule 1: left without an answer"
 
 
 def test_same_events_same_actions() -> None:
     def play() -> list[list[Action]]:
-        rig, seen = Driver(gateway_driver.settings(subscribes_to_endpoints=True)), []
+        driver, seen = Driver(gateway_driver.settings(subscribes_to_endpoints=True)), []
         for turn in range(40):
-            rig.ask(turn % 3, turn % 2, key=turn % 4, volume_id=turn % 5, units=1.0 + turn % 3)
-            seen.append(rig.last)
-            rig.pass_time(9000)
-            if turn % 3 and rig.out:
+            driver.send_request(turn % 3, turn % 2, key=turn % 4, volume_id=turn % 5, units=1.0 + turn % 3)
+            seen.append(driver.last_actions)
+            driver.pass_time(9000)
+            if turn % 3 and driver.in_flight:
                 seen.append(
-                    rig.answer(
-                        next(iter(rig.out)), AttemptResult.ERROR if turn % 7 == 1 else AttemptResult.SERVED
+                    driver.end_attempt(
+                        next(iter(driver.in_flight)),
+                        AttemptResult.ERROR if turn % 7 == 1 else AttemptResult.SERVED,
                     )
                 )
         return seen
@@ -163,16 +171,16 @@
         classes=(RequestClass("only", aim, aim * 5),), plans=(Plan("only"),), gateway_count=gateways,
         overload_window_us=0, ordered_key_pause_us=0, retry_budget_window_us=0, max_attempts=2,
     )  # fmt: skip
-    rig = Driver(site, 0)
-    waits = rig.ask(shard=-1)
-    rig.pass_time(aim // 10)
-    rig.list_nodes([(n, EndpointState.READY, 0) for n in range(nodes)], EndpointListKind.FULL)
-    rig.pass_time(aim // 2)
-    assert any(send.request_id == waits for send in rig.sends), "a new object waits for the first node"
+    driver = Driver(site, 0)
+    waits = driver.send_request(shard=-1)
+    driver.pass_time(aim // 10)
+    driver.list_nodes([(n, EndpointState.READY, 0) for n in range(nodes)], EndpointListKind.FULL)
+    driver.pass_time(aim // 2)
+    assert any(send.request_id == waits for send in driver.started), "a new object waits for the first node"
     for number, result in turns:
-        rig.ask(shard=number % min(nodes, 8))
-        if rig.out:
-            rig.answer(list(rig.out)[number % len(rig.out)], result)
-        rig.pass_time(aim // 7)
-    rig.pass_time(aim * 6)
-    assert not rig.open
+        driver.send_request(shard=number % min(nodes, 8))
+        if driver.in_flight:
+            driver.end_attempt(list(driver.in_flight)[number % len(driver.in_flight)], result)
+        driver.pass_time(aim // 7)
+    driver.pass_time(aim * 6)
+    assert not driver.open_requests
--- a/tests/policy/test_short_deadlines.py
+++ b/tests/policy/test_short_deadlines.py
@@ -15,30 +15,30 @@
 
 def rigged(marks: bool) -> gateway_driver.Driver:
     given = gateway_driver.settings()
-    spec = replace(given.classes[0], latency_objective_us=SEC, deadline_us=15 * SEC)
-    rig = gateway_driver.Driver(
-        gateway_driver.settings(classes=(spec, *given.classes[1:]), clients_mark_retries=marks)
+    request_class = replace(given.classes[0], latency_objective_us=SEC, deadline_us=15 * SEC)
+    driver = gateway_driver.Driver(
+        gateway_driver.settings(classes=(request_class, *given.classes[1:]), clients_mark_retries=marks)
     )
-    rig.pass_time(3 * SEC)
-    return rig
+    driver.pass_time(3 * SEC)
+    return driver
 
 
 @pytest.mark.parametrize("marks", [True, False])
 def test_a_first_try_that_gives_up_early_has_its_whole_aim(marks: bool) -> None:
-    rig = rigged(marks)
-    asked = rig.ask(give_up=900_000)
-    assert [send.request_id for send in rig.sends] == [asked]
+    driver = rigged(marks)
+    asked = driver.send_request(deadline_after_us=900_000)
+    assert [send.request_id for send in driver.started] == [asked]
 
 
 def test_a_marked_repeat_whose_aim_is_over_is_refused_at_once() -> None:
-    rig = rigged(True)
-    asked = rig.ask(give_up=900_000, is_retry=True)
-    assert not rig.sends
-    assert asked not in rig.gateway.pending
+    driver = rigged(True)
+    asked = driver.send_request(deadline_after_us=900_000, is_retry=True)
+    assert not driver.started
+    assert asked not in driver.gateway.pending
 
 
-def ask(number: int, give_up: int, units: float = 1.0) -> RequestReceived:
-    return RequestReceived(number, 0, give_up, 0, units=units, volume_id=7, key=9)
+def ask(number: int, deadline_us: int, units: float = 1.0) -> RequestReceived:
+    return RequestReceived(number, 0, deadline_us, 0, units=units, volume_id=7, key=9)
 
 
 def test_where_clients_do_not_mark_a_repeat_is_what_was_asked_for_within_its_time() -> None:
@@ -59,12 +59,12 @@
 
 
 def test_what_was_served_is_asked_for_anew() -> None:
-    rig = rigged(False)
-    rig.ask(volume_id=7, key=9)
-    rig.pass_time(50_000)
-    rig.answer((1, 0))
-    again = rig.ask(give_up=900_000, volume_id=7, key=9)
-    assert [send.request_id for send in rig.sends if send.request_id == again] == [again]
+    driver = rigged(False)
+    driver.send_request(volume_id=7, key=9)
+    driver.pass_time(50_000)
+    driver.end_attempt((1, 0))
+    again = driver.send_request(deadline_after_us=900_000, volume_id=7, key=9)
+    assert [send.request_id for send in driver.started if send.request_id == again] == [again]
 
 
 def test_what_is_remembered_of_requests_is_bounded() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -176,6 +176,6 @@
         rig.list_nodes([(0, EndpointState.READY, rig.now - SEC)], EndpointListKind.CACHED)
         rig.pass_time(3 * SEC)
         for _ in range(5):
-            rig.ask(units=1.0)
+            rig.send_request(units=1.0)
             rig.pass_time(100_000)
-        assert bool(rig.sends) is not talk
+        assert bool(rig.started) is not talk
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -1,10 +1,13 @@
-"""A small stand-in for a gateway, with books of its own that check the seven rules."""
+"""Drives one gateway and checks each of its actions against the rules, by records of its own.
+
+The numbers of the rules are those of the operators' protocol.
+"""
 
 from __future__ import annotations
 
-import zlib
 from collections import defaultdict, deque
 from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import Any
 
 from gaugesail.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
@@ -25,34 +28,43 @@
 from gaugesail.policy.gateway import Gateway
 from gaugesail.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
+from . import slow_start_rule
+from .slow_start_rule import UnitsLog
+
 SEC = 1_000_000
-MAYBE_RAN = {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
-MAYBE_RUNS = {AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
+POSSIBLY_EXECUTED = {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
+POSSIBLY_RUNNING = {AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
+
+
+CLASSES = (
+    RequestClass("get", 200_000, 1_000_000, 2.0, 0.1),
+    RequestClass(
+        "add",
+        300_000,
+        1_500_000,
+        2.0,
+        0.1,
+        Idempotency.KEYED,
+        DeduplicationScope.SHARD,
+        1_200_000,
+        True,
+        True,
+    ),
+    RequestClass("once", 400_000, 2_000_000, 1.0, 0.1, Idempotency.NOT_IDEMPOTENT, ordered=True),
+)
+PLANS = (Plan("small", 8.0, 4.0), Plan("capped", 8.0, 4.0, 2.0, 1.5, 20.0, 24.0, 2.0))
 
 
 def node_id(number: int) -> bytes:
+    """The id of a node, by its number."""
     return bytes([10, 0, 0, number, 0, 80])
 
 
 def settings(**changes: Any) -> Settings:
+    """Settings with three classes and two plans, one of which has a limit, with changes."""
     given: dict[str, Any] = dict(
-        classes=(
-            RequestClass("get", 200_000, 1_000_000, 2.0, 0.1),
-            RequestClass(
-                "add",
-                300_000,
-                1_500_000,
-                2.0,
-                0.1,
-                Idempotency.KEYED,
-                DeduplicationScope.SHARD,
-                1_200_000,
-                True,
-                True,
-            ),
-            RequestClass("once", 400_000, 2_000_000, 1.0, 0.1, Idempotency.NOT_IDEMPOTENT, ordered=True),
-        ),
-        plans=(Plan("small", 8.0, 4.0), Plan("capped", 8.0, 4.0, 2.0, 1.5, 20.0, 24.0, 2.0)),
+        classes=CLASSES,
+        plans=PLANS,
         gateway_count=2,
         tick_us=1000,
         answer_slack_us=30_000,
@@ -77,229 +89,302 @@
     return Settings(**given)
 
 
+@dataclass
+class EndpointRecord:
+    """What the gateway was told last of a node; times in microseconds."""
+
+    state: EndpointState
+    changed_at: int
+    shard: int
+    started_at: int
+
+
 class Driver:
-    """Feeds one gateway and checks each action against the rules, by its own bookkeeping."""
-
-    def __init__(self, given: Settings, nodes: int = 2, now: int = 50 * SEC) -> None:
-        self.given, self.now, self.born = given, now, now
-        self.gateway = Gateway(given, 7, now)
-        self.timers: list[tuple[int, int]] = []
-        self.open: dict[int, RequestReceived] = {}
-        self.seen: dict[int, RequestReceived] = {}
-        self.out: dict[tuple[int, int], tuple[bytes, int]] = {}
-        self.tries: dict[int, int] = defaultdict(int)
+    """Feeds one gateway, and checks each of its actions against the rules."""
+
+    def __init__(self, settings: Settings, nodes: int = 2, now: int = 50 * SEC) -> None:
+        self.settings = settings
+        self.now = now
+        self.started_at = now
+        self.gateway = Gateway(settings, 7, now)
+        self.timers: list[tuple[int, int]] = []  # when, token
+        self.open_requests: dict[int, RequestReceived] = {}
+        self.received: dict[int, RequestReceived] = {}
+        self.in_flight: dict[tuple[int, int], tuple[bytes, int]] = {}  # request and attempt: node, sent at
+        self.attempts: dict[int, int] = defaultdict(int)
         self.answers: dict[int, Action] = {}
-        self.risky: dict[int, tuple[int, int]] = {}  # request: (sent at, shard)
-        self.modes: dict[bytes, tuple[EndpointState, int, int, int]] = {}  # mode, told at, shard, started
-        self.away: set[bytes] = set()  # in maintenance
-        self.order: dict[int, deque[int]] = defaultdict(deque)
-        self.rest: dict[int, tuple[int, int]] = {}  # key: (until, request that may go on)
-        self.took: list[int] = []
-        self.extra: list[int] = []
-        self.store: dict[int, tuple[float, int]] = {}
-        self.load: dict[bytes, list[tuple[int, float]]] = defaultdict(list)
-        self.worked: dict[bytes, list[tuple[int, float]]] = defaultdict(list)
-        self.sends: list[StartAttempt] = []
-        self.last: list[Action] = []
+        self.possibly_executed: dict[int, tuple[int, int]] = {}  # request: sent at, shard
+        self.endpoints: dict[bytes, EndpointRecord] = {}
+        self.in_maintenance: set[bytes] = set()
+        self.ordered_keys: dict[int, deque[int]] = defaultdict(deque)
+        self.paused_keys: dict[int, tuple[int, int]] = {}  # key: until, and the request that may go on
+        self.request_times: list[int] = []
+        self.retry_times: list[int] = []
+        self.buckets: dict[int, tuple[float, int]] = {}  # volume: units, filled at
+        self.sent_units: dict[bytes, UnitsLog] = defaultdict(UnitsLog)
+        self.served_units: dict[bytes, UnitsLog] = defaultdict(UnitsLog)
+        self.started: list[StartAttempt] = []
+        self.last_actions: list[Action] = []
         self.next_id = 1
         if nodes:
             self.list_nodes([(n, EndpointState.READY, 0) for n in range(nodes)], EndpointListKind.CACHED)
 
-    # -- events --
+    # ---- events ----
 
     def feed(self, *events: Event) -> list[Action]:
+        """Give the gateway a batch of events, and check its actions."""
         for event in events:
             if isinstance(event, RequestReceived):
-                self.open[event.request_id] = self.seen[event.request_id] = event
-                self.took.append(self.now)
-                if self.spec(event).ordered and event.key:
-                    self.order[event.key].append(event.request_id)
-        self.last = self.gateway.handle(self.now, list(events))
-        for action in self.last:
-            self.check(action)
-        return self.last
+                self._record_request(event)
+        self.last_actions = self.gateway.handle(self.now, list(events))
+        for action in self.last_actions:
+            self._check(action)
+        return self.last_actions
+
+    def _record_request(self, request: RequestReceived) -> None:
+        self.open_requests[request.request_id] = request
+        self.received[request.request_id] = request
+        self.request_times.append(self.now)
+        if self._is_ordered(request):
+            self.ordered_keys[request.key].append(request.request_id)
 
     def list_nodes(
         self,
         lines: Iterable[tuple[int, EndpointState, int]],
         kind: EndpointListKind = EndpointListKind.CHANGES,
     ) -> None:
+        """Give the gateway an endpoint list: the number, the state and the start of each node."""
         lines = list(lines)
-        named = {node_id(n) for n, _, _ in lines}
         if kind is not EndpointListKind.CHANGES:
-            for node, (mode, told, shard, started) in self.modes.items():
-                if node not in named and mode is EndpointState.READY:
-                    self.modes[node] = (EndpointState.GONE, self.now, shard, started)
-                elif node not in named:
-                    self.modes[node] = (mode, told, shard, started)
-        for n, mode, started in lines:
-            self.modes[node_id(n)] = (mode, self.now, n % 8, started)
-        self.feed(
-            EndpointList(kind, tuple(Endpoint(node_id(n), n % 8, mode, 0, 0, 1.0, s) for n, mode, s in lines))
-        )
-
-    def retune(self, given: Settings) -> None:
-        self.given = given
-        self.feed(SettingsChanged(given))
+            named = {node_id(number) for number, _, _ in lines}
+            for node, record in self.endpoints.items():
+                if node not in named and record.state is EndpointState.READY:
+                    record.state = EndpointState.GONE
+                    record.changed_at = self.now
+        endpoints = []
+        for number, state, started in lines:
+            shard = number % 8
+            self.endpoints[node_id(number)] = EndpointRecord(state, self.now, shard, started)
+            endpoints.append(Endpoint(node_id(number), shard, state, started_us=started))
+        self.feed(EndpointList(kind, tuple(endpoints)))
 
-    @staticmethod
-    def spec(request: RequestReceived) -> RequestClass:
-        """Its class by the settings that it was taken under."""
-        assert request.settings is not None
-        return request.settings.classes[request.class_index]
+    def change_settings(self, settings: Settings) -> None:
+        """Give the gateway other settings."""
+        self.settings = settings
+        self.feed(SettingsChanged(settings))
 
-    def maintain(self, number: int, on: bool) -> None:
+    def set_maintenance(self, number: int, on: bool) -> None:
+        """Take a node out of use, or put it back."""
         node = node_id(number)
-        if not on and node in self.away and node in self.modes:
-            mode, told, shard, _ = self.modes[node]
-            self.modes[node] = (mode, told, shard, self.now)  # it restarted, at the latest now
-        (self.away.add if on else self.away.discard)(node)
+        if not on and node in self.in_maintenance and node in self.endpoints:
+            self.endpoints[node].started_at = self.now  # it restarted, at the latest now
+        if on:
+            self.in_maintenance.add(node)
+        else:
+            self.in_maintenance.discard(node)
         self.feed(MaintenanceChanged(node, on))
 
-    def ask(self, kind: int = 0, shard: int = 0, give_up: int | None = None, **more: Any) -> int:
+    def send_request(
+        self, class_index: int = 0, shard: int = 0, deadline_after_us: int | None = None, **more: Any
+    ) -> int:
+        """Send a client's request, with the deadline of its class by default; its id."""
         number = self.next_id
         self.next_id += 1
-        limit = self.given.classes[kind].deadline_us if give_up is None else give_up
-        self.feed(RequestReceived(number, kind, self.now + limit, shard, settings=self.given, **more))
+        if deadline_after_us is None:
+            deadline_after_us = self.settings.classes[class_index].deadline_us
+        deadline_us = self.now + deadline_after_us
+        self.feed(RequestReceived(number, class_index, deadline_us, shard, settings=self.settings, **more))
         return number
 
-    def answer(self, key: tuple[int, int], result: AttemptResult = AttemptResult.SERVED) -> list[Action]:
-        node, sent = self.out.pop(key)
-        request = self.seen[key[0]]
-        final = result is AttemptResult.SERVED or key[0] not in self.open
+    def end_attempt(self, key: tuple[int, int], result: AttemptResult = AttemptResult.SERVED) -> list[Action]:
+        """End the attempt of a request: its id and the number of the attempt."""
+        node, sent_at = self.in_flight.pop(key)
+        number, attempt = key
+        request = self.received[number]
+        final = result is AttemptResult.SERVED or number not in self.open_requests
         if result is AttemptResult.SERVED:
-            self.worked[node].append((sent, request.units))
-        if result in MAYBE_RAN and key[0] not in self.risky:
-            self.risky[key[0]] = (sent, self.modes[node][2])
-        if result in MAYBE_RUNS and self.spec(request).ordered and request.key:
-            self.rest[request.key] = (self.now + self.given.ordered_key_pause_us, key[0])
+            self.served_units[node].add(sent_at, request.units)
+        if result in POSSIBLY_EXECUTED and number not in self.possibly_executed:
+            self.possibly_executed[number] = (sent_at, self.endpoints[node].shard)
+        if result in POSSIBLY_RUNNING and self._is_ordered(request):
+            self.paused_keys[request.key] = (self.now + self.settings.ordered_key_pause_us, number)
         if final:
-            self.finish(key[0])
-        return self.feed(AttemptEnded(key[0], key[1], node, result, self.now - sent, final))
+            self._finish(number)
+        return self.feed(AttemptEnded(number, attempt, node, result, self.now - sent_at, final))
 
-    def gone(self, number: int) -> None:
-        self.finish(number)
+    def disconnect(self, number: int) -> None:
+        """The client of a request leaves."""
+        self._finish(number)
         self.feed(ClientDisconnected(number))
 
     def pass_time(self, span: int) -> None:
+        """Let microseconds pass; timers fire, and attempts time out with the deadlines of their clients."""
         end = self.now + span
         while True:
-            due = min((at for at, _ in self.timers), default=end)
-            late = min((self.open[n].deadline_us for n, _ in self.out if n in self.open), default=end)
-            at = min(due, late)
+            timer_at = min((at for at, _ in self.timers), default=end)
+            deadline_at = min((self._deadline_of(key) for key in self._open_attempts()), default=end)
+            at = min(timer_at, deadline_at)
             if at > end:
                 break
             self.now = max(self.now, at)
-            ringing = [t for t in self.timers if t[0] <= self.now]
-            expired = [k for k in self.out if k[0] in self.open and self.open[k[0]].deadline_us <= self.now]
-            if not ringing and not expired:
+            if not self._fire_due():
                 break
-            self.timers = [t for t in self.timers if t[0] > self.now]
-            for key in expired:
-                self.answer(key, AttemptResult.TIMEOUT)
-            self.feed(*(TimerFired(token) for _, token in ringing))
         self.now = end
-        for number, request in self.open.items():
-            assert self.now <= request.deadline_us + self.given.answer_slack_us, f"request {number} overdue"
+        for number, request in self.open_requests.items():
+            assert self.now <= request.deadline_us + self.settings.answer_slack_us, (
+                f"request {number} overdue"
+            )
+
+    def _open_attempts(self) -> list[tuple[int, int]]:
+        return [key for key in self.in_flight if key[0] in self.open_requests]
 
-    # -- rules --
+    def _deadline_of(self, key: tuple[int, int]) -> int:
+        return self.open_requests[key[0]].deadline_us
 
-    def finish(self, number: int) -> None:
-        self.open.pop(number, None)
-        request = self.seen[number]
-        if self.spec(request).ordered and request.key:
-            queue = self.order[request.key]
-            if number in queue:
-                queue.remove(number)
+    def _fire_due(self) -> bool:
+        """Fire the timers and the deadlines that are due; whether there were any."""
+        due = [token for at, token in self.timers if at <= self.now]
+        expired = [key for key in self._open_attempts() if self._deadline_of(key) <= self.now]
+        if not due and not expired:
+            return False
+        self.timers = [timer for timer in self.timers if timer[0] > self.now]
+        for key in expired:
+            self.end_attempt(key, AttemptResult.TIMEOUT)
+        self.feed(*(TimerFired(token) for token in due))
+        return True
 
-    def check(self, action: Action) -> None:
+    # ---- records ----
+
+    @staticmethod
+    def class_of(request: RequestReceived) -> RequestClass:
+        """The class of a request, by the settings that it was received under."""
+        assert request.settings is not None
+        return request.settings.classes[request.class_index]
+
+    def _is_ordered(self, request: RequestReceived) -> bool:
+        return bool(self.class_of(request).ordered and request.key)
+
+    def _finish(self, number: int) -> None:
+        self.open_requests.pop(number, None)
+        request = self.received[number]
+        if self._is_ordered(request) and number in self.ordered_keys[request.key]:
+            self.ordered_keys[request.key].remove(number)
+
+    # ---- rules ----
+
+    def _check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert action.at_us > self.now
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, StartAttempt):
-            self.check_send(action)
+            self._check_attempt(action)
         elif isinstance(action, (RejectRequest, FailRequest)):
-            number = action.request_id
-            assert number in self.open, "rule 1: answered twice, or not ours"
-            spec = self.spec(self.seen[number])
-            if isinstance(action, RejectRequest) and spec.idempotency is not Idempotency.IDEMPOTENT:
-                risk = number in self.risky or any(k[0] == number for k in self.out)
-                free = (
-                    spec.idempotency is Idempotency.KEYED
-                    and spec.deduplication_scope is DeduplicationScope.ALL
-                )
-                assert free or not risk, "rule 2: refused what may have run"
-            self.answers[number] = action
-            self.finish(number)
-
-    def check_send(self, action: StartAttempt) -> None:
-        number, request = action.request_id, self.seen[action.request_id]
-        assert request.settings is not None
-        spec, plan = self.spec(request), request.settings.plans[request.plan_index]
-        assert self.tries[number] < request.settings.max_attempts, "more attempts than it was taken under"
-        assert number in self.open, "rule 1: sent after its end"
-        mode, told, shard, started = self.modes[action.node_id]
-        late = self.now > told + self.given.drain_grace_us
-        assert mode is EndpointState.READY or not late, "rule 3: sent to a drained node"
-        assert action.node_id not in self.away, "sent to a node in maintenance"
-        assert request.shard < 0 or request.shard == shard, "sent to another shard"
-        assert not any(k[0] == number for k in self.out), "two attempts at once"
-        if number in self.risky:
-            sent, first = self.risky[number]
-            assert spec.idempotency is not Idempotency.NOT_IDEMPOTENT, "rule 2: unsafe sent again"
-            if spec.idempotency is Idempotency.KEYED:
-                assert self.now <= sent + spec.deduplication_window_us, "rule 2: sent after the window"
-                assert spec.deduplication_scope is not DeduplicationScope.SHARD or shard == first, (
-                    "rule 2: sent out of its group"
-                )
-        if spec.ordered and request.key:
-            queue = self.order[request.key]
-            assert queue[0] == number, "rule 5: out of turn"
-            for other, _ in self.out:
-                taken = self.seen[other]
-                ordered = self.spec(taken).ordered and taken.key == request.key
-                assert not ordered, "rule 5: an earlier attempt is out"
-            until, own = self.rest.get(request.key, (0, number))
-            assert self.now >= until or own == number, "rule 5: the key rests"
-        if self.tries[number]:
-            self.extra.append(self.now)
-            if span := self.given.retry_budget_window_us:
-                more = sum(at >= self.now - span for at in self.extra)
-                base = sum(at > self.now - span for at in self.took)
-                allowed = self.given.retry_budget_free + self.given.retry_budget_share * base
-                assert more <= allowed, "rule 6: over budget"
-        elif plan.limit:
-            # An earlier life of this gateway may have spent all of its part.
-            store, at = self.store.get(request.volume_id, (0.0, self.born))
-            part = 1 / request.gateways_in_use
-            filled = min(plan.limit_burst * part, store + (self.now - at) / SEC * plan.limit * part)
-            self.store[request.volume_id] = (filled - request.units, self.now)
-            assert filled - request.units >= -plan.limit_slack * part - 1e-6, "rule 7: over the limit"
-        if self.given.overload_window_us and started and self.now < started + self.given.warm_up_us:
-            self.load[action.node_id].append((self.now, request.units))
-            sent_units = sum(
-                u for at, u in self.load[action.node_id] if at >= self.now - self.given.overload_window_us
-            )
-            new = self.now - self.born <= self.given.overload_window_us
-            assert not (new and started <= self.born), "rule 4: an earlier life may have spent it"
-            low, age = self.given.initial_capacity_share, max(0, self.now - started) / self.given.warm_up_us
-            part = (
-                self.given.initial_capacity_units / self.given.gateway_count * (low + (1 - low) * age) / low
+            self._check_answer(action)
+
+    def _check_answer(self, action: RejectRequest | FailRequest) -> None:
+        number = action.request_id
+        assert number in self.open_requests, "rule 1: answered twice, or not ours"
+        request_class = self.class_of(self.received[number])
+        if isinstance(action, RejectRequest) and request_class.idempotency is not Idempotency.IDEMPOTENT:
+            in_flight = any(key[0] == number for key in self.in_flight)
+            deduplicated = (
+                request_class.idempotency is Idempotency.KEYED
+                and request_class.deduplication_scope is DeduplicationScope.ALL
             )
-            idle = sent_units - sum(
-                u for at, u in self.worked[action.node_id] if at >= self.now - self.given.overload_window_us
+            assert deduplicated or not (number in self.possibly_executed or in_flight), (
+                "rule 2: rejected what was possibly executed"
             )
-            spare = part * (1 - 1 / self.given.overload_factor)
-            kept = sent_units <= part + 1e-6 or idle <= spare + 1e-6
-            root = (self.given.initial_capacity_units / self.given.mean_request_units) ** 0.5 + 1
-            quantum = min(2.0, root) * self.given.mean_request_units
-            if not self.given.peer_messages_allowed and spare < quantum:  # docs/fleet.md, "The ramp"
-                pace = root * self.given.mean_request_units / quantum / self.given.overload_window_us
-                place = (
-                    self.given.gateway_index + zlib.crc32(action.node_id) - self.now * pace
-                ) % self.given.gateway_count
-                kept = place < spare * self.given.gateway_count / quantum and idle <= quantum + 1e-6
-            assert kept, "rule 4: a cold node gets more than it bears beyond what it serves"
-        self.out[(number, self.tries[number])] = (action.node_id, self.now)
-        self.tries[number] += 1
-        self.sends.append(action)
+        self.answers[number] = action
+        self._finish(number)
+
+    def _check_attempt(self, action: StartAttempt) -> None:
+        number = action.request_id
+        request = self.received[number]
+        settings = request.settings
+        assert settings is not None
+        assert self.attempts[number] < settings.max_attempts, "more attempts than it was received under"
+        assert number in self.open_requests, "rule 1: sent after its end"
+        assert not any(key[0] == number for key in self.in_flight), "two attempts at once"
+        self._check_node(action.node_id, request)
+        self._check_repeat(request, self.endpoints[action.node_id].shard)
+        self._check_order(request)
+        if self.attempts[number]:
+            self._check_retry_budget()
+        else:
+            self._check_rate_limit(request, settings.plans[request.plan_index])
+        self._check_slow_start(action.node_id, request)
+        self.in_flight[(number, self.attempts[number])] = (action.node_id, self.now)
+        self.attempts[number] += 1
+        self.started.append(action)
+
+    def _check_node(self, node: bytes, request: RequestReceived) -> None:
+        endpoint = self.endpoints[node]
+        drained = self.now > endpoint.changed_at + self.settings.drain_grace_us
+        assert endpoint.state is EndpointState.READY or not drained, "rule 3: sent to a drained node"
+        assert node not in self.in_maintenance, "sent to a node in maintenance"
+        assert request.shard < 0 or request.shard == endpoint.shard, "sent to another shard"
+
+    def _check_repeat(self, request: RequestReceived, shard: int) -> None:
+        if request.request_id not in self.possibly_executed:
+            return
+        sent_at, first_shard = self.possibly_executed[request.request_id]
+        request_class = self.class_of(request)
+        assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, "rule 2: unsafe sent again"
+        if request_class.idempotency is Idempotency.KEYED:
+            window_end = sent_at + request_class.deduplication_window_us
+            assert self.now <= window_end, "rule 2: sent after the window"
+            by_shard = request_class.deduplication_scope is DeduplicationScope.SHARD
+            assert not by_shard or shard == first_shard, "rule 2: sent out of its deduplication scope"
+
+    def _check_order(self, request: RequestReceived) -> None:
+        if not self._is_ordered(request):
+            return
+        number = request.request_id
+        assert self.ordered_keys[request.key][0] == number, "rule 5: out of turn"
+        for other_number, _ in self.in_flight:
+            other = self.received[other_number]
+            same_key = self._is_ordered(other) and other.key == request.key
+            assert not same_key, "rule 5: an earlier attempt is in flight"
+        until, exempt = self.paused_keys.get(request.key, (0, number))
+        assert self.now >= until or exempt == number, "rule 5: the key is paused"
+
+    def _check_retry_budget(self) -> None:
+        self.retry_times.append(self.now)
+        window_us = self.settings.retry_budget_window_us
+        if window_us:
+            retries = sum(at >= self.now - window_us for at in self.retry_times)
+            requests = sum(at > self.now - window_us for at in self.request_times)
+            allowed = self.settings.retry_budget_free + self.settings.retry_budget_share * requests
+            assert retries <= allowed, "rule 6: over budget"
+
+    def _check_rate_limit(self, request: RequestReceived, plan: Plan) -> None:
+        if not plan.limit:
+            return
+        # It begins empty: an earlier process of this gateway may have spent its part.
+        units, filled_at = self.buckets.get(request.volume_id, (0.0, self.started_at))
+        part = 1 / request.gateways_in_use
+        filled = min(plan.limit_burst * part, units + (self.now - filled_at) / SEC * plan.limit * part)
+        self.buckets[request.volume_id] = (filled - request.units, self.now)
+        assert filled - request.units >= -plan.limit_slack * part - 1e-6, "rule 7: over the limit"
+
+    def _check_slow_start(self, node: bytes, request: RequestReceived) -> None:
+        settings = self.settings
+        started_at = self.endpoints[node].started_at
+        if not settings.overload_window_us or not started_at:
+            return
+        if self.now >= started_at + settings.warm_up_us:
+            return
+        self.sent_units[node].add(self.now, request.units)
+        window_start = self.now - settings.overload_window_us
+        is_new = self.now - self.started_at <= settings.overload_window_us
+        assert not (is_new and started_at <= self.started_at), "rule 4: an earlier process may have spent it"
+        sent_units = self.sent_units[node].since(window_start)
+        unserved = sent_units - self.served_units[node].since(window_start)
+        part = slow_start_rule.units_allowed(settings, self.now - started_at)
+        spare = part * (1 - 1 / settings.overload_factor)
+        kept = sent_units <= part + 1e-6 or unserved <= spare + 1e-6
+        quantum = slow_start_rule.quantum(settings)
+        if not settings.peer_messages_allowed and spare < quantum:  # docs/fleet.md, "The ramp"
+            has_turn = slow_start_rule.has_turn(settings, node, self.now, spare)
+            kept = has_turn and unserved <= quantum + 1e-6
+        assert kept, "rule 4: a node that warms up gets more than it bears beyond what it serves"
