--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -12,21 +12,23 @@
 from .core.engine import Engine
 from .core.ports import Clock, Logger, Reactor
 from .handover import Takeover
-from .http.discovery import DiscoveryClient
-from .http.front import ClientConnection, ClientFront
+from .http.client_connection import ClientConnection
+from .http.client_server import ClientPlaces, ClientServer
+from .http.discovery import DiscoveryClient, DiscoverySettings
 from .http.node_connection import NodeConnection
 from .http.node_pool import NodePool
+from .http.stream_handover import ClientStreamState
 from .net import attach, detach, reset
 from .operations import Operations
 from .service import Service
 
-LIVE = {  # what may change while the head runs, or is for a start
+RELOADABLE_ENTRIES = {  # of a configuration: taken while the gateway runs, or only read at a start
     "discovery", "known", "seed", "settings", "conn_idle_us", "connect_timeout_us", "zones", "kinds", "raw",
 }  # fmt: skip
 
 
-class Head(Service):
-    """One head on the platform's protocol.  Embeddable: the reactor is passed in, nothing is global."""
+class PlatformGateway(Service):
+    """One gateway on the platform's protocol.  Embeddable: the reactor is passed in, nothing is global."""
 
     def __init__(
         self, reactor: Reactor, config: configuration.Config, log: Logger, clock: Clock | None = None
@@ -51,34 +53,37 @@
         self.discovery = DiscoveryClient(
             reactor,
             self.clock,
-            config.discovery,
-            config.zones,
-            config.kinds,
             log,
+            DiscoverySettings(
+                config.discovery,
+                config.zones,
+                config.kinds,
+                config.settings.drain_grace_us if config.pushed else None,
+            ),
             self.transport.update_addresses,
-            lambda news: self.engine.update_endpoints(news),
-            config.settings.drain_grace_us if config.pushed else None,
+            lambda endpoints: self.engine.update_endpoints(endpoints),
         )
         self.waits_for_list = config.pushed
         self.engine = Engine(config.settings, config.seed, self.clock, self.transport, self.discovery, log)
-        self.front = ClientFront(
+        self.front = ClientServer(
             self.engine,
             config.settings,
             self.clock,
             self.buffers,
             log,
-            limits.client_connections,
-            limits.client_overflow,
+            ClientPlaces(limits.client_connections, limits.client_overflow),
             self._finished,
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
-    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
         """The list to start with: the predecessor's if it used the same discovery, or the configuration's."""
         # Another service may count its revisions from anywhere: the process before must have used the same.
-        same = told.get("discovery") == self.discovery.host
-        news: EndpointList = self.discovery.know(told["list"] if same else self._config.known)
-        return news
+        same = handed_over.get("discovery") == self.discovery.host
+        endpoints: EndpointList = self.discovery.load_cached(
+            handed_over["list"] if same else self._config.known
+        )
+        return endpoints
 
     def offer_takeover(self) -> Takeover | None:
         """Add the latest list, and which discovery it came from."""
@@ -95,13 +100,15 @@
     def hand_over_answers(self) -> None:
         """Hand streamed answers to the successor, each once its client's buffer is empty."""
         for client in self.front.streams:
-            client.move(self._moved)
+            if client.stream is not None:
+                client.stream.start_handover(self._stream_emptied)
 
-    def _moved(self, client: ClientConnection, node: NodeConnection) -> None:
+    def _stream_emptied(self, client: ClientConnection, node: NodeConnection) -> None:
         if self._handover.successor is None:
-            client.stay()
+            if client.stream is not None:
+                client.stream.cancel_handover()
             return
-        state = {"client": client.leave(), "brick": node.hand_over_stream().to_json()}
+        state = {"client": client.hand_over_stream().to_json(), "brick": node.hand_over_stream().to_json()}
         self._handover.hand_over_answer([detach(client.link), detach(node.link)], state)
         self.front.closed(client)
 
@@ -114,29 +121,29 @@
             reset(client_descriptor)  # an end in order could pass for the answer's own
             return
         client = self.front.buildProtocol(None)
-        client.enter(state["client"], node)
+        stream = client.take_over_stream(ClientStreamState.from_json(state["client"]), node)
         self.engine.attempts.adopt_stream(node.attempt)
         try:
             attach(self._reactor, client_descriptor, client)
         except OSError:
             node.stop()
             return
-        node.stream_to(client)
+        node.stream_to(stream)
 
     def limit(self, processes: int) -> None:
         """Keep within the descriptors of one of so many processes."""
         limits = self._config.limits.of(processes)
-        self.front.limit(limits.client_connections, limits.client_overflow)
+        self.front.limit(ClientPlaces(limits.client_connections, limits.client_overflow))
         self.transport.limit(limits.node_connections)
 
     def apply_configuration(self, config: configuration.Config) -> None:
         """Take the file whole or not at all."""
         configuration.check_shape(self._config.raw, config.raw)
-        self._warn_of_restart(self._config, config, LIVE)
+        self._warn_of_restart(self._config, config, RELOADABLE_ENTRIES)
         self._config = replace(config, limits=self._config.limits)
         self.transport.change_timeouts(config.conn_idle_us, config.connect_timeout_us)
-        self.discovery.retune(config.zones, config.kinds)
-        self.discovery.move(config.discovery)
+        self.discovery.change_names(config.zones, config.kinds)
+        self.discovery.change_address(config.discovery)
         self.change_settings(config.settings)
         classes = ",".join(spec.name for spec in config.settings.classes)
         self._log.info("reloaded", discovery=self.discovery.host, classes=classes)
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import connectionDone
@@ -14,10 +14,11 @@
 from ..core.ports import Attempt, AttemptListener, BodySink, Clock
 from ..net import Connection, abort, send_now
 from .idle_times import IdleTimes
+from .messages import MAX_BUFFERED_BODY, BadMessage, Data, Head
 from .node_request import NodeRequest
 from .node_state import NodeState
-from .parser import WHOLE_BODY, BadMessage, Data, Head, Parser
-from .stream_handover import StreamState
+from .parser import Parser
+from .stream_handover import NodeStreamState
 
 MAX_INTERIM_ANSWERS = 8  # 1xx answers before the real one
 STALL_US = 500_000  # without a byte of an answer that has started: it never will be complete
@@ -59,7 +60,7 @@
         """It carries nothing any more; reported at least once."""
         ...
 
-    def finish(self, request: NodeRequest, result: AttemptResult, answer: Any = None) -> None:
+    def finish(self, request: NodeRequest, result: AttemptResult, answer: bytes = b"") -> None:
         """Report the result of what it carried."""
         ...
 
@@ -209,7 +210,8 @@
             self._interim_answers += 1
         if self._interim_answers > MAX_INTERIM_ANSWERS or head.status == 101:
             raise BadMessage("interim answers without end, or another protocol")
-        if head.status not in (200, *range(100, 200)) and (head.length is None or head.length > WHOLE_BODY):
+        large = head.length is None or head.length > MAX_BUFFERED_BODY
+        if head.status >= 200 and head.status != 200 and large:
             self._end_with(result_of(head))  # only its status counts: there is no need to wait for the rest
 
     def _body_received(self, data: bytes) -> None:
@@ -224,7 +226,7 @@
         self._body.append(data)
         # Small answers come within 20 ms, whatever their framing; what is larger is timed by its first bytes.
         slow = self._heard_us - self._first_byte_us > SLOW_US and self._body.length >= SLOW_BYTES
-        if (head.length or self._body.length) > WHOLE_BODY or (head.length is None and slow):
+        if (head.length or self._body.length) > MAX_BUFFERED_BODY or (head.length is None and slow):
             self._start_stream(head, self._body)
 
     def _start_stream(self, head: Head, body: Body) -> None:
@@ -257,7 +259,7 @@
             self._pool.idle_times.record(self._idled_us, False)
         self._used = True
         # With more behind the answer than belongs to it, the connection is never used again.
-        if head.keep_alive and self._parser.between and not self.lost:
+        if head.keep_alive and self._parser.between_messages and not self.lost:
             self._pool.connection_freed(self)
         else:
             self.abort()
@@ -296,17 +298,17 @@
 
     # ---- the handover of an answer that is passed on ----
 
-    def hand_over_stream(self) -> StreamState:
+    def hand_over_stream(self) -> NodeStreamState:
         """End it here, and return what another process needs to go on with it."""
         head, request = self._head, self._request
         assert head is not None and request is not None and request.attempt is not None
-        state = StreamState(
+        state = NodeStreamState(
             request.node_id.decode("latin-1"),
             request.attempt.client_request_id,
             head.length,
             head.keep_alive,
             head.until_close,
-            self._parser.state,
+            self._parser.export_state(),
         )
         self._request = self._sink = None
         self.lost = True
@@ -314,7 +316,7 @@
         self._pool.finish(request, AttemptResult.NOT_STARTED)
         return state
 
-    def take_over_stream(self, state: StreamState, attempt: Attempt, listener: AttemptListener) -> None:
+    def take_over_stream(self, state: NodeStreamState, attempt: Attempt, listener: AttemptListener) -> None:
         """Go on where another process ended; ``stream_to`` follows once the connection is attached."""
         now_us = self._pool.clock.now_us()
         self._request = NodeRequest(listener, attempt.node_id, now_us, now_us, attempt)
@@ -323,7 +325,7 @@
         self._heard_us = now_us
         self.length = state.length
         self._head = Head("", "", 200, {}, state.keep_alive, state.length, until_close=state.until_close)
-        self._parser.state = state.parser
+        self._parser.restore_state(state.parser)
 
     def stream_to(self, sink: BodySink) -> None:
         """Pass on what comes from now on."""
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -10,7 +10,7 @@
 from ..core.engine import Engine
 from ..core.ports import Clock, Logger, Reactor
 from ..handover import Takeover
-from ..http.management import MOST_CALLS
+from ..http.management import MAX_CONNECTIONS as MAX_CALLS
 from ..operations import Operations
 from ..service import Service
 from .initiator import NodePool
@@ -28,7 +28,7 @@
 
     up = True
 
-    def __init__(self, head: IscsiHead) -> None:
+    def __init__(self, head: IscsiGateway) -> None:
         self._head = head
 
     def watch(self, on: bool) -> None:
@@ -43,7 +43,7 @@
         pass
 
 
-class IscsiHead(Service):
+class IscsiGateway(Service):
     """One head on the iSCSI-style wire: same engine, same module, same rules."""
 
     def __init__(self, reactor: Reactor, operator: Operator, log: Logger, clock: Clock | None = None) -> None:
@@ -77,7 +77,7 @@
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def _sessions(self, processes: int) -> int:
-        sockets = self._operator.sockets // processes - (MOST_CALLS if self._operator.management else 0)
+        sockets = self._operator.sockets // processes - (MAX_CALLS if self._operator.management else 0)
         return min(MAX_SESSIONS, max(1, sockets * 6 // 10))
 
     def limit(self, processes: int) -> None:
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from gaugesail.http.front import OrderReader
+from gaugesail.http.client_sweep import sweep
+from gaugesail.http.request_reader import RequestReader
 from gaugesail.iscsi.target import TargetFront
 from gaugesail.listening import ListeningPort
 from gaugesail.rehearsal.peers import RUDE, SPOILT, ScenarioError
@@ -88,7 +89,7 @@
 
 
 def test_a_fault_in_the_http_front_is_answered_and_costs_no_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(OrderReader, "read", raise_told)
+    monkeypatch.setattr(RequestReader, "read", raise_told)
     head = play("client c1\nsend c1 request a body=x\nexpect c1 500\nexpect c1 closed").head
     assert head.engine.counts["front_raised"] == 1 and head.buffers.out == 0
 
@@ -116,9 +117,9 @@
     for n in range(1000):
         name = f"s-{n}"
         line = {"id": name, "host_port": "127.0.0.1:1", "cell": 0, "phase": "Ready"}
-        head.discovery.heard({"revision": 9, "complete": False, "members": [line]})
+        head.discovery.receive({"revision": 9, "complete": False, "members": [line]})
         head.transport._nodes[name.encode()] = type(head.transport._nodes[b"b1"])(name.encode())
-        head.discovery.heard({"revision": 9, "complete": False, "members": [line | {"phase": "Gone"}]})
+        head.discovery.receive({"revision": 9, "complete": False, "members": [line | {"phase": "Gone"}]})
     head.transport.sweep()
     assert (len(head.transport._addresses), len(head.transport._nodes)) == before
 
@@ -135,17 +136,17 @@
     for _ in range(100):
         connection.dataReceived(bytes(16 * 1024))
     link.pauseProducing.assert_called_once()
-    assert not connection._parser.buffered
+    assert not connection.input.parser.buffered
     now = front.clock.now_us()
-    connection.sweep(now + 900_000)
+    sweep(connection, now + 900_000)
     link.abortConnection.assert_not_called()
-    connection.sweep(now + 1_100_000)
+    sweep(connection, now + 1_100_000)
     link.abortConnection.assert_called_once()
 
 
 def test_what_waits_to_be_accepted_is_taken_before_the_port_closes() -> None:
     head, port = play("client c1\nsend c1 get /_health\nexpect c1 200").head, Mock()
-    head._port, head._stopping_since, head.front.held = port, head.clock.now_us(), True
+    head._port, head._stopping_since_us, head.front.held = port, head.clock.now_us(), True
     head._listener = ListeningPort(port, head.clock, lambda: 1, lambda: True)
     head._stop_accepting()
     assert not port.mock_calls, "a place must come free first"
