--- a/gaugesail/coordination/gateway_floor.py
+++ b/gaugesail/coordination/gateway_floor.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class HeadFloor:
+class PersistedFloor:
     """The floor as it is persisted: its slot in the ledger, and the limits that it goes by."""
 
     slot: int = -1  # -1: none
@@ -31,7 +31,7 @@
     the flag.
     """
 
-    def __init__(self, terms: FleetTerms, store: str, persisted: HeadFloor) -> None:
+    def __init__(self, terms: FleetTerms, store: str, persisted: PersistedFloor) -> None:
         self._terms = terms
         self.store = store  # "": there is none, so that no floor may be spent
         self.current = persisted
@@ -62,21 +62,21 @@
         if response.limits_version < current.limits_version and response.floor_slot == current.slot:
             return
         limits = {plan: (rate, burst) for plan, rate, burst in response.limits}
-        self.current = HeadFloor(response.floor_slot, response.limits_version, limits, response.fleet)
+        self.current = PersistedFloor(response.floor_slot, response.limits_version, limits, response.fleet)
         self.changed = True
 
     def forget_other_fleet(self, fleet: str) -> None:
         """A slot that another fleet of this name has given means nothing in this one."""
         if self.current.fleet != fleet:
-            self.current = HeadFloor()
+            self.current = PersistedFloor()
             self.changed = bool(self.store)
 
     def replace_store(self, store: str) -> None:
         """Another store, which no floor is bound to."""
         self.store = store
-        self.current = HeadFloor()
+        self.current = PersistedFloor()
 
-    def not_persisted(self, persisted: HeadFloor) -> None:
+    def not_persisted(self, persisted: PersistedFloor) -> None:
         """The store takes no more writes: the lesser of what it has and the current holds, unchanged."""
         current = self.current
         limits = {}
@@ -85,5 +85,5 @@
                 limits[plan] = min(rate, current.limits[plan][0]), min(burst, current.limits[plan][1])
         same = (persisted.slot, persisted.fleet) == (current.slot, current.fleet)
         slot = persisted.slot if same else -1
-        self.current = HeadFloor(slot, persisted.limits_version, limits, persisted.fleet)
+        self.current = PersistedFloor(slot, persisted.limits_version, limits, persisted.fleet)
         self._frozen = True
--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -12,7 +12,7 @@
 
 from .demand_tracker import DemandTracker, QuotaUsage
 from .fleet_terms import FleetTerms
-from .gateway_floor import GatewayFloor, HeadFloor, PlanRates
+from .gateway_floor import GatewayFloor, PersistedFloor, PlanRates
 from .lease_messages import HeldQuota, LeaseRequest, LeaseResponse, LeaseStatus, QuotaOrders
 from .messages import Message
 from .notices import Notice
@@ -33,7 +33,7 @@
         digest: str,
         process: int,
         store: str,
-        floor: HeadFloor,
+        floor: PersistedFloor,
         now: int,
         rng: random.Random,
     ) -> None:
@@ -72,7 +72,7 @@
         return self._rights.allocations
 
     @property
-    def floor(self) -> HeadFloor:
+    def floor(self) -> PersistedFloor:
         """What is to be persisted of the floor."""
         return self._floor.current
 
@@ -103,7 +103,7 @@
         self._schedule.start_again_at(self._terms.grantor_lease_end(now))
         self._drop_session()
 
-    def floor_not_persisted(self, persisted: HeadFloor) -> None:
+    def floor_not_persisted(self, persisted: PersistedFloor) -> None:
         """The store takes no more writes: of the two floors the lesser holds from here on."""
         self._floor.not_persisted(persisted)
         self._rights.resend_all()
--- a/gaugesail/coordination/local_store.py
+++ b/gaugesail/coordination/local_store.py
@@ -4,7 +4,7 @@
 
 from .bootstrap import BootstrapRecord
 from .consensus import RaftNode, RaftWrite
-from .gateway_floor import HeadFloor
+from .gateway_floor import PersistedFloor
 from .persisted_state import PersistentState, StoredState, StoreWrite
 from .store_fencing import KnownStore
 from .store_messages import StoreMark
@@ -62,7 +62,7 @@
             store: (known.starts, known.writes, known.process) for store, known in known_stores.items()
         }
 
-    def update_floor(self, floor: HeadFloor) -> None:
+    def update_floor(self, floor: PersistedFloor) -> None:
         """Take in the gateway's floor."""
         self.state.floor_slot = floor.slot
         self.state.floor_version = floor.limits_version
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -16,7 +16,7 @@
 from .consensus_messages import ConsensusMessage
 from .demand_tracker import QuotaUsage
 from .fleet_terms import FleetTerms
-from .gateway_floor import HeadFloor
+from .gateway_floor import PersistedFloor
 from .lease_holder import LeaseHolder
 from .local_store import LocalStore
 from .member import MemberState
@@ -79,7 +79,7 @@
         self._host = ReplicaHost(terms, terms_digest, identity.name, self._store, self._rng, now)
         self._outbox = self._host.outbox
         self._notices = self._host.notices
-        floor = HeadFloor(state.floor_slot, state.floor_version, state.floor_limits, state.floor_fleet)
+        floor = PersistedFloor(state.floor_slot, state.floor_version, state.floor_limits, state.floor_fleet)
         self.lease_holder = LeaseHolder(
             terms, terms_digest, identity.process, state.store_id, floor, now, self._rng
         )
--- a/gaugesail/http/client_limits.py
+++ b/gaugesail/http/client_limits.py
@@ -7,8 +7,9 @@
 BODY_BYTES_PER_S = 16 * 1024  # and a second more for so many of them
 UNREAD_US = 60_000_000  # a client that has read nothing for so long has gone
 SLOW_READER_US = 5_000_000  # after this long it may be cut off where memory is short
-RESTED_US = 2_000_000  # an idle connection may be closed for another after this long
-SILENT_US = 250_000  # one that has never sent a byte after this long: clients open one to ask at once
+# How long a connection has been idle before it may be closed for another.
+USED_CONNECTION_US = 2_000_000
+UNUSED_CONNECTION_US = 250_000  # it has sent no request yet: clients open one to ask at once
 LINGER_US = 1_000_000  # after an error: until then the client may read it, whatever it still sends
 MAX_DISCARDED = 256 * 1024  # bytes of what it still sends
 MAX_PIPELINED = 16 * 1024  # bytes beyond the request in hand that each client may always have here
@@ -35,7 +36,7 @@
     The first request on a connection that the gateway closes has failed, so that one that clients use again
     and again goes last, and none goes that has just been used.
     """
-    if rested_us < (RESTED_US if requests_received else SILENT_US):
+    if rested_us < (USED_CONNECTION_US if requests_received else UNUSED_CONNECTION_US):
         return 0
     if requests_received > 1:
         return 1
--- a/gaugesail/http/client_server.py
+++ b/gaugesail/http/client_server.py
@@ -15,7 +15,7 @@
 from ..core.ports import Clock, Logger
 from ..net import unread
 from .client_connection import ClientConnection
-from .client_limits import PIPELINED_EXCESS_DIVISOR, SILENT_US
+from .client_limits import PIPELINED_EXCESS_DIVISOR, UNUSED_CONNECTION_US
 from .client_sweep import priority_to_close, sweep
 from .request_reader import RequestReader
 from .slow_readers import SlowReaders
@@ -111,7 +111,7 @@
             connection
             for connection in self._open
             if connection.idle
-            and (connection.requests_received or now_us - connection.opened_at_us > SILENT_US)
+            and (connection.requests_received or now_us - connection.opened_at_us > UNUSED_CONNECTION_US)
             and not unread(connection.link)
         ]
 
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -24,7 +24,7 @@
 from gaugesail.coordination.demand_tracker import DemandEstimate
 from gaugesail.coordination.elections import Role
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.gateway_floor import PersistedFloor
 from gaugesail.coordination.lease_holder import LeaseHolder
 from gaugesail.coordination.limits_agreement import LimitsAgreement
 from gaugesail.coordination.proposed_commands import ProposedCommands
@@ -127,7 +127,7 @@
 ) -> Cell:
     charter = _charter()
     keeper = Replica(charter, "d", FLEET, _raft(name, now, keepers, term, vote, list(log)), -10 * LEASE_US)
-    holder = LeaseHolder(charter, "d", process, f"s-{name}", HeadFloor(), now, Still())
+    holder = LeaseHolder(charter, "d", process, f"s-{name}", PersistedFloor(), now, Still())
     holder.set_limits({"p": WHOLE}, QUANTUM)
     return Cell(keeper, holder, process, term, vote, list(log))
 
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -12,7 +12,7 @@
 
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.gateway_floor import PersistedFloor
 from gaugesail.coordination.lease_holder import LeaseHolder
 from gaugesail.coordination.node import FleetNode, GatewayIdentity, StepOutput
 from gaugesail.coordination.persisted_state import PersistentState
@@ -531,7 +531,7 @@
 
 def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
     """One that has asked at 0."""
-    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", 7, "s", HeadFloor(), 0, random.Random(1))
+    holder = LeaseHolder(FleetTerms("f", ("a",)), "d", 7, "s", PersistedFloor(), 0, random.Random(1))
     holder.set_limits({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
     said = holder.take_messages()[0][1]
--- a/tests/compatibility/test_fleet_records.py
+++ b/tests/compatibility/test_fleet_records.py
@@ -6,13 +6,14 @@
 import shutil
 from enum import IntEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import msgspec
 import pytest
 
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.log_commands import LogEntry
+from gaugesail.coordination.log_commands import Command, LogEntry
+from gaugesail.coordination.messages import Message
 from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.fleet.store import FleetStore
 from gaugesail.fleet.wire import Wire
@@ -36,8 +37,13 @@
     return int(value) if isinstance(value, IntEnum) else value
 
 
+def tags(union: Any) -> set[str]:
+    return {str(kind.__struct_config__.tag) for kind in get_args(union)}
+
+
 def test_there_is_a_frame_of_every_kind() -> None:
     assert len(FRAMES) == 21 and len(ENTRIES) == 9
+    assert set(FRAMES) == tags(Message) and set(ENTRIES) == tags(Command)
 
 
 @pytest.mark.parametrize("tag", FRAMES)
--- a/tests/coordination/test_lease_holder.py
+++ b/tests/coordination/test_lease_holder.py
@@ -6,14 +6,14 @@
 
 from gaugesail.coordination import messages as m
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.gateway_floor import PersistedFloor
 from gaugesail.coordination.lease_holder import LeaseHolder
 
 TERMS = FleetTerms("f", ("a", "b", "c"), max_gateways=4)
 
 
 def holder(store: str = "s", now: int = 0) -> LeaseHolder:
-    made = LeaseHolder(TERMS, "d", 7, store, HeadFloor(), now, random.Random(1))
+    made = LeaseHolder(TERMS, "d", 7, store, PersistedFloor(), now, random.Random(1))
     made.set_limits({"p": (100_000, 80_000)}, 8000)
     return made
 
--- a/tests/coordination/test_lease_manager.py
+++ b/tests/coordination/test_lease_manager.py
@@ -13,7 +13,7 @@
 from gaugesail.coordination.consensus import RaftNode
 from gaugesail.coordination.demand_tracker import QuotaUsage
 from gaugesail.coordination.fleet_terms import FleetTerms
-from gaugesail.coordination.gateway_floor import HeadFloor
+from gaugesail.coordination.gateway_floor import PersistedFloor
 from gaugesail.coordination.lease_holder import LeaseHolder
 from gaugesail.coordination.lease_manager import LeaseManager
 from gaugesail.coordination.quota_allocator import RELEASE_TIMEOUT_US
@@ -171,7 +171,7 @@
         self.leader = Leader()
         self.in_flight: list[tuple[int, Any]] = []  # for which holder, 0: the leader
         self.holders = {
-            n: LeaseHolder(TERMS, "d", n, f"s{n}", HeadFloor(), self.leader.now, random.Random(n))
+            n: LeaseHolder(TERMS, "d", n, f"s{n}", PersistedFloor(), self.leader.now, random.Random(n))
             for n in (1, 2)
         }
         for one in self.holders.values():
