--- a/gaugesail/coordination/bootstrap.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -1,9 +1,9 @@
 """How a fleet begins: once, with all the replicas that the files name, each bound to one founder.
 
 The first of the names in alphabetical order is the founder.  Each replica without a fleet promises, in its
-store, to be founded by that founder's store and by no other; when all have, the founder writes down who they are, and from then
-on the voters are what the log says.  So no two fleets come of one set of stores, whatever arrives late or
-twice, and whoever starts under whose name.
+store, to be founded by that founder's store and by no other; when all have, the founder writes down who they
+are, and from then on the voters are what the log says.  So no two fleets come of one set of stores, whatever
+arrives late or twice, and whoever starts under whose name.
 """
 
 from __future__ import annotations
