--- a/gaugesail/simulator/action_records.py
+++ b/gaugesail/simulator/action_records.py
@@ -30,6 +30,7 @@
 ATTEMPT_START = struct.Struct("<HII6sI")
 TIMER = struct.Struct("<HIQQ")
 NODE = struct.Struct("<HI6s")
+LOG_TEXT = "Log(text={0.text!r}, event={0.event!r}, fields={0.fields!r})"  # of a log line without a text
 TEXT = struct.Struct("<HIII")  # offset and length in the tail
 MESSAGE = struct.Struct("<HIHII")  # receiver, offset and length in the tail
 
@@ -80,7 +81,8 @@
 
 
 def _write_log(gateway: int, action: WriteLog, tail: bytearray) -> bytes:
-    return _text_record(ActionCode.WRITE_LOG, gateway, action.text or repr(action), tail)
+    text = action.text or LOG_TEXT.format(action)
+    return _text_record(ActionCode.WRITE_LOG, gateway, text, tail)
 
 
 def _crash(gateway: int, crash: Crash, tail: bytearray) -> bytes:
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -70,6 +70,13 @@
     assert talk(start(), stop, start()).count(struct.pack("<HI", 69, 3)) == 2
 
 
+def test_a_log_line_without_a_text_is_written_as_before_its_class_was_renamed() -> None:
+    """Simulators of an older version's runs compare replies byte for byte."""
+    note = write_reply([(5, WriteLog("", "storm_begins", (("shard", 3), ("phase", "down"))))])
+    assert note.endswith(b"Log(text='', event='storm_begins', fields=(('shard', 3), ('phase', 'down')))")
+    assert b"WriteLog" not in note
+
+
 def test_log_texts_use_the_tail() -> None:
     note = write_reply([(5, WriteLog("two servers known"))])
     assert note.hex().startswith("01000000" + "31000000" + "4700" + "05000000" + "00000000" + "11000000")
