--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -50,19 +50,7 @@
             config.connect_timeout_us,
             limits.node_connections,
         )
-        self.discovery = DiscoveryClient(
-            reactor,
-            self.clock,
-            log,
-            DiscoverySettings(
-                config.discovery,
-                config.zones,
-                config.kinds,
-                config.settings.drain_grace_us if config.pushed else None,
-            ),
-            self.transport.update_addresses,
-            lambda endpoints: self.engine.update_endpoints(endpoints),
-        )
+        self.discovery = self._build_discovery(config)
         self.waits_for_list = config.pushed
         self.engine = Engine(config.settings, config.seed, self.clock, self.transport, self.discovery, log)
         self.front = ClientServer(
@@ -76,6 +64,23 @@
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
+    def _build_discovery(self, config: configuration.Config) -> DiscoveryClient:
+        """The client of discovery; a list goes to the node pool before the policy hears of it."""
+        settings = DiscoverySettings(
+            config.discovery,
+            config.zones,
+            config.kinds,
+            config.settings.drain_grace_us if config.pushed else None,
+        )
+        return DiscoveryClient(
+            self._reactor,
+            self.clock,
+            self._log,
+            settings,
+            self.transport.update_addresses,
+            lambda endpoints: self.engine.update_endpoints(endpoints),
+        )
+
     def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
         """The list to start with: the predecessor's if it used the same discovery, or the configuration's."""
         # Another service may count its revisions from anywhere: the process before must have used the same.
--- a/gaugesail/iscsi/operator.py
+++ b/gaugesail/iscsi/operator.py
@@ -54,6 +54,15 @@
     "late_weight_share": "late_share",
     "share_weight": "weight",
 }
+PLAN_FIGURES = {  # keys of a [[plan]] in the order of Plan's fields, with their defaults
+    "rate": 0.0,
+    "reserve": 0.0,
+    "weight": 1.0,
+    "price": 1.0,
+    "limit": 0.0,
+    "limit_burst": 0.0,
+    "limit_slack": 0.0,
+}
 _PLAN_NAMES = _ROW_NAMES | {"priority_weight": "price"}
 _RULE_NAMES = {field: key for key, field in RULE_KEYS.items()}
 
@@ -152,8 +161,8 @@
     return value
 
 
-def _settings(data: dict[str, Any]) -> Settings:
-    classes, plans = [], []
+def _classes(data: dict[str, Any]) -> tuple[RequestClass, ...]:
+    classes = []
     for where, row in _each(data, "class"):
         try:
             classes.append(
@@ -170,27 +179,32 @@
             raise OperatorError(f"{where}: {error.named(_ROW_NAMES.get(error.name, error.name))}") from None
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
+    return tuple(classes)
+
+
+def _plans(data: dict[str, Any]) -> tuple[Plan, ...]:
+    plans = []
     for where, row in _each(data, "plan"):
         try:
-            plans.append(
-                Plan(
-                    _table(row, "name", str),
-                    *(_table(row, key, float, default) for key, default in (
-                        ("rate", 0.0), ("reserve", 0.0), ("weight", 1.0), ("price", 1.0),
-                        ("limit", 0.0), ("limit_burst", 0.0), ("limit_slack", 0.0))),
-                )
-            )  # fmt: skip
+            figures = (_table(row, key, float, default) for key, default in PLAN_FIGURES.items())
+            plans.append(Plan(_table(row, "name", str), *figures))
         except InvalidSetting as error:
             raise OperatorError(f"{where}: {error.named(_PLAN_NAMES.get(error.name, error.name))}") from None
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
+    return tuple(plans)
+
+
+def _settings(data: dict[str, Any]) -> Settings:
+    classes = _classes(data)
+    plans = _plans(data)
     rules = _table(data, "rules", dict, {})
     for key in rules:
         if key not in RULE_KEYS:
             raise OperatorError(f"[rules] {key}: unknown; known are {', '.join(sorted(RULE_KEYS))}")
     values = {RULE_KEYS[key]: value for key, value in rules.items()}
     try:
-        return Settings(classes=tuple(classes), plans=tuple(plans), **values)
+        return Settings(classes=classes, plans=plans, **values)
     except InvalidSetting as error:
         raise OperatorError(f"[rules] {error.named(_RULE_NAMES.get(error.name, error.name))}") from None
     except (ValueError, TypeError) as error:
