--- a/tests/iscsi/test_operator_file.py
+++ b/tests/iscsi/test_operator_file.py
@@ -13,14 +13,39 @@
 from gaugesail.policy.settings import Settings
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "operator.example.toml"
-KEYS_OF_DBD4A08 = set(
-    """
-    gateways me tick_us answer_slack_us drain_grace_us fall_us fall_multiple cold_share warm_after_us cold_units
-    quiet_us budget_free budget_share budget_window_us mean_units most_units share_worth spare_worth tells_others
-    ask_for_lists may_cancel may_probe may_tell may_hold_off max_attempts max_hold_off_us shards clients_mark
-    fleet appointments report_fields
-    """.split()
-)
+KEYS_OF_DBD4A08 = {
+    "gateways",
+    "me",
+    "tick_us",
+    "answer_slack_us",
+    "drain_grace_us",
+    "fall_us",
+    "fall_multiple",
+    "cold_share",
+    "warm_after_us",
+    "cold_units",
+    "quiet_us",
+    "budget_free",
+    "budget_share",
+    "budget_window_us",
+    "mean_units",
+    "most_units",
+    "share_worth",
+    "spare_worth",
+    "tells_others",
+    "ask_for_lists",
+    "may_cancel",
+    "may_probe",
+    "may_tell",
+    "may_hold_off",
+    "max_attempts",
+    "max_hold_off_us",
+    "shards",
+    "clients_mark",
+    "fleet",
+    "appointments",
+    "report_fields",
+}
 
 
 def example() -> dict[str, Any]:
