--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -1,4 +1,4 @@
-"""What a head is told at its start: the platform's JSON file and its environment."""
+"""The platform's configuration of a gateway: its JSON file and its environment."""
 
 from __future__ import annotations
 
@@ -18,7 +18,13 @@
 from .net import descriptors
 
 # Standard streams, the reactor's own, the listeners, discovery, and what is closing or still connecting.
-RESERVE = 24
+RESERVED_DESCRIPTORS = 24
+FEWEST_USABLE = 4  # descriptors, however few there are
+# Of the descriptors that are left.  A node has at most four attempts in flight (the largest congestion
+# window), so that 14 nodes use 56; a few more connections rest after an answer, or are stuck beside a trial.
+CLIENT_PERCENT = 65
+CLIENT_OVERFLOW_PERCENT = 5  # clients whose connections end with their answer
+NODE_PERCENT = 30
 
 
 class ConfigError(ValueError):
@@ -27,40 +33,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the processes of a head may hold together."""
+    """What the processes of a gateway may hold together."""
 
     memory_mb: int = 192
     sockets: int = 1024
     calls: int = 0  # connections of the second address, where there is one
 
     def of(self, processes: int) -> Limits:
-        """The part of one of several processes that run beside each other."""
+        """The limits of one of several processes that run beside each other."""
         return replace(self, sockets=self.sockets // processes)
 
     @property
     def _usable(self) -> int:
-        return max(4, self.sockets - RESERVE - self.calls)
+        return max(FEWEST_USABLE, self.sockets - RESERVED_DESCRIPTORS - self.calls)
 
     @property
     def client_connections(self) -> int:
         """How many clients may be connected."""
-        return self._usable * 65 // 100
+        return self._usable * CLIENT_PERCENT // 100
 
     @property
     def client_overflow(self) -> int:
-        """Beyond those: clients whose connections end with their answer."""
-        return max(1, self._usable * 5 // 100)
+        """How many clients beyond those may be connected until their answer."""
+        return max(1, self._usable * CLIENT_OVERFLOW_PERCENT // 100)
 
     @property
     def node_connections(self) -> int:
-        """The rest.  A node has at most the window's ceiling (4) of attempts out, so 14 nodes use 56; a few
-        more rest after an answer, or are stuck beside a trial."""
-        return max(1, self._usable * 30 // 100)
+        """How many connections to nodes there may be."""
+        return max(1, self._usable * NODE_PERCENT // 100)
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """A head's whole configuration."""
+    """A gateway's complete configuration."""
 
     name: str
     listen: tuple[str, int]
@@ -74,8 +79,8 @@
     connect_timeout_us: int
     zones: list[str]
     kinds: list[str]
-    pushed: bool  # lists come from an agent beside the head, and what it has counts as told
-    folder: str | None  # for what the next process of this head is to know
+    pushed: bool  # lists come from an agent beside the gateway, and bind it from when the agent has them
+    folder: str | None  # where the next process of this gateway finds what it is to know
     raw: dict[str, Any]  # as it was read
 
 
@@ -86,9 +91,10 @@
 
 
 def check_shape(old: Any, new: Any, path: str = "") -> None:
-    """A file that replaces another is whole: it has all that the other has, each in its form.
+    """Check that a file that replaces another is complete: it has all that the other has, in its form.
 
     Reading fills what is missing with defaults, so that a file with a key lost would pass for a good one.
+    Raises ConfigError, which names the entry.
     """
     if isinstance(old, dict) and isinstance(new, dict):
         for key, value in old.items():
@@ -112,7 +118,7 @@
 
 
 def flatten(value: Any, path: str = "") -> list[str]:
-    """Nested JSON as the path=value lines that the module's own reader takes."""
+    """Nested JSON as the path=value lines that ``parse_settings`` reads."""
     if isinstance(value, dict):
         prefix = f"{path}." if path else ""
         return [line for key, item in value.items() for line in flatten(item, f"{prefix}{key}")]
@@ -152,7 +158,7 @@
         raise ConfigError("settings: an object is needed")
     try:
         limits, permissions = data.get("limits", {}), settings.get("permissions", {})
-        # Which classes write is told by position, and stays as it was when classes are added or dropped; a
+        # Which classes write is given by position, and stays as it was when classes are added or dropped; a
         # request's method tells it here.
         domain = {key: value for key, value in settings.get("domain", {}).items() if key != "class_writes"}
         management = data.get("management") or environ.get("BALANCER_MANAGEMENT")
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -87,7 +87,7 @@
         super()._open(inherited)
         self.front.address = self.address
 
-    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
         return self.listing(EndpointListKind.CACHED)
 
     def listing(self, kind: EndpointListKind) -> EndpointList:
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -60,10 +60,10 @@
         return self._build()
 
 
-def descriptors(told: int) -> int:
-    """How many descriptors this process may have: as it was told, but no more than the system gives."""
-    given, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if given == resource.RLIM_INFINITY else min(told, given)
+def descriptors(configured: int) -> int:
+    """How many descriptors this process may have: as configured, but no more than the system gives."""
+    system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return configured if system == resource.RLIM_INFINITY else min(configured, system)
 
 
 def hung_up(link: Any) -> bool:
@@ -89,10 +89,10 @@
     if not clock.matches_kernel_clock or not isinstance(connection, socket.socket):
         return 0  # in memory
     try:
-        told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
+        info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
     except OSError:
         return 0
-    waited_ms: int = _TCP_INFO.unpack(told)[0] if len(told) == _TCP_INFO.size else 0
+    waited_ms: int = _TCP_INFO.unpack(info)[0] if len(info) == _TCP_INFO.size else 0
     return waited_ms * 1000 if WAITED_LEAST_MS <= waited_ms <= WAITED_MOST_MS else 0
 
 
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -110,7 +110,7 @@
     # ---- start ----
 
     def start(self) -> Deferred[Any]:
-        """Listen for calls, take over from a running process or listen, set the module up, serve.
+        """Listen for calls, take over from a running process or listen, start the policy, serve.
 
         The Deferred fires when the address is ours, and fails where it cannot be had.
         """
@@ -124,7 +124,7 @@
         return retry_while_in_use(self.clock, self._log, lambda: self._open(takeover))
 
     def _open(self, takeover: Takeover | None) -> None:
-        if self._stopping:  # meanwhile it was told to end: nothing was taken, and nothing will be
+        if self._stopping:  # SIGTERM came meanwhile: nothing was accepted, and nothing will be
             if takeover is not None:
                 os.close(takeover.descriptor)
             return
@@ -180,8 +180,8 @@
         ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_TURN, lambda: True)
         self.management_address = host, listener.getHost().port
 
-    def initial_endpoints(self, told: dict[str, Any]) -> EndpointList:
-        """The list to start with; ``told`` is what the process before this one handed over."""
+    def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
+        """The list to start with; ``handed_over`` is what the predecessor handed over, empty without one."""
         raise NotImplementedError
 
     # ---- another process of this head ----
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -187,7 +187,7 @@
     for sockets in (64, 128, 1024):
         limits = config.Limits(192, sockets)
         parts = limits.client_connections + limits.client_overflow + limits.node_connections
-        assert parts + config.RESERVE <= sockets
+        assert parts + config.RESERVED_DESCRIPTORS <= sockets
     for change, words in (
         ({"listen": "x"}, "'x'"),
         ({"settings": 3}, "settings"),
