--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -270,7 +270,7 @@
     def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
         under a limit that was asked for."""
-        return self.policy.gateway.rate_limits.take_demand(self._clock.now_us())
+        return self.policy.gateway.rate_limits.drain_demand(self._clock.now_us())
 
     def set_sibling_process(self, present: bool) -> None:
         """Another process of this gateway works beside this one, or no longer does."""
--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -335,7 +335,7 @@
             return
         asked = {
             quota_name_of(plan, volume): QuotaUsage(units, spent, saved, 1000)
-            for plan, volume, units, spent, saved in self.gateway.rate_limits.take_demand(self.now())
+            for plan, volume, units, spent, saved in self.gateway.rate_limits.drain_demand(self.now())
         }
         self.step(lambda node: node.report_demand(self.now(), asked))
 
--- a/gaugesail/policy/rate_limits.py
+++ b/gaugesail/policy/rate_limits.py
@@ -109,7 +109,7 @@
         leased = self._allocations.get((plan, volume), NOTHING) if now < self._lease_until else NOTHING
         return rate + leased[0], burst + leased[1]
 
-    def take_demand(self, now: int) -> list[tuple[str, int, float, float, float]]:
+    def drain_demand(self, now: int) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units requested, units sent and units saved up, of each volume with new demand.
 
         What is counted starts again from nothing.
--- a/tests/coordination/test_fleet_token_bucket.py
+++ b/tests/coordination/test_fleet_token_bucket.py
@@ -63,7 +63,7 @@
     made, bucket = limits()
     made.record_demand(0, bucket, 1, 3.0)
     made.spend(0, bucket, 2.0)
-    assert made.take_demand(0) == [("p", 1, 3.0, 2.0, 0.0)] and made.take_demand(0) == []
+    assert made.drain_demand(0) == [("p", 1, 3.0, 2.0, 0.0)] and made.drain_demand(0) == []
 
 
 spans = st.lists(
