--- a/gaugesail/policy/rate_limits.py
+++ b/gaugesail/policy/rate_limits.py
@@ -12,7 +12,7 @@
 from .settings import Plan, Settings
 from .token_bucket import TokenBucket
 
-FLOOR_HOLD_US = 1_000_000  # an attempt under the floor alone must start within this time
+FLOOR_HOLD_US = 1_000_000  # an attempt without a lease must start within this time
 NO_QUOTA = (0.0, 0.0)  # rate and burst
 
 
--- a/gaugesail/policy/recovery.py
+++ b/gaugesail/policy/recovery.py
@@ -33,7 +33,7 @@
 # In longest latency objectives; a shard that is down for longer is unlikely to return within another one.
 LONG_OUTAGE_OBJECTIVES = 4.0
 LOST_TICKET_US = 1_000_000  # overdue by this, or twice the longest Retry-After if longer: no retry expected
-CONTENDED_LATENCY_SHARE = 0.35  # of the way from the lowest latency seen to the target
+CONTENDED_LATENCY_SHARE = 0.35  # latency goal: this share of the way from the lowest latency to the target
 CONTENDED_IN_FLIGHT = 4.0  # requests in flight at a contended node, from all gateways together
 MAX_TIMEOUT_DOUBLINGS = 3
 SMALLEST_WEIGHT = 1e-3  # of a flow, so that every flow is served
@@ -165,7 +165,7 @@
         return recovery is not None and recovery.queue.contended
 
     def window_bounds(self, shard: int, ceiling: float) -> WindowBounds:
-        """Return the limits of a node's congestion windows while its shard is recovering.
+        """Return the limits of the windows of a shard's node; they are tighter while it is recovering.
 
         Where all gateways have more to send than their shares, windows that aim at the target latency would
         make the node that slow for all of them.  With short windows requests wait at the gateway instead,
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found, and for each symptom that a guard answers."""
+"""Regression tests of one gateway: one for each failure found and for each guard against a symptom."""
 
 from __future__ import annotations
 
@@ -20,20 +20,22 @@
 from ..support.gateway_driver import SEC, Driver
 
 
-def test_a_try_that_comes_too_late_is_refused_at_once() -> None:
+def test_a_request_received_too_late_is_rejected_at_once() -> None:
     driver = Driver(gateway_driver.settings(), nodes=0)
     number = driver.send_request(deadline_after_us=9000)
     assert isinstance(driver.answers[number], RejectRequest)
 
 
-def test_a_refusal_tells_the_longest_time_that_clients_heed_where_they_are_told_one() -> None:
-    for may, told in ((True, 400_000), (False, 0)):
-        driver = Driver(gateway_driver.settings(retry_after_allowed=may, max_retry_after_us=400_000), nodes=0)
+def test_a_rejection_has_the_longest_retry_after_if_it_is_allowed() -> None:
+    for allowed, expected in ((True, 400_000), (False, 0)):
+        driver = Driver(
+            gateway_driver.settings(retry_after_allowed=allowed, max_retry_after_us=400_000), nodes=0
+        )
         number = driver.send_request(deadline_after_us=9000)
-        assert driver.answers[number] == RejectRequest(number, told)
+        assert driver.answers[number] == RejectRequest(number, expected)
 
 
-def test_errors_in_a_row_cut_the_window_to_single_trials() -> None:
+def test_consecutive_errors_limit_a_node_to_single_trials() -> None:
     driver = Driver(gateway_driver.settings(retry_budget_window_us=0))
     node = driver.gateway.nodes[gateway_driver.node_id(0)]
     node.windows = [3.0, 3.0, 3.0]
@@ -47,19 +49,19 @@
     driver.pass_time(60_000)
     assert len(driver.in_flight) == 1
     driver.end_attempt(next(iter(driver.in_flight)))
-    assert len(driver.in_flight) == 3, "a served answer ends the trial"
+    assert len(driver.in_flight) == 3, "a served trial ends the limit"
 
 
 def test_a_hanging_node_gets_one_trial_at_a_time() -> None:
     driver = Driver(gateway_driver.settings())
     for _ in range(20):
         driver.send_request()
-    first = len(driver.in_flight)
+    sent_first = len(driver.in_flight)
     driver.pass_time(900_000)
-    assert len(driver.started) <= first + 4
+    assert len(driver.started) <= sent_first + 4
 
 
-def test_a_node_gone_from_the_whole_list_gets_nothing() -> None:
+def test_a_node_missing_from_the_full_list_gets_no_requests() -> None:
     driver = Driver(gateway_driver.settings())
     driver.list_nodes([(1, EndpointState.READY, 0)], EndpointListKind.FULL)
     number = driver.send_request(shard=0)
@@ -74,20 +76,20 @@
     for _ in range(200):
         driver.pass_time(2_000)
         seen += [a for a in driver.last_actions if isinstance(a, WatchEndpoints)]
-    assert seen, "news may count as told 4 s after discovery has moved"
+    assert seen, "the list may count as received 4 s after discovery has moved"
 
 
-def test_a_full_node_is_left_alone_for_longer_each_time() -> None:
+def test_a_full_node_gets_an_increasing_backoff() -> None:
     driver = Driver(gateway_driver.settings(retry_budget_window_us=0, max_attempts=9))
     for _ in range(100):
         driver.send_request()
         for key in list(driver.in_flight):
             driver.end_attempt(key, AttemptResult.REJECTED)
         driver.pass_time(10_000)
-    assert len(driver.started) < 15, "a jammed node must get the time to drain"
+    assert len(driver.started) < 15, "a full node must get time to drain its queue"
 
 
-def test_what_is_past_its_aim_is_refused_and_not_sent() -> None:
+def test_a_request_past_its_objective_is_rejected_and_not_sent() -> None:
     driver = Driver(gateway_driver.settings())
     numbers = [driver.send_request() for _ in range(6)]
     driver.pass_time(230_000)
@@ -95,9 +97,9 @@
     assert waiting and all(isinstance(driver.answers[n], RejectRequest) for n in waiting)
 
 
-def test_a_window_under_one_leaves_a_gap() -> None:
+def test_a_window_below_one_request_is_paced() -> None:
     driver = Driver(gateway_driver.settings())
-    for _ in range(6):  # answers far over the target
+    for _ in range(6):  # answers far slower than the target
         driver.send_request(2)
         driver.pass_time(500_000)
         for key in list(driver.in_flight):
@@ -114,7 +116,7 @@
     assert len(driver.in_flight) == 1
 
 
-def test_a_cold_node_that_serves_is_sent_more() -> None:
+def test_a_warming_node_that_serves_is_sent_more() -> None:
     driver = Driver(gateway_driver.settings(initial_capacity_units=12.0))
     driver.pass_time(3 * SEC)
     driver.list_nodes([(0, EndpointState.READY, driver.now)])
@@ -124,7 +126,7 @@
             driver.pass_time(20_000)
             driver.end_attempt(key)
     served = len(driver.started)
-    assert served > 12, "work that was served does not use up the part"
+    assert served > 12, "served units do not use up the share"
     silent = Driver(gateway_driver.settings(initial_capacity_units=12.0))
     silent.pass_time(3 * SEC)
     silent.list_nodes([(0, EndpointState.READY, silent.now)])
@@ -134,7 +136,7 @@
     assert len(silent.started) <= 4
 
 
-def test_a_key_waits_for_the_attempt_of_a_client_that_left() -> None:
+def test_a_key_waits_for_the_attempt_of_a_disconnected_client() -> None:
     driver = Driver(gateway_driver.settings())
     driver.gateway.nodes[gateway_driver.node_id(0)].windows = [4.0, 4.0, 4.0]
     first = driver.send_request(2, key=5)
@@ -145,17 +147,17 @@
     assert [send.request_id for send in driver.started] == [first, second]
 
 
-def test_what_cannot_be_sent_before_its_aim_is_refused_at_once() -> None:
+def test_a_request_that_cannot_be_sent_before_its_objective_is_rejected_at_once() -> None:
     driver = Driver(gateway_driver.settings())
     numbers = [driver.send_request() for _ in range(60)]
     driver.pass_time(12_000)
     early = [n for n in numbers if isinstance(driver.answers.get(n), RejectRequest)]
-    assert len(early) >= 30 and early[0] > 8, "the queue is longer than the window lets through by the aim"
+    assert len(early) >= 30 and early[0] > 8, "the queue is longer than can be sent in time"
     driver.pass_time(150_000)
-    assert len(driver.answers) < 60, "what may still be sent in time waits"
+    assert len(driver.answers) < 60, "requests that may still be sent in time wait"
 
 
-def test_a_new_node_counts_as_average_and_starts_wide_open_unless_it_is_cold() -> None:
+def test_a_new_node_has_average_latency_and_the_largest_window_unless_it_is_warming_up() -> None:
     driver = Driver(gateway_driver.settings(), nodes=1)
     for _ in range(8):
         driver.send_request()
@@ -164,80 +166,78 @@
             driver.end_attempt(key)
     driver.pass_time(300_000)
     driver.list_nodes([(1, EndpointState.READY, 0), (2, EndpointState.READY, driver.now)])
-    heard, warm, cold = (driver.gateway.nodes[gateway_driver.node_id(n)] for n in range(3))
-    assert heard.latency_us[0] < 30_000 and warm.latency_us == cold.latency_us == heard.latency_us
-    assert warm.windows[0] == 4.0 and cold.windows[0] == 1.0
+    measured, warm, warming = (driver.gateway.nodes[gateway_driver.node_id(n)] for n in range(3))
+    assert measured.latency_us[0] < 30_000 and warm.latency_us == warming.latency_us == measured.latency_us
+    assert warm.windows[0] == 4.0 and warming.windows[0] == 1.0
 
 
-def test_a_hung_attempt_is_given_up_and_a_node_that_is_back_is_found_beside_it() -> None:
+def test_a_hanging_attempt_times_out_and_a_trial_beside_it_finds_the_node_back() -> None:
     driver = Driver(gateway_driver.settings(overload_window_us=0))
     first = driver.send_request()
     driver.gateway.nodes[gateway_driver.node_id(0)].windows = [1.0, 1.0, 1.0]
     assert driver.started[0].timeout_us == 560_000, "well before its client gives up"
     driver.pass_time(290_000)
     second = driver.send_request()
-    assert [send.request_id for send in driver.started] == [first, second], (
-        "a trial beside the one that is stuck"
-    )
-    unsafe = Driver(gateway_driver.settings())
-    unsafe.send_request(2)
-    assert unsafe.started[0].timeout_us == 0, "it could not go again"
+    assert [send.request_id for send in driver.started] == [first, second], "a trial beside the stuck attempt"
+    not_idempotent = Driver(gateway_driver.settings())
+    not_idempotent.send_request(2)
+    assert not_idempotent.started[0].timeout_us == 0, "it could not be attempted again"
 
 
-def test_books_do_not_grow_with_requests_ids_or_replaced_nodes() -> None:
+def test_records_do_not_grow_with_requests_ids_or_replaced_nodes() -> None:
     driver = Driver(gateway_driver.settings(overload_window_us=0, retry_budget_window_us=0))
-    now: list[int] = []
+    sizes: list[int] = []
     for n in range(1, 4001):
         driver.list_nodes([(0, EndpointState.READY, 0)])
         driver.send_request(0, shard=0 if n % 2 else n, volume_id=n, key=n)
         for key in list(driver.in_flight):
             driver.end_attempt(key, AttemptResult.SERVED if n % 3 else AttemptResult.ERROR)
-        if n % 10 == 0:  # a node takes the place of another
-            node = (
+        if n % 10 == 0:  # a node replaces another one
+            changes = (
                 Endpoint(b"old%d" % n, 1, EndpointState.READY),
                 Endpoint(b"old%d" % (n - 10), 1, EndpointState.GONE),
             )
-            driver.feed(EndpointList(EndpointListKind.CHANGES, node))
+            driver.feed(EndpointList(EndpointListKind.CHANGES, changes))
         driver.pass_time(20_000)
         if n in (2000, 4000):
-            now.append(_size(driver.gateway))
-    assert now[1] <= now[0] * 1.1, now
-    assert set(driver.gateway.shards) == {0, 1}, "no book is opened on a client's word"
+            sizes.append(_size(driver.gateway))
+    assert sizes[1] <= sizes[0] * 1.1, sizes
+    assert set(driver.gateway.shards) == {0, 1}, "a shard that only clients name gets no record"
 
 
 def _size(gateway: object) -> int:
-    """How many things the gateway's books hold, all told."""
-    found, todo, seen = 0, [gateway], set[int]()
+    """Return the number of items in all records of the gateway."""
+    count, todo, seen = 0, [gateway], set[int]()
     while todo:
         item = todo.pop()
         if id(item) in seen or isinstance(item, (int, float, str, bytes, type)):
             continue
         seen.add(id(item))
         if isinstance(item, dict):
-            found += len(item)
+            count += len(item)
             todo += [*item.keys(), *item.values()]
         elif isinstance(item, (list, tuple, set, deque)):
-            found += len(item)
+            count += len(item)
             todo += item
         else:
             names = getattr(item, "__slots__", None) or vars(item) if hasattr(item, "__dict__") else ()
             names = names or getattr(item, "__slots__", ())
             todo += [getattr(item, name) for name in names if hasattr(item, name)]
-    return found
+    return count
 
 
-def test_a_volume_named_with_another_plan_or_other_hosts_is_another_book() -> None:
+def test_a_volume_with_another_plan_or_number_of_gateways_has_another_budget() -> None:
     driver = Driver(gateway_driver.settings(overload_window_us=0))
     driver.send_request(volume_id=7, plan_index=0, gateways_in_use=2.0)
-    node = driver.gateway.volumes.budgets[7, "small", 2.0]
-    left = node.reserve_units, node.share_units, node.plan, node.gateways_in_use
+    budget = driver.gateway.volumes.budgets[7, "small", 2.0]
+    before = budget.reserve_units, budget.share_units, budget.plan, budget.gateways_in_use
     for _ in range(20):
         driver.send_request(volume_id=7, plan_index=1, gateways_in_use=2.0, units=6.0)
         driver.send_request(volume_id=7, plan_index=0, gateways_in_use=1.0, units=6.0)
-    assert (node.reserve_units, node.share_units, node.plan, node.gateways_in_use) == left
+    assert (budget.reserve_units, budget.share_units, budget.plan, budget.gateways_in_use) == before
 
 
-def test_an_attempt_lost_by_itself_says_nothing_of_a_node_that_served_what_was_sent_later() -> None:
+def test_an_isolated_loss_does_not_count_against_a_node_that_served_a_later_request() -> None:
     driver = Driver(gateway_driver.settings(overload_window_us=0, retry_budget_window_us=0))
     node = driver.gateway.nodes[gateway_driver.node_id(0)]
     lost = driver.send_request()
@@ -249,24 +249,24 @@
                 driver.end_attempt(key)
     for _ in range(5):
         driver.send_request()
-    assert len(driver.in_flight) == 5, "the one that is stuck takes no slot, and the others are no trials"
+    assert len(driver.in_flight) == 5, "the stuck attempt takes no slot, and the others are no trials"
     driver.end_attempt((lost, 0), AttemptResult.TIMEOUT)
     assert not node.consecutive_failures and node.backoff_until <= driver.now
 
 
-def test_a_node_that_serves_nothing_later_hangs() -> None:
+def test_a_node_that_serves_no_later_request_hangs() -> None:
     driver = Driver(gateway_driver.settings(overload_window_us=0, retry_budget_window_us=0))
     for _ in range(4):
         driver.send_request()
     driver.pass_time(290_000)
     driver.send_request()
     driver.send_request()
-    assert len(driver.in_flight) == 5, "one trial beside the four that are stuck"
+    assert len(driver.in_flight) == 5, "one trial beside the four stuck attempts"
     driver.end_attempt((1, 0), AttemptResult.TIMEOUT)
     assert driver.gateway.nodes[gateway_driver.node_id(0)].consecutive_failures == 1
 
 
-def test_a_node_back_from_maintenance_is_cold_and_its_old_faults_are_forgotten() -> None:
+def test_a_node_back_from_maintenance_warms_up_and_its_failures_are_cleared() -> None:
     driver = Driver(gateway_driver.settings(retry_budget_window_us=0, initial_capacity_units=60.0))
     node = driver.gateway.nodes[gateway_driver.node_id(0)]
     node.consecutive_failures, node.backoff_until = 6, driver.now + 10 * SEC
@@ -274,7 +274,7 @@
     sent = len(driver.started)
     number = driver.send_request()
     driver.pass_time(20_000)
-    assert isinstance(driver.answers[number], RejectRequest), "what waits for it is refused at once"
+    assert isinstance(driver.answers[number], RejectRequest), "requests that wait for it are rejected at once"
     driver.list_nodes([(0, EndpointState.READY, driver.now)])
     driver.pass_time(3 * SEC)
     driver.set_maintenance(0, True)
@@ -282,40 +282,40 @@
     driver.pass_time(2 * SEC)
     assert node.warming_since == driver.now - 2 * SEC and not node.consecutive_failures
     driver.send_request()
-    assert len(driver.started) == sent + 1, "in use again at once"
+    assert len(driver.started) == sent + 1, "it is used again at once"
     before = node.listed_start_us
     driver.set_maintenance(0, False)
-    assert node.listed_start_us == before, "a call back of what is in use changes nothing"
+    assert node.listed_start_us == before, "ending maintenance of a node in use changes nothing"
 
 
-def room(driver: Driver, node: NodeRecord) -> float:
+def available_units(driver: Driver, node: NodeRecord) -> float:
     state = driver.gateway.state
     return driver.gateway.slow_start.capacity(state.now, node, state.process_count, False)[1]
 
 
-def test_two_processes_of_a_gateway_share_what_is_rationed() -> None:
+def test_two_processes_of_a_gateway_share_its_limits() -> None:
     driver = Driver(gateway_driver.settings(retry_budget_window_us=0), nodes=0)
     driver.feed()
     driver.pass_time(3 * SEC)
     driver.feed(SiblingProcessChanged(True))
     driver.list_nodes([(0, EndpointState.READY, driver.now)])
     node = driver.gateway.nodes[gateway_driver.node_id(0)]
-    half = room(driver, node)
+    half = available_units(driver, node)
     driver.feed(SiblingProcessChanged(False))
-    assert room(driver, node) == half, "what the other has sent counts for a window yet"
+    assert available_units(driver, node) == half, "units sent by the other count for one more window"
     request = RequestReceived(99, 0, 0, plan_index=1, volume_id=5)
-    capped = driver.gateway.volumes.open(request, driver.gateway.state.settings)
-    capped.limit_bucket.units = 0.0
+    budget = driver.gateway.volumes.open(request, driver.gateway.state.settings)
+    budget.limit_bucket.units = 0.0
     driver.pass_time(SEC // 10)
     driver.feed()
-    driver.gateway.volumes.refill(capped)
-    assert capped.limit_bucket.units == 1.0, "half of 20 a second"
+    driver.gateway.volumes.refill(budget)
+    assert budget.limit_bucket.units == 1.0, "half of 20 units per second"
     driver.pass_time(2 * SEC)
     driver.feed()
-    assert driver.gateway.state.process_count == 1 and room(driver, node) > 2 * half
+    assert driver.gateway.state.process_count == 1 and available_units(driver, node) > 2 * half
 
 
-def test_a_first_broken_connection_is_its_own_fault_and_a_second_one_the_nodes() -> None:
+def test_a_first_reset_is_a_fault_of_its_connection_and_a_second_one_of_the_node() -> None:
     driver = Driver(gateway_driver.settings(retry_budget_window_us=0, overload_window_us=0))
     node = driver.gateway.nodes[gateway_driver.node_id(0)]
     for _ in range(3):
@@ -323,7 +323,7 @@
     first, second, third = driver.in_flight
     driver.end_attempt(first, AttemptResult.RESET)
     assert node.backoff_until <= driver.now and driver.gateway.dispatcher.sendable_tiers(node)[0], (
-        "no pause, no single trials"
+        "no backoff, no single trials"
     )
     driver.end_attempt(second, AttemptResult.RESET)
     assert node.backoff_until > driver.now and not driver.gateway.dispatcher.sendable_tiers(node)[0]
--- a/tests/policy/test_outlier_blame.py
+++ b/tests/policy/test_outlier_blame.py
@@ -1,4 +1,4 @@
-"""What a node is blamed for: not for what the connection, or a client that leaves early, brought about."""
+"""Which failures count against a node: not those that a connection or an early deadline caused."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ..support import gateway_driver
 
 
-def test_a_late_connection_is_no_fault_of_a_node_that_has_served_what_was_sent_later() -> None:
+def test_a_failed_connection_does_not_count_against_a_node_that_served_a_later_request() -> None:
     driver = gateway_driver.Driver(gateway_driver.settings())
     driver.pass_time(3 * gateway_driver.SEC)
     late = driver.send_request()
@@ -23,30 +23,30 @@
     assert not node.consecutive_failures and node.backoff_until <= driver.now
 
 
-@pytest.mark.parametrize(("elapsed", "blamed"), [(60_000, False), (400_000, True)])
-def test_an_attempt_that_its_client_cut_short_is_no_hang_of_the_node(elapsed: int, blamed: bool) -> None:
-    """One that ran out of time sooner than a node is allowed to take says nothing of the node."""
+@pytest.mark.parametrize(("elapsed", "counted"), [(60_000, False), (400_000, True)])
+def test_a_timeout_by_an_early_deadline_does_not_count_against_the_node(elapsed: int, counted: bool) -> None:
+    """An attempt that times out sooner than a node may take says nothing about the node."""
     driver = gateway_driver.Driver(gateway_driver.settings())
     driver.pass_time(3 * gateway_driver.SEC)
     driver.send_request(deadline_after_us=elapsed)
     (send,) = driver.started
     node = driver.gateway.nodes[send.node_id]
-    learnt = list(node.latency_us)
-    driver.pass_time(elapsed + 500_000)  # its time is up, and the control loop has had a period
+    latency_before = list(node.latency_us)
+    driver.pass_time(elapsed + 500_000)  # past its deadline and the end of a control period
     assert not driver.in_flight
-    assert bool(node.consecutive_failures) is blamed
-    assert bool(driver.gateway.recovery.shards) is blamed
-    assert (node.latency_us != learnt) is blamed
+    assert bool(node.consecutive_failures) is counted
+    assert bool(driver.gateway.recovery.shards) is counted
+    assert (node.latency_us != latency_before) is counted
 
 
-def test_a_request_that_cannot_begin_is_refused_before_half_of_its_time_is_over() -> None:
-    """From there on a refusal costs a part of its worth, though nothing was sent."""
+def test_a_request_that_cannot_start_is_rejected_before_half_of_its_time_has_passed() -> None:
+    """From then on a rejection costs a part of its weight, even if nothing was sent."""
     driver = gateway_driver.Driver(gateway_driver.settings())
     driver.pass_time(3 * gateway_driver.SEC)
     for number in range(8):  # more than the window holds
         driver.send_request(key=number)
-    began = driver.now
-    waits = driver.send_request(deadline_after_us=240_000, key=9)
-    assert waits in driver.gateway.pending
+    received_at = driver.now
+    waiting = driver.send_request(deadline_after_us=240_000, key=9)
+    assert waiting in driver.gateway.pending
     driver.pass_time(119_000)
-    assert waits not in driver.gateway.pending and driver.now - began < 120_000
+    assert waiting not in driver.gateway.pending and driver.now - received_at < 120_000
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -1,4 +1,4 @@
-"""The recovery decisions by example: evidence of faults, queue, priorities, Retry-After, bounded memory."""
+"""Recovery decisions: evidence of faults, recovery queue, priorities, Retry-After, bounded memory."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 
 
 def recovery(**more: Any) -> RecoveryRamp:
-    given = settings(**more)
-    return RecoveryRamp(given, SlowStart(given, 0), random.Random(3))
+    changed = settings(**more)
+    return RecoveryRamp(changed, SlowStart(changed, 0), random.Random(3))
 
 
 def request(number: int = 1, **more: Any) -> RequestReceived:
@@ -57,24 +57,32 @@
 
 
 def pending_request(ramp: RecoveryRamp, number: int = 1, **more: Any) -> PendingRequest:
-    """A request that has come."""
-    given, pending = settings(), request(number, **more)
-    volume = VolumeBudget(given.plans[0], 1.0, NOW, 0.0, 0.0, limit_bucket=None)  # type: ignore[arg-type]
-    spec, units = given.classes[0], pending.units
-    made = PendingRequest(number, 0, spec, volume, pending.shard, False, units, NOW, 0, NOW + SEC, None, 3)
-    ramp.request_received(NOW, made, pending)
-    return made
+    """Return a request that the ramp has received."""
+    default, received = settings(), request(number, **more)
+    volume = VolumeBudget(default.plans[0], 1.0, NOW, 0.0, 0.0, limit_bucket=None)  # type: ignore[arg-type]
+    request_class, units = default.classes[0], received.units
+    pending = PendingRequest(
+        number, 0, request_class, volume, received.shard, False, units, NOW, 0, NOW + SEC, None, 3
+    )
+    ramp.request_received(NOW, pending, received)
+    return pending
 
 
-def node(cold: bool = False, started: int = 0) -> NodeRecord:
+def node(warming: bool = False, started: int = 0) -> NodeRecord:
     return NodeRecord(
-        b"n", 0, 0, [1.0, 1.0, 1.0], [1.0], listed_start_us=started, warming_since=started if cold else None
+        b"n",
+        0,
+        0,
+        [1.0, 1.0, 1.0],
+        [1.0],
+        listed_start_us=started,
+        warming_since=started if warming else None,
     )
 
 
 def take_down(ramp: RecoveryRamp, tickets: int = 0, first: int = 1) -> list[PendingRequest]:
-    """Its node is gone, and some requests were rejected for that."""
-    ramp.node_removed(NOW, 0, "gone")
+    """Remove the node of shard 0 and reject some requests; return these."""
+    ramp.node_removed(NOW, 0, "removed")
     requests = [pending_request(ramp, first + n) for n in range(tickets)]
     for each in requests:
         ramp.record_rejection(NOW, each, RejectionReason.IN_MAINTENANCE, None)
@@ -88,57 +96,57 @@
 # ---- the queue ----
 
 
-def queue_with(bears: float = 10.0, fresh: float = 0.0) -> RecoveryQueue:
-    made = RecoveryQueue(0, NOW)
-    made.capacity_per_s, made.new_per_s = bears, fresh
-    return made
+def queue_with(capacity_per_s: float = 10.0, new_per_s: float = 0.0) -> RecoveryQueue:
+    queue = RecoveryQueue(0, NOW)
+    queue.capacity_per_s, queue.new_per_s = capacity_per_s, new_per_s
+    return queue
 
 
-def test_new_requests_are_taken_off_the_capacity_but_not_all_of_it() -> None:
+def test_new_requests_reduce_the_capacity_for_retries_but_not_to_zero() -> None:
     assert queue_with(10.0, 4.0).retry_rate == 6.0
     assert queue_with(10.0, 400.0).retry_rate == 10.0 * (1 - MAX_NEW_SHARE)
 
 
-def test_a_turn_comes_after_all_before_it_as_fast_as_the_queue_advances() -> None:
-    ramp = queue_with(10.0)
-    tags = [ramp.enter(("p", "c"), 2.0, 5.0) for _ in range(3)]
-    assert [ramp.wait_us(tag) for tag in tags] == [0, 500_000, 1_000_000]
-    ramp.advance(NOW + 750_000)
-    assert [ramp.wait_us(tag) for tag in tags] == [0, 0, 250_000]
-    assert queue_with(0.0).wait_us(1.0) is None, "it stands still"
+def test_a_ticket_is_due_after_all_before_it_as_fast_as_the_queue_advances() -> None:
+    queue = queue_with(10.0)
+    tags = [queue.enter(("p", "c"), 2.0, 5.0) for _ in range(3)]
+    assert [queue.wait_us(tag) for tag in tags] == [0, 500_000, 1_000_000]
+    queue.advance(NOW + 750_000)
+    assert [queue.wait_us(tag) for tag in tags] == [0, 0, 250_000]
+    assert queue_with(0.0).wait_us(1.0) is None, "the queue is stopped"
 
 
-def test_flows_are_served_by_their_weight() -> None:
-    ramp = queue_with(9.0)
-    light = [ramp.enter(("a", "c"), 1.0, 1.0) for _ in range(6)]
-    heavy = [ramp.enter(("b", "c"), 2.0, 1.0) for _ in range(6)]
-    ramp.advance(NOW + SEC)
-    assert sum(tag < ramp.progress for tag in heavy) == 2 * sum(tag < ramp.progress for tag in light) == 6
+def test_flows_are_served_in_proportion_to_their_weights() -> None:
+    queue = queue_with(9.0)
+    light = [queue.enter(("a", "c"), 1.0, 1.0) for _ in range(6)]
+    heavy = [queue.enter(("b", "c"), 2.0, 1.0) for _ in range(6)]
+    queue.advance(NOW + SEC)
+    assert sum(tag < queue.progress for tag in heavy) == 2 * sum(tag < queue.progress for tag in light) == 6
 
 
 def test_the_queue_does_not_advance_while_due_retries_wait() -> None:
-    ramp = queue_with(10.0)
-    ramp.enter(("p", "c"), 1.0, 1.0)
-    ramp.due_units = DUE_BACKLOG_S * 10 + 0.1
-    ramp.advance(NOW + SEC)
-    assert ramp.progress == 0.0
-    ramp.due_units = 0.0
-    ramp.advance(NOW + 2 * SEC)
-    assert ramp.progress == 10.0
+    queue = queue_with(10.0)
+    queue.enter(("p", "c"), 1.0, 1.0)
+    queue.due_units = DUE_BACKLOG_S * 10 + 0.1
+    queue.advance(NOW + SEC)
+    assert queue.progress == 0.0
+    queue.due_units = 0.0
+    queue.advance(NOW + 2 * SEC)
+    assert queue.progress == 10.0
 
 
 def test_the_rate_of_new_requests_is_smoothed_over_control_periods() -> None:
-    ramp = queue_with()
+    queue = queue_with()
     for _ in range(30):
-        ramp.new_units = 2.0
-        ramp.end_period(0.5)
-    assert 3.9 < ramp.new_per_s <= 4.0 and ramp.new_units == 0.0
+        queue.new_units = 2.0
+        queue.end_period(0.5)
+    assert 3.9 < queue.new_per_s <= 4.0 and queue.new_units == 0.0
 
 
 # ---- evidence ----
 
 
-def test_a_node_is_failing_after_points_in_a_row_and_one_answer_clears_them() -> None:
+def test_a_node_is_failing_after_consecutive_points_and_one_served_attempt_clears_them() -> None:
     ramp = recovery()
     pending = pending_request(ramp)
     for _ in range(3):
@@ -150,7 +158,7 @@
         ramp.attempt_ended(NOW, pending, AttemptResult.RESET)
     assert phase(ramp) is ShardPhase.FAILING and ramp.shards[0].health.failure_points >= FAILING_POINTS
     ramp.attempt_ended(NOW, pending, AttemptResult.REJECTED)
-    assert ramp.shards[0].health.failure_points == 24, "that it is full says nothing against it"
+    assert ramp.shards[0].health.failure_points == 24, "a rejection by a full node is no failure"
 
 
 def test_a_failing_node_gets_one_trial_at_a_time_after_its_backoff() -> None:
@@ -164,12 +172,12 @@
     assert ramp.may_send(NOW, 1, 9), "another shard"
     for _ in range(12):
         ramp.attempt_ended(at, pending_request(ramp), AttemptResult.TIMEOUT)
-    assert ramp.shards[0].health.trial_wait_us == LONGEST_TRIAL_WAIT_US, "doubled each time, up to a bound"
-    assert ramp.attempt_ended(at, pending_request(ramp), AttemptResult.SERVED), "a trial that it stood"
+    assert ramp.shards[0].health.trial_wait_us == LONGEST_TRIAL_WAIT_US, "doubled each time, up to a limit"
+    assert ramp.attempt_ended(at, pending_request(ramp), AttemptResult.SERVED), "a served trial"
     assert phase(ramp) is ShardPhase.RECOVERING and ramp.may_send(at, 0, 9)
 
 
-def test_a_node_that_failed_trials_lately_is_failing_again_at_once() -> None:
+def test_a_node_that_failed_trials_recently_is_failing_again_at_once() -> None:
     ramp = recovery()
     for _ in range(5):
         ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.RESET)
@@ -178,17 +186,17 @@
     assert phase(ramp) is ShardPhase.FAILING
 
 
-def test_a_timeout_doubles_the_next_timeout_up_to_a_bound() -> None:
+def test_a_timeout_doubles_the_next_timeout_up_to_a_limit() -> None:
     ramp = recovery()
     pending = pending_request(ramp)
-    told = []
+    factors = []
     for _ in range(5):
-        told.append(ramp.timeout_factor(pending))
+        factors.append(ramp.timeout_factor(pending))
         ramp.attempt_ended(NOW, pending, AttemptResult.TIMEOUT)
-    assert told == [1, 2, 4, 8, 8]
+    assert factors == [1, 2, 4, 8, 8]
 
 
-def test_a_retry_keeps_the_timeouts_of_its_client() -> None:
+def test_a_retry_keeps_the_timeouts_of_the_rejected_request() -> None:
     ramp = recovery()
     first = pending_request(ramp)
     ramp.attempt_ended(NOW, first, AttemptResult.TIMEOUT)
@@ -201,29 +209,29 @@
 # ---- the endpoint list ----
 
 
-def test_a_node_that_the_list_drops_and_names_again_warms_up() -> None:
+def test_a_node_that_is_removed_from_the_list_and_listed_again_warms_up() -> None:
     ramp = recovery()
-    ramp.node_removed(NOW, 0, "gone")
-    ramp.node_ready(NOW + 9 * SEC, node(cold=True, started=NOW + 8 * SEC))
+    ramp.node_removed(NOW, 0, "removed")
+    ramp.node_ready(NOW + 9 * SEC, node(warming=True, started=NOW + 8 * SEC))
     assert phase(ramp) is ShardPhase.WARMING_UP and list(ramp.retry_after.list_delays_us) == [SEC]
 
 
-def test_a_restart_that_the_list_tells_makes_a_node_warm_up() -> None:
+def test_a_node_that_is_listed_with_a_new_start_warms_up() -> None:
     ramp = recovery()
-    ramp.node_removed(NOW, 0, "gone")
+    ramp.node_removed(NOW, 0, "removed")
     ramp.node_ready(NOW, node(started=5))
-    ramp.node_ready(NOW + SEC, node(cold=True, started=NOW))
+    ramp.node_ready(NOW + SEC, node(warming=True, started=NOW))
     assert phase(ramp) is ShardPhase.WARMING_UP
 
 
 def test_a_list_with_the_same_start_leaves_a_failing_node_failing() -> None:
     ramp = recovery()
-    ramp.node_removed(NOW, 0, "gone")
+    ramp.node_removed(NOW, 0, "removed")
     ramp.node_ready(NOW, node(started=5))
     for _ in range(4):
         ramp.attempt_ended(NOW, pending_request(ramp), AttemptResult.RESET)
     ramp.node_ready(NOW, node(started=5))
-    assert phase(ramp) is ShardPhase.FAILING, "the same process: it has to stand a trial"
+    assert phase(ramp) is ShardPhase.FAILING, "the same process: it has to serve a trial"
 
 
 def test_retry_after_of_a_shard_that_is_down_follows_the_delay_of_the_list() -> None:
@@ -252,10 +260,10 @@
 def test_two_restarts_within_a_warm_up() -> None:
     ramp = recovery()
     take_down(ramp)
-    ramp.node_ready(NOW, node(cold=True, started=NOW))
-    ramp.node_ready(NOW + SEC, node(cold=True, started=NOW + SEC))
+    ramp.node_ready(NOW, node(warming=True, started=NOW))
+    ramp.node_ready(NOW + SEC, node(warming=True, started=NOW + SEC))
     assert phase(ramp) is ShardPhase.WARMING_UP and ramp.shards[0].health.phase_since == NOW + SEC
-    ramp.end_control_period(NOW + 30 * SEC, {0: node(cold=True, started=NOW + SEC)}, 1)
+    ramp.end_control_period(NOW + 30 * SEC, {0: node(warming=True, started=NOW + SEC)}, 1)
     assert phase(ramp) is ShardPhase.RECOVERING
 
 
@@ -270,15 +278,15 @@
     ticket = ramp.tickets.find(pending_request(ramp, 1).fingerprint)
     assert ticket is not None
     ticket.retry_at = NOW
-    due, fresh = pending_request(ramp, 1), pending_request(ramp, 99)
+    due, new = pending_request(ramp, 1), pending_request(ramp, 99)
     early = pending_request(ramp, 2)
-    late = ramp.tickets.find(early.fingerprint)
-    assert late is not None
-    late.retry_at, late.tag = NOW, 5.0
-    asking = pending_request(ramp, 2)
+    later_ticket = ramp.tickets.find(early.fingerprint)
+    assert later_ticket is not None
+    later_ticket.retry_at, later_ticket.tag = NOW, 5.0
+    in_time = pending_request(ramp, 2)
     retried = pending_request(ramp, 98)
     retried.attempts = 1
-    order = [ramp.priority(each) for each in (due, fresh, asking, early, retried)]
+    order = [ramp.priority(each) for each in (due, new, in_time, early, retried)]
     assert order == [
         QueuePriority.DUE_RETRY,
         QueuePriority.NEW,
@@ -289,7 +297,7 @@
     assert order == sorted(order, reverse=True)
     ramp.request_dequeued(due)
     assert due.queue_priority is QueuePriority.NEW and ramp.shards[0].queue.due_units == 0.0, (
-        "it holds nobody up any more"
+        "it no longer blocks others"
     )
 
 
@@ -301,7 +309,7 @@
     ramp.record_rejection(NOW, pending_request(ramp, 1), RejectionReason.IN_MAINTENANCE, None)
     after = ramp.tickets.find(requests[0].fingerprint)
     assert after is not None and after.tag > 0 and ramp.shards[0].queue.ticket_count == 4, (
-        "and has no second place"
+        "and it has no second ticket"
     )
 
 
@@ -313,7 +321,7 @@
     assert (
         ramp.is_contended(0) and ramp.ordering_queue(0) is ramp.shards[0].queue and not ramp.is_contended(1)
     )
-    assert ramp.window_bounds(0, 4.0) == (0.0, 1.0), "while it is away there is none"
+    assert ramp.window_bounds(0, 4.0) == (0.0, 1.0), "no limits while the node is down"
     ramp.node_ready(NOW, node())
     assert ramp.window_bounds(0, 4.0) == (CONTENDED_IN_FLIGHT / 2, CONTENDED_LATENCY_SHARE)
     assert ramp.window_bounds(0, 1.5) == (1.5, CONTENDED_LATENCY_SHARE)
@@ -321,16 +329,16 @@
 
 def test_a_shard_is_unavailable_for_long_after_four_objectives() -> None:
     ramp = recovery()
-    ramp.node_removed(NOW, 0, "gone")
-    aims = 4 * 400_000
-    assert not ramp.unavailable_for_long(NOW + aims, 0) and ramp.unavailable_for_long(NOW + aims + 1, 0)
-    ramp.node_ready(NOW + aims + 1, node())
-    assert not ramp.unavailable_for_long(NOW + 9 * aims, 0)
+    ramp.node_removed(NOW, 0, "removed")
+    limit = 4 * 400_000
+    assert not ramp.unavailable_for_long(NOW + limit, 0) and ramp.unavailable_for_long(NOW + limit + 1, 0)
+    ramp.node_ready(NOW + limit + 1, node())
+    assert not ramp.unavailable_for_long(NOW + 9 * limit, 0)
 
 
 def test_a_client_that_disconnected_has_one_ticket() -> None:
     ramp = recovery()
-    ramp.node_removed(NOW, 0, "gone")
+    ramp.node_removed(NOW, 0, "removed")
     pending = pending_request(ramp)
     ramp.client_disconnected(NOW, pending)
     ramp.client_disconnected(NOW, pending)
@@ -343,26 +351,26 @@
 
 
 def test_retry_after_times_are_spread_evenly_and_differ_between_gateways() -> None:
-    ramp, other = (RetrySchedule(random.Random(n), LONGEST) for n in (1, 2))
-    told = [ramp.choose(NOW, 100_000, LONGEST) for _ in range(200)]
-    assert all(100_000 <= wait <= LONGEST for wait in told)
-    slots = Counter((NOW + wait) // (LONGEST // SLOTS) for wait in told)
+    schedule, other = (RetrySchedule(random.Random(n), LONGEST) for n in (1, 2))
+    waits = [schedule.choose(NOW, 100_000, LONGEST) for _ in range(200)]
+    assert all(100_000 <= wait <= LONGEST for wait in waits)
+    slots = Counter((NOW + wait) // (LONGEST // SLOTS) for wait in waits)
     assert max(slots.values()) <= 2 * 200 / (SLOTS * 0.8) and len(slots) >= 45
-    assert told != [other.choose(NOW, 100_000, LONGEST) for _ in range(200)]
+    assert waits != [other.choose(NOW, 100_000, LONGEST) for _ in range(200)]
 
 
 def test_recorded_times_count_and_old_rounds_of_the_ring_do_not() -> None:
-    ramp = RetrySchedule(random.Random(1), LONGEST)
-    width = LONGEST // SLOTS
+    schedule = RetrySchedule(random.Random(1), LONGEST)
+    slot_us = LONGEST // SLOTS
     for _ in range(50):
-        ramp.record(NOW, 10 * width)
-    near = [ramp.choose(NOW, 8 * width, 13 * width) for _ in range(12)]
-    assert not any((NOW + wait) // width == (NOW + 10 * width) // width for wait in near)
-    later = NOW + 2 * SLOTS * width * 3
-    assert ramp._count((later + 10 * width) // width) == 0
+        schedule.record(NOW, 10 * slot_us)
+    near = [schedule.choose(NOW, 8 * slot_us, 13 * slot_us) for _ in range(12)]
+    assert not any((NOW + wait) // slot_us == (NOW + 10 * slot_us) // slot_us for wait in near)
+    later = NOW + 2 * SLOTS * slot_us * 3
+    assert schedule._count((later + 10 * slot_us) // slot_us) == 0
 
 
-def test_a_client_whose_turn_is_near_is_told_it() -> None:
+def test_a_client_whose_turn_is_near_gets_its_time() -> None:
     ramp = recovery()
     requests = take_down(ramp, ORDERING_TICKETS)
     ramp.node_ready(NOW, node())
@@ -374,8 +382,8 @@
     wait = queue.wait_us(ticket.tag)
     assert wait is not None
     rejected = pending_request(ramp, ORDERING_TICKETS)
-    told = ramp.record_rejection(NOW, rejected, RejectionReason.OBJECTIVE_MISSED, node())
-    assert told == wait if 5000 <= wait < LONGEST else told <= LONGEST
+    retry_after = ramp.record_rejection(NOW, rejected, RejectionReason.OBJECTIVE_MISSED, node())
+    assert retry_after == wait if 5000 <= wait < LONGEST else retry_after <= LONGEST
 
 
 def test_rejections_at_a_shard_that_serves_are_spread_and_leave_no_ticket() -> None:
@@ -391,14 +399,14 @@
 # ---- memory ----
 
 
-def test_tickets_are_bounded_and_the_oldest_go() -> None:
+def test_tickets_are_bounded_and_the_oldest_are_dropped() -> None:
     tickets = RetryTickets(1)
-    gone = 0
-    for mark in range(1_000_000):
-        ticket = RetryTicket(mark, 0, None, 1.0, 0.0, NOW + mark, 0, NOW)
-        gone += tickets.keep(ticket) is not None
-    assert len(tickets) == MAX_TICKETS and gone == 1_000_000 - MAX_TICKETS
-    assert tickets.find(0) is None and tickets.find(999_999) is not None, "the oldest go"
+    dropped = 0
+    for fingerprint in range(1_000_000):
+        ticket = RetryTicket(fingerprint, 0, None, 1.0, 0.0, NOW + fingerprint, 0, NOW)
+        dropped += tickets.keep(ticket) is not None
+    assert len(tickets) == MAX_TICKETS and dropped == 1_000_000 - MAX_TICKETS
+    assert tickets.find(0) is None and tickets.find(999_999) is not None, "the oldest are dropped"
     assert tickets.pop_overdue(NOW) is None
     first = tickets.pop_overdue(NOW + 2_000_000)
     assert first is not None and first.fingerprint == 1_000_000 - MAX_TICKETS
@@ -438,42 +446,42 @@
 
 
 class Tickets(RuleBasedStateMachine):
-    """Requests that are received, rejected, served, cancelled and retried, against plain counts."""
+    """Requests that are received, rejected, served, cancelled and retried; checked against plain counts."""
 
     @initialize()
     def begin(self) -> None:
         self.ramp, self.now = recovery(), NOW
         self.ramp.tickets.max_tickets = 12
-        self.ramp.node_removed(NOW, 0, "gone")
+        self.ramp.node_removed(NOW, 0, "removed")
 
-    def come(self, number: int) -> PendingRequest:
-        given, pending = settings(), request(number)
-        volume = VolumeBudget(given.plans[0], 1.0, NOW, 0.0, 0.0, limit_bucket=None)  # type: ignore[arg-type]
-        made = PendingRequest(
-            number, 0, given.classes[0], volume, 0, False, 1.0, self.now, 0, NOW + SEC, None, 3
+    def receive(self, number: int) -> PendingRequest:
+        default, received = settings(), request(number)
+        volume = VolumeBudget(default.plans[0], 1.0, NOW, 0.0, 0.0, limit_bucket=None)  # type: ignore[arg-type]
+        pending = PendingRequest(
+            number, 0, default.classes[0], volume, 0, False, 1.0, self.now, 0, NOW + SEC, None, 3
         )
-        self.ramp.request_received(self.now, made, pending)
-        return made
+        self.ramp.request_received(self.now, pending, received)
+        return pending
 
     @rule(number=st.integers(1, 30))
-    def refused(self, number: int) -> None:
-        pending_request = self.come(number)
+    def reject(self, number: int) -> None:
+        pending_request = self.receive(number)
         wait = self.ramp.record_rejection(self.now, pending_request, RejectionReason.OBJECTIVE_MISSED, None)
         self.ramp.request_dequeued(pending_request)
         assert 0 < wait <= LONGEST
         assert self.ramp.tickets.find(pending_request.fingerprint) is not None or 0 not in self.ramp.shards
 
     @rule(number=st.integers(1, 30))
-    def served(self, number: int) -> None:
-        pending_request = self.come(number)
+    def serve(self, number: int) -> None:
+        pending_request = self.receive(number)
         self.ramp.request_dequeued(pending_request)
         self.ramp.attempt_ended(self.now, pending_request, AttemptResult.SERVED)
         if 0 in self.ramp.shards:
             assert self.ramp.tickets.find(pending_request.fingerprint) is None
 
     @rule(number=st.integers(1, 30))
-    def gone(self, number: int) -> None:
-        pending_request = self.come(number)
+    def disconnect(self, number: int) -> None:
+        pending_request = self.receive(number)
         self.ramp.request_dequeued(pending_request)
         self.ramp.client_disconnected(self.now, pending_request)
 
@@ -486,7 +494,7 @@
 
     @precondition(lambda self: not self.up)
     @rule()
-    def back(self) -> None:
+    def bring_up(self) -> None:
         self.up = True
         self.ramp.node_ready(self.now, node(started=self.now))
 
@@ -494,11 +502,11 @@
     @rule()
     def take_down(self) -> None:
         self.up = False
-        self.ramp.node_removed(self.now, 0, "gone")
+        self.ramp.node_removed(self.now, 0, "removed")
 
     @precondition(lambda self: self.up and 0 in self.ramp.shards and self.ramp.shards[0].queue.ticket_count)
     @rule()
-    def moves(self) -> None:
+    def advance_queue(self) -> None:
         """The queue advances while the node has capacity and no due retry waits."""
         queue = self.ramp.shards[0].queue
         self.ramp.update_capacity(self.now, 0, node(), 1)
@@ -516,7 +524,7 @@
             assert not tickets
             return
         queue = recovering.queue
-        assert queue.ticket_count == len(tickets) == sum(lane.tickets for lane in queue.flows.values())
+        assert queue.ticket_count == len(tickets) == sum(flow.tickets for flow in queue.flows.values())
         assert abs(queue.ticket_units - sum(ticket.units for ticket in tickets)) < 1e-6
         assert queue.due_units >= 0 and len({ticket.fingerprint for ticket in tickets}) == len(tickets)
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,8 +1,9 @@
-"""Rule 4 with many gateways at once, judged by what the node could do and not by the gateways' books.
+"""Rule 4 with many gateways at once, checked against a model of the node, not the gateways' records.
 
-The node here is the weakest that the settings allow: it starts at the cold share of its power, grows evenly
-and as late as allowed, and falls over when the units sent to it in one window pass the multiple of what it
-can do in that window.  Messages between gateways arrive late, or are lost."""
+The node is the weakest that the settings allow: it starts at the initial share of its capacity, warms up
+linearly and as late as allowed, and fails when the units sent to it in one window exceed the overload factor
+times its capacity in that window.  Messages between gateways arrive late, or are lost.
+"""
 
 from __future__ import annotations
 
@@ -31,17 +32,23 @@
 from ..support.gateway_driver import SEC
 
 NODE = gateway_driver.node_id(1)
-STEP = 10_000
-AIM = 500_000
+STEP_US = 10_000
+OBJECTIVE_US = 500_000
 
 
 class Fleet:
-    """Many gateways with work for one node that has just started."""
+    """Many gateways with requests for one node that has just started.
 
-    def __init__(self, gateways: int, busy: int, talk: bool, loss: float, restarts: bool) -> None:
-        self.given = [
+    :param busy: the number of gateways that receive requests.
+    :param messages: whether the gateways may exchange messages.
+    :param loss: the share of lost messages.
+    :param restarts: whether gateways are killed and restarted at random.
+    """
+
+    def __init__(self, gateways: int, busy: int, messages: bool, loss: float, restarts: bool) -> None:
+        self.settings = [
             gateway_driver.settings(
-                classes=(RequestClass("get", AIM, 2 * SEC),),
+                classes=(RequestClass("get", OBJECTIVE_US, 2 * SEC),),
                 plans=(Plan("plan", 50.0, 50.0),),
                 gateway_count=gateways,
                 gateway_index=me,
@@ -51,93 +58,97 @@
                 warm_up_us=17 * SEC,
                 initial_capacity_units=12.0,
                 retry_budget_window_us=0,
-                peer_messages_allowed=talk,
+                peer_messages_allowed=messages,
             )
             for me in range(gateways)
         ]
         self.rng, self.now, self.start, self.busy = random.Random(5), 100 * SEC, 103 * SEC, busy
         self.loss, self.restarts = loss, restarts
-        self.hosts = [Gateway(given, me, self.now) for me, given in enumerate(self.given)]
-        self.inbox: list[tuple[int, int, Event]] = []
-        self.queue: deque[tuple[int, int, StartAttempt, float]] = deque()  # sent at, gateway, send, work left
-        self.units: dict[int, float] = {}
-        self.sent: list[tuple[int, float]] = []
-        self.answered: list[int] = []
+        self.gateways = [Gateway(settings, me, self.now) for me, settings in enumerate(self.settings)]
+        self.events: list[tuple[int, int, Event]] = []  # time, gateway, event
+        self.queue: deque[tuple[int, int, StartAttempt, float]] = deque()  # time, gateway, attempt, units
+        self.units: dict[int, float] = {}  # by request
+        self.sent: list[tuple[int, float]] = []  # time, units
+        self.answered: list[int] = []  # times
         self.next_id = 1
         for me in range(gateways):
-            self.give(me, EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 1),)))
+            self.handle(me, EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 1),)))
 
-    def give(self, me: int, event: Event) -> None:
-        for action in self.hosts[me].handle(self.now, [event]):
+    def handle(self, me: int, event: Event) -> None:
+        for action in self.gateways[me].handle(self.now, [event]):
             if isinstance(action, StartAttempt):
                 self.queue.append((self.now, me, action, self.units[action.request_id]))
                 self.sent.append((self.now, self.units[action.request_id]))
             elif isinstance(action, SetTimer):
-                self.inbox.append((action.at_us, me, TimerFired(action.token)))
+                self.events.append((action.at_us, me, TimerFired(action.token)))
             elif isinstance(action, SendPeerMessage):
-                to = range(len(self.hosts)) if action.to is None else [action.to]
-                for peer in to:
+                receivers = range(len(self.gateways)) if action.to is None else [action.to]
+                for peer in receivers:
                     if peer != me and self.rng.random() >= self.loss:
-                        late = self.now + self.rng.randrange(1500, 19_000)
-                        self.inbox.append((late, peer, PeerMessageReceived(me, action.data)))
+                        arrives_at = self.now + self.rng.randrange(1500, 19_000)
+                        self.events.append((arrives_at, peer, PeerMessageReceived(me, action.data)))
 
-    def power(self, at: int) -> float:
-        """Units a second of the weakest legal node at that time."""
-        given = self.given[0]
+    def capacity_per_s(self, at: int) -> float:
+        """Return the capacity of the weakest allowed node at a time, in units per second."""
+        settings = self.settings[0]
         full = (
-            given.initial_capacity_units
-            / (given.overload_window_us / SEC)
-            / given.overload_factor
-            / given.initial_capacity_share
+            settings.initial_capacity_units
+            / (settings.overload_window_us / SEC)
+            / settings.overload_factor
+            / settings.initial_capacity_share
         )
-        age = min(1.0, max(0.0, (at - self.start) / given.warm_up_us))
-        return full * (given.initial_capacity_share + (1 - given.initial_capacity_share) * age)
+        age = min(1.0, max(0.0, (at - self.start) / settings.warm_up_us))
+        return full * (settings.initial_capacity_share + (1 - settings.initial_capacity_share) * age)
 
-    def bears(self, until: int) -> float:
-        """Units that it bears in the window that ends then."""
-        marks = [until - SEC + SEC * (i * 2 + 1) // 40 for i in range(20)]
-        return self.given[0].overload_factor * sum(self.power(mark) for mark in marks) / 20
+    def allowed_units(self, until: int) -> float:
+        """Return the units that do not overload the node in the window that ends at ``until``."""
+        times = [until - SEC + SEC * (i * 2 + 1) // 40 for i in range(20)]
+        return self.settings[0].overload_factor * sum(self.capacity_per_s(at) for at in times) / 20
 
     def run(self, span: int) -> None:
         end = self.now + span
         while self.now < end:
-            self.now += STEP
-            due = [item for item in self.inbox if item[0] <= self.now]
-            self.inbox = [item for item in self.inbox if item[0] > self.now]
-            if self.now - STEP < self.start <= self.now:
+            self.now += STEP_US
+            due = [item for item in self.events if item[0] <= self.now]
+            self.events = [item for item in self.events if item[0] > self.now]
+            if self.now - STEP_US < self.start <= self.now:
                 self.queue.clear()
-                for me in range(len(self.hosts)):
-                    late = self.now + self.rng.randrange(0, 800_000)
-                    news = EndpointList(EndpointListKind.CHANGES, (Endpoint(NODE, 1, started_us=self.start),))
-                    self.inbox.append((late, me, news))
+                for me in range(len(self.gateways)):
+                    listed_at = self.now + self.rng.randrange(0, 800_000)
+                    changes = EndpointList(
+                        EndpointListKind.CHANGES, (Endpoint(NODE, 1, started_us=self.start),)
+                    )
+                    self.events.append((listed_at, me, changes))
             if self.restarts and self.now > self.start and self.rng.random() < 0.02:
-                me = self.rng.randrange(self.busy)  # killed, and back at once with the list it had
-                self.hosts[me] = Gateway(self.given[me], me, self.now)
-                self.inbox = [i for i in self.inbox if i[1] != me]
-                line = Endpoint(NODE, 1, started_us=self.start)
-                self.give(me, EndpointList(EndpointListKind.CACHED, (line,)))
+                me = self.rng.randrange(self.busy)  # killed, and restarted at once with its cached list
+                self.gateways[me] = Gateway(self.settings[me], me, self.now)
+                self.events = [i for i in self.events if i[1] != me]
+                endpoint = Endpoint(NODE, 1, started_us=self.start)
+                self.handle(me, EndpointList(EndpointListKind.CACHED, (endpoint,)))
             for _, me, event in due:
-                self.give(me, event)
-            work = self.power(self.now) * STEP / SEC
-            while self.queue and work > 0:
-                at, me, send, left = self.queue.popleft()
-                if left > work:
-                    self.queue.appendleft((at, me, send, left - work))
+                self.handle(me, event)
+            capacity = self.capacity_per_s(self.now) * STEP_US / SEC
+            while self.queue and capacity > 0:
+                at, me, attempt, left = self.queue.popleft()
+                if left > capacity:
+                    self.queue.appendleft((at, me, attempt, left - capacity))
                     break
-                work -= left
+                capacity -= left
                 self.answered.append(self.now)
-                taken = self.now - at
-                self.give(me, AttemptEnded(send.request_id, 0, NODE, AttemptResult.SERVED, taken, True))
+                elapsed_us = self.now - at
+                self.handle(
+                    me, AttemptEnded(attempt.request_id, 0, NODE, AttemptResult.SERVED, elapsed_us, True)
+                )
             for me in range(self.busy):
                 if self.now > self.start + 900_000 and self.rng.random() < 0.1:
-                    size = self.rng.choice([1.0, 1.0, 2.0, 2.0, 3.0, 6.0])
-                    self.units[self.next_id] = size
-                    ask = RequestReceived(self.next_id, 0, self.now + 2 * SEC, 1, 0, size, 0, me, 1.0)
+                    units = self.rng.choice([1.0, 1.0, 2.0, 2.0, 3.0, 6.0])
+                    self.units[self.next_id] = units
+                    request = RequestReceived(self.next_id, 0, self.now + 2 * SEC, 1, 0, units, 0, me, 1.0)
                     self.next_id += 1
-                    self.give(me, ask)
-            window = [units for at, units in self.sent if self.now - SEC < at <= self.now]
+                    self.handle(me, request)
+            window = [sent for at, sent in self.sent if self.now - SEC < at <= self.now]
             if self.now > self.start + SEC:
-                assert sum(window) <= self.bears(self.now), "the node fell over"
+                assert sum(window) <= self.allowed_units(self.now), "the node was overloaded"
         self.sent = [item for item in self.sent if item[0] > self.now - SEC]
 
 
@@ -154,7 +165,7 @@
     fleet = Fleet(50, 3, True, 0.0, False)
     fleet.run(6 * SEC)
     early = [at for at in fleet.answered if at < fleet.start + 3 * SEC]
-    assert len(early) > 4, "whole requests fit early in the warm-up"
+    assert len(early) > 4, "requests fit early in the warm-up"
 
 
 def test_even_shares_hold_without_peer_messages() -> None:
@@ -164,20 +175,20 @@
 
 @pytest.mark.parametrize("data", [b"", b"?", b"\0" * 12, b"\xff" * 16, b"\xff" * 12, b"x" * 256])
 def test_malformed_peer_messages_change_nothing(data: bytes) -> None:
-    rig = gateway_driver.Driver(gateway_driver.settings(peer_messages_allowed=True))
-    rig.pass_time(3 * SEC)
-    rig.list_nodes([(0, EndpointState.READY, rig.now)])
-    part = rig.gateway.nodes[gateway_driver.node_id(0)].slow_start_share
-    assert not [a for a in rig.feed(PeerMessageReceived(1, data)) if isinstance(a, SendPeerMessage)]
-    assert rig.gateway.nodes[gateway_driver.node_id(0)].slow_start_share == part
+    driver = gateway_driver.Driver(gateway_driver.settings(peer_messages_allowed=True))
+    driver.pass_time(3 * SEC)
+    driver.list_nodes([(0, EndpointState.READY, driver.now)])
+    share = driver.gateway.nodes[gateway_driver.node_id(0)].slow_start_share
+    assert not [a for a in driver.feed(PeerMessageReceived(1, data)) if isinstance(a, SendPeerMessage)]
+    assert driver.gateway.nodes[gateway_driver.node_id(0)].slow_start_share == share
 
 
 def test_a_restarted_gateway_has_no_share_as_it_may_have_granted_it() -> None:
-    for talk in (True, False):
-        rig = gateway_driver.Driver(gateway_driver.settings(peer_messages_allowed=talk), nodes=0)
-        rig.list_nodes([(0, EndpointState.READY, rig.now - SEC)], EndpointListKind.CACHED)
-        rig.pass_time(3 * SEC)
+    for messages in (True, False):
+        driver = gateway_driver.Driver(gateway_driver.settings(peer_messages_allowed=messages), nodes=0)
+        driver.list_nodes([(0, EndpointState.READY, driver.now - SEC)], EndpointListKind.CACHED)
+        driver.pass_time(3 * SEC)
         for _ in range(5):
-            rig.send_request(units=1.0)
-            rig.pass_time(100_000)
-        assert bool(rig.started) is not talk
+            driver.send_request(units=1.0)
+            driver.pass_time(100_000)
+        assert bool(driver.started) is not messages
--- a/tests/support/gateway_driver.py
+++ b/tests/support/gateway_driver.py
@@ -1,6 +1,6 @@
-"""Drives one gateway and checks each of its actions against the rules, by records of its own.
+"""A driver that feeds events to one gateway and checks each of its actions against the rules.
 
-The numbers of the rules are those of the operators' protocol.
+It keeps its own records.  The numbers of the rules are those of the operators' protocol.
 """
 
 from __future__ import annotations
@@ -56,13 +56,13 @@
 
 
 def node_id(number: int) -> bytes:
-    """The id of a node, by its number."""
+    """Return the id of a node by its number."""
     return bytes([10, 0, 0, number, 0, 80])
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings with three classes and two plans, one of which has a limit, with changes."""
-    given: dict[str, Any] = dict(
+    """Return settings with three classes and two plans, one of which has a limit, with ``changes``."""
+    values: dict[str, Any] = dict(
         classes=CLASSES,
         plans=PLANS,
         gateway_count=2,
@@ -85,13 +85,13 @@
         cancel_allowed=True,
         max_attempts=3,
     )
-    given.update(changes)
-    return Settings(**given)
+    values.update(changes)
+    return Settings(**values)
 
 
 @dataclass
 class EndpointRecord:
-    """What the gateway was told last of a node; times in microseconds."""
+    """The latest state of a node in the endpoint list; times are microseconds."""
 
     state: EndpointState
     changed_at: int
@@ -100,14 +100,14 @@
 
 
 class Driver:
-    """Feeds one gateway, and checks each of its actions against the rules."""
+    """Feeds events to one gateway and checks each of its actions against the rules."""
 
     def __init__(self, settings: Settings, nodes: int = 2, now: int = 50 * SEC) -> None:
         self.settings = settings
         self.now = now
         self.started_at = now
         self.gateway = Gateway(settings, 7, now)
-        self.timers: list[tuple[int, int]] = []  # when, token
+        self.timers: list[tuple[int, int]] = []  # time, token
         self.open_requests: dict[int, RequestReceived] = {}
         self.received: dict[int, RequestReceived] = {}
         self.in_flight: dict[tuple[int, int], tuple[bytes, int]] = {}  # request and attempt: node, sent at
@@ -117,7 +117,7 @@
         self.endpoints: dict[bytes, EndpointRecord] = {}
         self.in_maintenance: set[bytes] = set()
         self.ordered_keys: dict[int, deque[int]] = defaultdict(deque)
-        self.paused_keys: dict[int, tuple[int, int]] = {}  # key: until, and the request that may go on
+        self.paused_keys: dict[int, tuple[int, int]] = {}  # key: end of the pause, exempt request
         self.request_times: list[int] = []
         self.retry_times: list[int] = []
         self.buckets: dict[int, tuple[float, int]] = {}  # volume: units, filled at
@@ -132,7 +132,7 @@
     # ---- events ----
 
     def feed(self, *events: Event) -> list[Action]:
-        """Give the gateway a batch of events, and check its actions."""
+        """Feed a batch of events to the gateway, check its actions and return them."""
         for event in events:
             if isinstance(event, RequestReceived):
                 self._record_request(event)
@@ -150,34 +150,34 @@
 
     def list_nodes(
         self,
-        lines: Iterable[tuple[int, EndpointState, int]],
+        entries: Iterable[tuple[int, EndpointState, int]],
         kind: EndpointListKind = EndpointListKind.CHANGES,
     ) -> None:
-        """Give the gateway an endpoint list: the number, the state and the start of each node."""
-        lines = list(lines)
+        """Feed an endpoint list to the gateway: the number, state and start of each node."""
+        entries = list(entries)
         if kind is not EndpointListKind.CHANGES:
-            named = {node_id(number) for number, _, _ in lines}
+            listed = {node_id(number) for number, _, _ in entries}
             for node, record in self.endpoints.items():
-                if node not in named and record.state is EndpointState.READY:
+                if node not in listed and record.state is EndpointState.READY:
                     record.state = EndpointState.GONE
                     record.changed_at = self.now
         endpoints = []
-        for number, state, started in lines:
+        for number, state, started in entries:
             shard = number % 8
             self.endpoints[node_id(number)] = EndpointRecord(state, self.now, shard, started)
             endpoints.append(Endpoint(node_id(number), shard, state, started_us=started))
         self.feed(EndpointList(kind, tuple(endpoints)))
 
     def change_settings(self, settings: Settings) -> None:
-        """Give the gateway other settings."""
+        """Feed new settings to the gateway."""
         self.settings = settings
         self.feed(SettingsChanged(settings))
 
     def set_maintenance(self, number: int, on: bool) -> None:
-        """Take a node out of use, or put it back."""
+        """Begin or end the maintenance of a node."""
         node = node_id(number)
         if not on and node in self.in_maintenance and node in self.endpoints:
-            self.endpoints[node].started_at = self.now  # it restarted, at the latest now
+            self.endpoints[node].started_at = self.now  # it restarted now at the latest
         if on:
             self.in_maintenance.add(node)
         else:
@@ -187,7 +187,7 @@
     def send_request(
         self, class_index: int = 0, shard: int = 0, deadline_after_us: int | None = None, **more: Any
     ) -> int:
-        """Send a client's request, with the deadline of its class by default; its id."""
+        """Send a client's request and return its id; by default it has the deadline of its class."""
         number = self.next_id
         self.next_id += 1
         if deadline_after_us is None:
@@ -197,7 +197,10 @@
         return number
 
     def end_attempt(self, key: tuple[int, int], result: AttemptResult = AttemptResult.SERVED) -> list[Action]:
-        """End the attempt of a request: its id and the number of the attempt."""
+        """End an attempt and return the gateway's actions.
+
+        :param key: request id and number of the attempt.
+        """
         node, sent_at = self.in_flight.pop(key)
         number, attempt = key
         request = self.received[number]
@@ -213,12 +216,12 @@
         return self.feed(AttemptEnded(number, attempt, node, result, self.now - sent_at, final))
 
     def disconnect(self, number: int) -> None:
-        """The client of a request leaves."""
+        """Disconnect the client of a request."""
         self._finish(number)
         self.feed(ClientDisconnected(number))
 
     def pass_time(self, span: int) -> None:
-        """Let microseconds pass; timers fire, and attempts time out with the deadlines of their clients."""
+        """Advance the time by microseconds; fire timers, and time out attempts at their deadlines."""
         end = self.now + span
         while True:
             timer_at = min((at for at, _ in self.timers), default=end)
@@ -232,7 +235,7 @@
         self.now = end
         for number, request in self.open_requests.items():
             assert self.now <= request.deadline_us + self.settings.answer_slack_us, (
-                f"request {number} overdue"
+                f"request {number} has no answer after its deadline"
             )
 
     def _open_attempts(self) -> list[tuple[int, int]]:
@@ -242,7 +245,7 @@
         return self.open_requests[key[0]].deadline_us
 
     def _fire_due(self) -> bool:
-        """Fire the timers and the deadlines that are due; whether there were any."""
+        """Fire the timers and the deadlines that are due; return whether there were any."""
         due = [token for at, token in self.timers if at <= self.now]
         expired = [key for key in self._open_attempts() if self._deadline_of(key) <= self.now]
         if not due and not expired:
@@ -257,7 +260,7 @@
 
     @staticmethod
     def class_of(request: RequestReceived) -> RequestClass:
-        """The class of a request, by the settings that it was received under."""
+        """Return the class of a request, by the settings in force when it was received."""
         assert request.settings is not None
         return request.settings.classes[request.class_index]
 
@@ -283,7 +286,7 @@
 
     def _check_answer(self, action: RejectRequest | FailRequest) -> None:
         number = action.request_id
-        assert number in self.open_requests, "rule 1: answered twice, or not ours"
+        assert number in self.open_requests, "rule 1: answered twice, or never received"
         request_class = self.class_of(self.received[number])
         if isinstance(action, RejectRequest) and request_class.idempotency is not Idempotency.IDEMPOTENT:
             in_flight = any(key[0] == number for key in self.in_flight)
@@ -292,7 +295,7 @@
                 and request_class.deduplication_scope is DeduplicationScope.ALL
             )
             assert deduplicated or not (number in self.possibly_executed or in_flight), (
-                "rule 2: rejected what was possibly executed"
+                "rule 2: rejected a possibly executed request"
             )
         self.answers[number] = action
         self._finish(number)
@@ -302,9 +305,9 @@
         request = self.received[number]
         settings = request.settings
         assert settings is not None
-        assert self.attempts[number] < settings.max_attempts, "more attempts than it was received under"
-        assert number in self.open_requests, "rule 1: sent after its end"
-        assert not any(key[0] == number for key in self.in_flight), "two attempts at once"
+        assert self.attempts[number] < settings.max_attempts, "more attempts than its settings allow"
+        assert number in self.open_requests, "rule 1: sent after its final answer"
+        assert not any(key[0] == number for key in self.in_flight), "two attempts of a request at once"
         self._check_node(action.node_id, request)
         self._check_repeat(request, self.endpoints[action.node_id].shard)
         self._check_order(request)
@@ -329,18 +332,20 @@
             return
         sent_at, first_shard = self.possibly_executed[request.request_id]
         request_class = self.class_of(request)
-        assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, "rule 2: unsafe sent again"
+        assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, (
+            "rule 2: non-idempotent request sent again"
+        )
         if request_class.idempotency is Idempotency.KEYED:
             window_end = sent_at + request_class.deduplication_window_us
-            assert self.now <= window_end, "rule 2: sent after the window"
+            assert self.now <= window_end, "rule 2: sent after the deduplication window"
             by_shard = request_class.deduplication_scope is DeduplicationScope.SHARD
-            assert not by_shard or shard == first_shard, "rule 2: sent out of its deduplication scope"
+            assert not by_shard or shard == first_shard, "rule 2: sent outside its deduplication scope"
 
     def _check_order(self, request: RequestReceived) -> None:
         if not self._is_ordered(request):
             return
         number = request.request_id
-        assert self.ordered_keys[request.key][0] == number, "rule 5: out of turn"
+        assert self.ordered_keys[request.key][0] == number, "rule 5: not the first request of its key"
         for other_number, _ in self.in_flight:
             other = self.received[other_number]
             same_key = self._is_ordered(other) and other.key == request.key
@@ -355,17 +360,17 @@
             retries = sum(at >= self.now - window_us for at in self.retry_times)
             requests = sum(at > self.now - window_us for at in self.request_times)
             allowed = self.settings.retry_budget_free + self.settings.retry_budget_share * requests
-            assert retries <= allowed, "rule 6: over budget"
+            assert retries <= allowed, "rule 6: over the retry budget"
 
     def _check_rate_limit(self, request: RequestReceived, plan: Plan) -> None:
         if not plan.limit:
             return
-        # It begins empty: an earlier process of this gateway may have spent its part.
+        # It starts empty: an earlier process of this gateway may have spent its share.
         units, filled_at = self.buckets.get(request.volume_id, (0.0, self.started_at))
-        part = 1 / request.gateways_in_use
-        filled = min(plan.limit_burst * part, units + (self.now - filled_at) / SEC * plan.limit * part)
+        share = 1 / request.gateways_in_use
+        filled = min(plan.limit_burst * share, units + (self.now - filled_at) / SEC * plan.limit * share)
         self.buckets[request.volume_id] = (filled - request.units, self.now)
-        assert filled - request.units >= -plan.limit_slack * part - 1e-6, "rule 7: over the limit"
+        assert filled - request.units >= -plan.limit_slack * share - 1e-6, "rule 7: over the limit"
 
     def _check_slow_start(self, node: bytes, request: RequestReceived) -> None:
         settings = self.settings
@@ -377,14 +382,16 @@
         self.sent_units[node].add(self.now, request.units)
         window_start = self.now - settings.overload_window_us
         is_new = self.now - self.started_at <= settings.overload_window_us
-        assert not (is_new and started_at <= self.started_at), "rule 4: an earlier process may have spent it"
+        assert not (is_new and started_at <= self.started_at), (
+            "rule 4: an earlier process may have spent the share"
+        )
         sent_units = self.sent_units[node].since(window_start)
         unserved = sent_units - self.served_units[node].since(window_start)
-        part = slow_start_rule.units_allowed(settings, self.now - started_at)
-        spare = part * (1 - 1 / settings.overload_factor)
-        kept = sent_units <= part + 1e-6 or unserved <= spare + 1e-6
+        allowed = slow_start_rule.units_allowed(settings, self.now - started_at)
+        unserved_allowed = allowed * (1 - 1 / settings.overload_factor)
+        kept = sent_units <= allowed + 1e-6 or unserved <= unserved_allowed + 1e-6
         quantum = slow_start_rule.quantum(settings)
-        if not settings.peer_messages_allowed and spare < quantum:  # docs/fleet.md, "The ramp"
-            has_turn = slow_start_rule.has_turn(settings, node, self.now, spare)
+        if not settings.peer_messages_allowed and unserved_allowed < quantum:  # docs/fleet.md, "The ramp"
+            has_turn = slow_start_rule.has_turn(settings, node, self.now, unserved_allowed)
             kept = has_turn and unserved <= quantum + 1e-6
-        assert kept, "rule 4: a node that warms up gets more than it bears beyond what it serves"
+        assert kept, "rule 4: more sent to a warming node than its allowance"
--- a/tests/support/slow_start_rule.py
+++ b/tests/support/slow_start_rule.py
@@ -1,4 +1,4 @@
-"""What one gateway may send to a node that warms up, computed from the settings alone (rule 4)."""
+"""What one gateway may send to a node that is warming up, computed from the settings alone (rule 4)."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     entries: list[tuple[int, float]] = field(default_factory=list)
 
     def add(self, at: int, units: float) -> None:
-        """Record units."""
+        """Record units at a time."""
         self.entries.append((at, units))
 
     def since(self, start: int) -> float:
-        """The units recorded at ``start`` or later."""
+        """Return the units recorded at ``start`` or later."""
         return sum(units for at, units in self.entries if at >= start)
 
 
 def units_allowed(settings: Settings, age_us: int) -> float:
-    """The units of one gateway in one overload window, so long after the start of the node."""
+    """Return the units of one gateway in one overload window, ``age_us`` after the start of the node."""
     initial = settings.initial_capacity_share
     age = max(0, age_us) / settings.warm_up_us
-    own = settings.initial_capacity_units / settings.gateway_count
-    return own * (initial + (1 - initial) * age) / initial
+    even_share = settings.initial_capacity_units / settings.gateway_count
+    return even_share * (initial + (1 - initial) * age) / initial
 
 
 def _root(settings: Settings) -> float:
@@ -39,12 +39,12 @@
 
 
 def quantum(settings: Settings) -> float:
-    """The unserved units of a gateway in its turn, where gateways take turns (docs/fleet.md, "The ramp")."""
+    """Return the unserved units of a gateway during its turn (docs/fleet.md, "The ramp")."""
     return min(MAX_QUANTUM_REQUESTS, _root(settings)) * settings.mean_request_units
 
 
-def has_turn(settings: Settings, node: bytes, now: int, spare: float) -> bool:
-    """Whether it is the gateway's turn, where the even share of ``spare`` units is under a quantum."""
-    pace = _root(settings) * settings.mean_request_units / quantum(settings) / settings.overload_window_us
-    place = (settings.gateway_index + zlib.crc32(node) - now * pace) % settings.gateway_count
-    return place < spare * settings.gateway_count / quantum(settings)
+def has_turn(settings: Settings, node: bytes, now: int, even_share: float) -> bool:
+    """Return whether it is the gateway's turn, where ``even_share`` units are less than a quantum."""
+    rate = _root(settings) * settings.mean_request_units / quantum(settings) / settings.overload_window_us
+    position = (settings.gateway_index + zlib.crc32(node) - now * rate) % settings.gateway_count
+    return position < even_share * settings.gateway_count / quantum(settings)
