--- a/gaugesail/policy/attempt_results.py
+++ b/gaugesail/policy/attempt_results.py
@@ -87,7 +87,7 @@
         state = self._state
         if event.request_finished:
             request.in_flight = True  # it is in no queue
-            self._queue.forget(request)
+            self._queue.remove(request)
             return
         if request.any_shard and request.possibly_executed_at is None:
             request.shard = self._queue.choose_shard(request.class_index)
--- a/gaugesail/policy/first_requests.py
+++ b/gaugesail/policy/first_requests.py
@@ -18,7 +18,7 @@
     def __len__(self) -> int:
         return len(self._received_at)
 
-    def forget(self, fingerprint: int) -> None:
+    def remove(self, fingerprint: int) -> None:
         """Remove a served request: the next one with its fingerprint is from another client."""
         self._received_at.pop(fingerprint, None)
 
--- a/gaugesail/policy/gateway.py
+++ b/gaugesail/policy/gateway.py
@@ -214,6 +214,6 @@
         for shard in self.node_table.shards.values():
             self._congestion_windows.end_period(shard)
         self.retry_budget.drop_expired(state.now)
-        self._ordered_keys.forget_idle()
-        self.volumes.forget_idle()
-        self.node_table.forget_unlisted()
+        self._ordered_keys.drop_idle()
+        self.volumes.drop_idle()
+        self.node_table.drop_unlisted()
--- a/gaugesail/policy/node_table.py
+++ b/gaugesail/policy/node_table.py
@@ -141,6 +141,6 @@
         for shard in self.shards.values():
             shard.add_classes(len(targets))
 
-    def forget_unlisted(self) -> None:
+    def drop_unlisted(self) -> None:
         """Drop the unlisted nodes that have nothing in flight."""
         self.nodes = {node_id: node for node_id, node in self.nodes.items() if node.listed or node.in_flight}
--- a/gaugesail/policy/ordered_keys.py
+++ b/gaugesail/policy/ordered_keys.py
@@ -40,7 +40,7 @@
         if ordered_key.pending:
             self._node_table.mark_changed(ordered_key.pending[0].shard)
 
-    def forget_idle(self) -> None:
+    def drop_idle(self) -> None:
         """Drop the keys that no longer block any request."""
         now = self._state.now
         self._keys = {
--- a/gaugesail/policy/recovery.py
+++ b/gaugesail/policy/recovery.py
@@ -133,7 +133,7 @@
         return False
 
     def _attempt_served(self, now: int, request: PendingRequest) -> bool:
-        self.first_requests.forget(request.fingerprint)
+        self.first_requests.remove(request.fingerprint)
         self._capacity.record_served(request.shard, request.units)
         recovery = self.shards.get(request.shard)
         if recovery is None:
--- a/gaugesail/policy/request_queue.py
+++ b/gaugesail/policy/request_queue.py
@@ -51,9 +51,9 @@
         request = self.pending.get(event.request_id)
         if request is not None:
             self._recovery.client_disconnected(self._state.now, request)
-            self.forget(request)
+            self.remove(request)
 
-    def forget(self, request: PendingRequest) -> None:
+    def remove(self, request: PendingRequest) -> None:
         """Remove a finished request; its attempt in flight stays in the record of the node."""
         request.finished = True
         request.volume.open_requests -= 1
@@ -73,4 +73,4 @@
             state.actions.append(RejectRequest(request.request_id, retry_after_us))
         else:
             state.actions.append(FailRequest(request.request_id))
-        self.forget(request)
+        self.remove(request)
--- a/gaugesail/policy/volume_table.py
+++ b/gaugesail/policy/volume_table.py
@@ -8,7 +8,7 @@
 from .records import PendingRequest, VolumeBudget
 from .settings import Settings
 
-FORGET_AFTER_US = 10_000_000  # without an open request; by then reserve and fair share are full
+IDLE_BUDGET_US = 10_000_000  # without an open request; by then reserve and fair share are full
 
 
 class VolumeTable:
@@ -60,11 +60,11 @@
         for volume in self.budgets.values():
             volume.plan = plans.get(volume.plan.name, volume.plan)
 
-    def forget_idle(self) -> None:
+    def drop_idle(self) -> None:
         """Drop the long-unused budgets that are as full as new ones."""
         now = self._state.now
         idle = [item for item in self.budgets.items() if not item[1].open_requests]
         for key, volume in idle:
-            unused = now - volume.refilled_at > FORGET_AFTER_US
+            unused = now - volume.refilled_at > IDLE_BUDGET_US
             if unused and self._rate_limits.release(now, key, volume.limit_bucket):
                 del self.budgets[key]
--- a/gaugesail/simulator/event_records.py
+++ b/gaugesail/simulator/event_records.py
@@ -43,11 +43,11 @@
 Value = TypeVar("Value")
 
 
-def _lookup(table: Mapping[int, Value], code: int, what: str) -> Value:
+def _lookup(table: Mapping[int, Value], code: int, kind: str) -> Value:
     try:
         return table[code]
     except KeyError:
-        raise WireError(f"unknown {what} {code}") from None
+        raise WireError(f"unknown {kind} {code}") from None
 
 
 def _result(code: int) -> AttemptResult:
@@ -76,13 +76,13 @@
 
     def endpoints(self, offset: int, count: int) -> tuple[Endpoint, ...]:
         """Decode the endpoints of a sheet; raise ``WireError`` on an unknown mode."""
-        found = []
+        sheet = []
         for entry in ENTRY.iter_unpack(self.slice(offset, count * ENTRY.size)):
             node_id, zone, flavor, shard, state, capacity, started_us = entry
             if state > max(EndpointState):
                 raise WireError(f"unknown mode {state}")
-            found.append(Endpoint(node_id, shard, EndpointState(state), zone, flavor, capacity, started_us))
-        return tuple(found)
+            sheet.append(Endpoint(node_id, shard, EndpointState(state), zone, flavor, capacity, started_us))
+        return tuple(sheet)
 
 
 def _start(batch: Batch, fields: Fields) -> Started:
--- a/gaugesail/simulator/settings_text.py
+++ b/gaugesail/simulator/settings_text.py
@@ -127,17 +127,17 @@
 
         Raises ``WireError``, which names the key, if a value is missing or invalid.
         """
-        found = {}
+        values = {}
         for name, key in keys.items():
             path = prefix + key.path
             value = self._values.get(path, key.default)
             if value is None:
                 raise WireError(f"setting {path} is missing")
             try:
-                found[name] = key.convert(value)
+                values[name] = key.convert(value)
             except (ValueError, KeyError):
                 raise WireError(f"setting {path}: invalid value {value!r}") from None
-        return found
+        return values
 
     def count(self, name: str) -> int:
         """Return the number of groups with a name; raise ``WireError`` if it is missing or not a number."""
