--- a/gaugesail/coordination/bootstrap.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -43,21 +43,21 @@
         self._name = name
         self._replicas = replicas
         self._terms_digest = terms_digest
-        self._ask_at = 0
+        self._status_at = 0
         self._bound_stores: dict[str, str] = {}  # replicas that are bound to this store, and their stores
         self._applicants: dict[str, str] = {}  # replicas whose store is no voter of the fleet that there is
 
     @property
     def next_at(self) -> int:
         """When ``tick`` has something to do."""
-        return self._ask_at
+        return self._status_at
 
     @property
     def is_founder(self) -> bool:
         """Whether this replica founds the fleet: it is the first that the file names."""
         return self._name == self._replicas[0]
 
-    def take_applicants(self) -> dict[str, str]:
+    def drain_applicants(self) -> dict[str, str]:
         """Return the replicas, by name, whose store is no voter, since the last call."""
         applicants = self._applicants
         self._applicants = {}
@@ -73,9 +73,9 @@
 
     def tick(self, now: int, is_voter: bool) -> Sent:
         """Ask the others while there is no fleet, or this replica is no voter; return what is sent."""
-        if (self.record.fleet_id and is_voter) or now < self._ask_at:
+        if (self.record.fleet_id and is_voter) or now < self._status_at:
             return []
-        self._ask_at = now + STATUS_INTERVAL_US
+        self._status_at = now + STATUS_INTERVAL_US
         others = [name for name in self._replicas if name != self._name]
         sent: Sent = [(name, self._status()) for name in others]
         if self.is_founder and not self.record.fleet_id:
--- a/gaugesail/coordination/consensus.py
+++ b/gaugesail/coordination/consensus.py
@@ -3,7 +3,7 @@
 With pre-votes and a leader that steps down when it hears of no majority (Ongaro's thesis, 9.6 and 6.2),
 voters that change one at a time (4.1, after an entry of the leader's own term), and confirmed rounds ("read
 index", 6.4), on which leases rest.  Whatever a replica promises is written before it is sent: the
-caller writes ``take_write`` before it sends ``take_messages``.  The same calls give the same answers.
+caller writes ``pop_write`` before it sends ``drain_messages``.  The same calls give the same answers.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
         self._votes: set[str] = set()
         self._vote_unwritten = False  # the term, or the vote in it
         self._term_start_index = 0  # of the first entry of this leader's term
-        self._heard_at = now - ELECTION_TIMEOUT_US  # from a leader
+        self._leader_contact_at = now - ELECTION_TIMEOUT_US  # from a leader
         self._election_at = 0
         self._restart_election_timer(now)
 
@@ -118,15 +118,15 @@
 
     # ---- what is to be written and sent ----
 
-    def take_write(self) -> RaftWrite | None:
+    def pop_write(self) -> RaftWrite | None:
         """Return what is to be written before anything is sent; None if nothing has changed."""
         if not self._vote_unwritten and not self.log.has_changes:
             return None
-        changes = self.log.take_changes()
+        changes = self.log.drain_changes()
         self._vote_unwritten = False
         return RaftWrite(self.term, self.voted_for, changes.first_index, changes.entries, changes.snapshot)
 
-    def take_messages(self) -> list[tuple[str, Message]]:
+    def drain_messages(self) -> list[tuple[str, Message]]:
         """Return the messages to send, each with the replica id that it is for."""
         messages = self._messages
         self._messages = []
@@ -149,7 +149,7 @@
 
     def _heartbeat_or_step_down(self, now: int) -> None:
         """A leader that hears of no majority steps down: who has one may have another leader (6.2)."""
-        if self.replication.count_heard(now) + self.is_voter < self.quorum_size:
+        if self.replication.count_responsive(now) + self.is_voter < self.quorum_size:
             self._become_follower(now, self.term, "")
         else:
             self.replication.request_round()
@@ -221,8 +221,8 @@
         self._send(request.sender, VoteResponse(self.replica_id, self.term, False, granted))
 
     def _answer_pre_vote(self, now: int, request: VoteRequest) -> None:
-        hears_leader = self.role is Role.LEADER or now - self._heard_at < ELECTION_TIMEOUT_US
-        granted = grants_pre_vote(request, self.term, hears_leader, self._is_up_to_date(request))
+        has_leader = self.role is Role.LEADER or now - self._leader_contact_at < ELECTION_TIMEOUT_US
+        granted = grants_pre_vote(request, self.term, has_leader, self._is_up_to_date(request))
         # A refusal tells our term: one with the longer log and an older term could never be elected.
         term = request.term if granted else self.term
         self._send(request.sender, VoteResponse(self.replica_id, term, True, granted))
@@ -320,7 +320,7 @@
         Raises LogBroken if the message shows that an invariant of Raft is violated.
         """
         if isinstance(message, (AppendEntries, InstallSnapshot)) and message.term >= self.term:
-            self._heard_at = now
+            self._leader_contact_at = now
             if not self.may_vote:
                 self.leader = message.sender
         if not self.may_vote:
--- a/gaugesail/coordination/demand_tracker.py
+++ b/gaugesail/coordination/demand_tracker.py
@@ -90,7 +90,7 @@
         reported = estimate.reported
         return reported < 0 or abs(rate - reported) > REPORT_CHANGE * max(rate, reported)
 
-    def take_report(self, now: int, request_number: int, most: int) -> tuple[list[QuotaDemand], bool]:
+    def collect_report(self, now: int, request_number: int, most: int) -> tuple[list[QuotaDemand], bool]:
         """At most so many demands that have to be reported, carried by this request.
 
         Returns them, and whether there are more.
--- a/gaugesail/coordination/elections.py
+++ b/gaugesail/coordination/elections.py
@@ -36,9 +36,9 @@
     return (request.last_term, request.last_index) >= (last_term, last_index)
 
 
-def grants_pre_vote(request: VoteRequest, term: int, hears_leader: bool, up_to_date: bool) -> bool:
+def grants_pre_vote(request: VoteRequest, term: int, has_leader: bool, up_to_date: bool) -> bool:
     """Whether a replica in ``term`` would vote: never while it hears a leader (thesis, 9.6)."""
-    return request.term > term and not hears_leader and up_to_date
+    return request.term > term and not has_leader and up_to_date
 
 
 def grants_vote(request: VoteRequest, term: int, voted_for: str, up_to_date: bool) -> bool:
--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -89,9 +89,9 @@
         """What may be spent of each volume of a plan without any lease."""
         return self._floor.rates(self._stated_limits)
 
-    def take_quota_update(self) -> QuotaUpdate | None:
+    def pop_quota_update(self) -> QuotaUpdate | None:
         """What has changed for the gateway since the last call.  Pass it on once ``floor`` is persisted."""
-        return self._rights.take_update(self.floors())
+        return self._rights.pop_update(self.floors())
 
     def resend_quota(self) -> None:
         """The last update was not passed on: the next one holds everything."""
@@ -119,11 +119,11 @@
         """Take in what was used of each quota since the last call; changes are reported soon."""
         self._demands.record(now, usage)
         if self._demands.has_changed(now):
-            self._hurry(now)
+            self._request_soon(now)
 
-    def _hurry(self, now: int) -> None:
+    def _request_soon(self, now: int) -> None:
         if not self.leaving:
-            self._schedule.hurry(now)
+            self._schedule.request_soon(now)
 
     def leave(self, now: int) -> None:
         """Give up the session, and say so: from here on nothing is spent but the floor."""
@@ -154,8 +154,8 @@
 
     def _send_request(self, now: int, replica: str) -> None:
         number = self._schedule.begin_request(now, replica)
-        demands, more_demands = self._demands.take_report(now, number, MAX_REPORTED)
-        held = self._rights.take_report(number, MAX_REPORTED)
+        demands, more_demands = self._demands.collect_report(now, number, MAX_REPORTED)
+        held = self._rights.collect_report(number, MAX_REPORTED)
         more_to_report = more_demands or self._rights.more_unreported_than(MAX_REPORTED)
         self._schedule.request_sent(now, more_to_report)
         request = LeaseRequest(
@@ -176,7 +176,7 @@
         )
         self._outbox.append((replica, request))
 
-    def take_messages(self) -> list[tuple[str, Message]]:
+    def drain_messages(self) -> list[tuple[str, Message]]:
         """What is to be sent, by receiver, since the last call."""
         messages, self._outbox = self._outbox, []
         return messages
@@ -213,7 +213,7 @@
                 self._schedule.redirected(now, sender, response.leader, is_latest)
             case LeaseStatus.TERMS_DIFFER:
                 self.refusal_reason = f"{sender}'s file differs in what binds the fleet"
-                self._schedule.wait_a_lease(now)
+                self._schedule.wait_one_lease(now)
             case LeaseStatus.LEFT:
                 self.left = True
 
@@ -223,7 +223,7 @@
         """The lease is renewed from ``requested_at``, unless the response is of an earlier session."""
         if self.leaving or (response.fleet == self._fleet and response.session < self.session):
             return
-        self._take_session(response)
+        self._adopt_session(response)
         self._rights.extend_lease(self._terms.holder_lease_end(requested_at))
         self._last_seen_index = max(self._last_seen_index, response.session, response.limits_version)
         if self._lapsed and now < self.lease_until:
@@ -231,15 +231,15 @@
             notice = Notice("lease_acquired", {"session": self.session, "leader": response.leader})
             self.notices.append(notice)
         if response.term >= self.term:
-            self._take_leader(sender, response)
+            self._adopt_leader(sender, response)
         self._demands.report_confirmed(response.number)
         self._rights.report_confirmed(response.number)
         if is_latest:
             self._schedule.renewed(now)
             if self._rights.has_unreported or self._demands.has_changed(now):
-                self._hurry(now)
+                self._request_soon(now)
 
-    def _take_session(self, response: LeaseResponse) -> None:
+    def _adopt_session(self, response: LeaseResponse) -> None:
         """Nothing of an earlier session, or of another fleet of this name, is spent under this one."""
         if response.fleet != self._fleet:
             self._drop_session()
@@ -251,7 +251,7 @@
             self._drop_session()
             self.session = response.session
 
-    def _take_leader(self, sender: str, response: LeaseResponse) -> None:
+    def _adopt_leader(self, sender: str, response: LeaseResponse) -> None:
         """A leader of a new term knows of no demand yet; its limits are the latest."""
         if response.term > self.term:
             self._demands.report_all_again()
@@ -267,7 +267,7 @@
         if any(order.release for order in message.orders):
             self._schedule.request_now(now)  # what was released is nobody's until the leader hears of it
         elif self._rights.has_unreported:
-            self._hurry(now)
+            self._request_soon(now)
 
     def _drop_session(self) -> None:
         """Nothing of the session may be spent any more."""
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -69,13 +69,13 @@
         if just_started:
             self._allocator.grant_nothing_before(earlier_leases_end)
 
-    def take_messages(self) -> list[tuple[str, Message]]:
+    def drain_messages(self) -> list[tuple[str, Message]]:
         """What is to be sent, by receiver, since the last call."""
         messages = list(self._outbox)
         self._outbox.clear()
         return messages
 
-    def take_notices(self) -> list[Notice]:
+    def drain_notices(self) -> list[Notice]:
         """The notices for operators since the last call."""
         notices, self._notices = self._notices, []
         return notices
@@ -123,7 +123,7 @@
             self._notify("session_closed", head=session.gateway, session=session.number)
             self._respond(sender, request, LeaseStatus.LEFT)
             return
-        self._record_statements(session.number, lease, request)
+        self._record_report(session.number, lease, request)
         if lease.unanswered_request is None or request.number > lease.unanswered_request.number:
             self._await_confirmation(lease, request)
 
@@ -132,7 +132,7 @@
         lease.unanswered_request = request
         lease.confirmation_round = self._raft.request_round()
 
-    def _record_statements(self, number: int, lease: SessionLease, request: LeaseRequest) -> None:
+    def _record_report(self, number: int, lease: SessionLease, request: LeaseRequest) -> None:
         """What the holder says of itself: its limits, its floor, what it holds and what it wants."""
         lease.max_request = request.max_request
         if request.limits != lease.limits:
@@ -201,7 +201,7 @@
         self.leases[session.number] = lease
         self._notify("session_opened", head=session.gateway, session=session.number, slot=session.floor_slot)
         if request is not None:
-            self._record_statements(session.number, lease, request)
+            self._record_report(session.number, lease, request)
             self._await_confirmation(lease, request)
 
     def _session_ended(self, command: CloseSession) -> None:
--- a/gaugesail/coordination/local_store.py
+++ b/gaugesail/coordination/local_store.py
@@ -44,7 +44,7 @@
         self._changed = True
         self._replaced = True
 
-    def take_changed(self) -> bool:
+    def pop_changed(self) -> bool:
         """Return whether the state has to be persisted for its own sake, since the last call."""
         changed = self._changed
         self._changed = False
--- a/gaugesail/coordination/log_commands.py
+++ b/gaugesail/coordination/log_commands.py
@@ -58,7 +58,7 @@
     limits_version: int
 
 
-class ForgetHead(Record, frozen=True, tag="Forget"):
+class ForgetGateway(Record, frozen=True, tag="Forget"):
     """Operators say that a gateway is gone for good: its floor slot is free."""
 
     gateway: str
@@ -73,7 +73,7 @@
     | SetLimits
     | SettleLimits
     | AcknowledgeFloor
-    | ForgetHead
+    | ForgetGateway
 )
 
 
--- a/gaugesail/coordination/member_table.py
+++ b/gaugesail/coordination/member_table.py
@@ -82,7 +82,7 @@
         ranks = sorted((name, *rank(member.update)) for name, member in self.members.items())
         return xxhash.xxh3_64_intdigest(repr(ranks).encode())
 
-    def take_changes(self) -> list[MemberChange]:
+    def drain_changes(self) -> list[MemberChange]:
         """Return what has changed since the last call."""
         changes = self._changes
         self._changes = []
--- a/gaugesail/coordination/membership.py
+++ b/gaugesail/coordination/membership.py
@@ -23,7 +23,9 @@
 from .outbox import Outbox
 
 COMPARE_PERIODS = 10  # between two comparisons of digests with one other member
-LATE_US = 500_000  # a tick that comes later: this process was not running, and draws no conclusion from it
+LATE_TICK_US = (
+    500_000  # a tick that comes later: this process was not running, and draws no conclusion from it
+)
 MAX_NAME_LENGTH = 128  # of a name or an address in an update
 
 
@@ -79,13 +81,13 @@
         """Return a hash that is the same at two gateways that know the same."""
         return self._table.digest()
 
-    def take_changes(self) -> list[MemberChange]:
+    def drain_changes(self) -> list[MemberChange]:
         """Return what has changed since the last call."""
-        return self._table.take_changes()
+        return self._table.drain_changes()
 
-    def take_messages(self) -> list[tuple[str, Message]]:
+    def drain_messages(self) -> list[tuple[str, Message]]:
         """Return the messages to send, each with the member that it is for."""
-        return self._outbox.take()
+        return self._outbox.drain()
 
     @property
     def next_at(self) -> int:
@@ -113,7 +115,7 @@
 
     def tick(self, now: int) -> None:
         """Do what is due."""
-        if now - self.next_at > LATE_US:
+        if now - self.next_at > LATE_TICK_US:
             # This process did not run: no answer that is missing says anything of others.
             self._health.worsen()
             self._detector.abandon_probe()
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -149,8 +149,8 @@
             self.replica.transfer_leadership()
         return self.tick(now)
 
-    def submit_command(self, now: int, command: m.ForgetHead) -> tuple[int, StepOutput]:
-        """Submit an operator's command to the leader; return its number for ``take_command_result``."""
+    def submit_command(self, now: int, command: m.ForgetGateway) -> tuple[int, StepOutput]:
+        """Submit an operator's command to the leader; return its number for ``pop_command_result``."""
         self._last_command += 1
         number = self._last_command
         request = m.OperatorCommand(number, command)
@@ -164,7 +164,7 @@
         output.messages.append((self.leader, request))
         return number, output
 
-    def take_command_result(self, number: int) -> m.OperatorCommandResult | None:
+    def pop_command_result(self, number: int) -> m.OperatorCommandResult | None:
         """Return what became of a command, once; None while nothing is known."""
         return self._command_results.pop(number, None)
 
@@ -246,25 +246,25 @@
     def _finish(self, now: int) -> StepOutput:
         if self.replica is not None:
             self.replica.process(now)
-        for change in self.membership.take_changes():
+        for change in self.membership.drain_changes():
             self._notices.add(f"member_{change.kind}", head=change.name, address=change.address)
         if self.membership.name_taken:
             self._notices.add_once("name_taken", "name_taken", head=self.name)
         output = StepOutput()
-        output.write = self._take_write()
-        output.quota = self.lease_holder.take_quota_update()
+        output.write = self._pop_write()
+        output.quota = self.lease_holder.pop_quota_update()
         if self.replica is not None:
             self._collect_from_replica(self.replica, output)
-        output.messages += self.lease_holder.take_messages()
-        output.messages += self.membership.take_messages()
-        output.messages += self._outbox.take()
+        output.messages += self.lease_holder.drain_messages()
+        output.messages += self.membership.drain_messages()
+        output.messages += self._outbox.drain()
         self._notices.extend(self.lease_holder.notices)
         self.lease_holder.notices.clear()
-        output.notices = self._notices.take()
+        output.notices = self._notices.drain()
         return output
 
     def _collect_from_replica(self, replica: Replica, output: StepOutput) -> None:
-        for receiver, message in replica.take_messages():
+        for receiver, message in replica.drain_messages():
             if isinstance(message, m.OperatorCommandResult) and receiver == self.name:
                 self._keep_result(message)
             else:
@@ -272,13 +272,13 @@
         self._notices.extend(replica.notices)
         replica.notices.clear()
 
-    def _take_write(self) -> StoreWrite | None:
+    def _pop_write(self) -> StoreWrite | None:
         """Return what is to be persisted before anything else of this step is done."""
         if not self.has_store:
             return None
         raft = self.replica.raft if self.replica is not None else None
-        log_write = raft.take_write() if raft is not None else None
-        state_changed = self._take_state_changed()
+        log_write = raft.pop_write() if raft is not None else None
+        state_changed = self._pop_state_changed()
         if log_write is None and not state_changed:
             return None
         store = self._store
@@ -290,10 +290,10 @@
             store.update_vote(raft)
         return store.next_write(log_write)
 
-    def _take_state_changed(self) -> bool:
+    def _pop_state_changed(self) -> bool:
         """Return whether anything beside the log has changed since the last call."""
         changed = [
-            self._store.take_changed(),
+            self._store.pop_changed(),
             self._host.store_fence.unsaved,
             self._host.bootstrap.unsaved,
             self.lease_holder.floor_changed,
--- a/gaugesail/coordination/notice_queue.py
+++ b/gaugesail/coordination/notice_queue.py
@@ -12,7 +12,7 @@
 
     def __init__(self) -> None:
         self._notices: list[Notice] = []
-        self._given_once: set[str] = set()
+        self._added_keys: set[str] = set()
 
     def add(self, event: str, **fields: NoticeField) -> None:
         """Put a notice after the others."""
@@ -20,15 +20,15 @@
 
     def add_once(self, key: str, event: str, **fields: NoticeField) -> None:
         """Put a notice after the others, unless one was given under ``key`` before."""
-        if key not in self._given_once:
-            self._given_once.add(key)
+        if key not in self._added_keys:
+            self._added_keys.add(key)
             self.add(event, **fields)
 
     def extend(self, notices: Iterable[Notice]) -> None:
         """Put several notices after the others."""
         self._notices.extend(notices)
 
-    def take(self) -> list[Notice]:
+    def drain(self) -> list[Notice]:
         """Return and remove all notices."""
         notices = self._notices
         self._notices = []
--- a/gaugesail/coordination/operator_messages.py
+++ b/gaugesail/coordination/operator_messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .log_commands import ForgetHead
+from .log_commands import ForgetGateway
 from .record import Record
 
 
@@ -10,7 +10,7 @@
     """A command that operators gave to any gateway, for the leader to put into the log."""
 
     number: int
-    command: ForgetHead
+    command: ForgetGateway
 
 
 class OperatorCommandResult(Record, frozen=True, tag="Heard"):
--- a/gaugesail/coordination/outbox.py
+++ b/gaugesail/coordination/outbox.py
@@ -15,7 +15,7 @@
         """Put a message after the others."""
         self._messages.append((to, message))
 
-    def take(self) -> list[tuple[str, Message]]:
+    def drain(self) -> list[tuple[str, Message]]:
         """Return and remove all messages."""
         messages = self._messages
         self._messages = []
--- a/gaugesail/coordination/quota_allocator.py
+++ b/gaugesail/coordination/quota_allocator.py
@@ -129,7 +129,7 @@
             target = targets[number]
             current = claims[number].current
             if current[0] > target[0] or current[1] > target[1] + tolerance:
-                self._ask_release(now, quota_name, number, current, target)
+                self._request_release(now, quota_name, number, current, target)
                 continue
             self._leases[number].release_targets.pop(quota_name, None)
             rate = max(0, min(target[0] - current[0], available[0]))
@@ -170,7 +170,7 @@
         burst = max(0, leasable[1] - sum(allocation.burst for allocation in closing))
         return rate, burst
 
-    def _ask_release(
+    def _request_release(
         self, now: int, quota_name: str, number: int, current: RateBurst, target: RateBurst
     ) -> None:
         lease = self._leases[number]
--- a/gaugesail/coordination/quota_ledger.py
+++ b/gaugesail/coordination/quota_ledger.py
@@ -17,7 +17,7 @@
     AllocateQuota,
     CloseSession,
     Command,
-    ForgetHead,
+    ForgetGateway,
     OpenSession,
     SetLimits,
     SettleLimits,
@@ -160,7 +160,7 @@
                 return self._settle_limits(index, command.limits_version)
             case AcknowledgeFloor():
                 return self._acknowledge_floor(command)
-            case ForgetHead():
+            case ForgetGateway():
                 return self._forget_gateway(command.gateway)
         return False
 
--- a/gaugesail/coordination/raft_log.py
+++ b/gaugesail/coordination/raft_log.py
@@ -111,7 +111,7 @@
             found.append(entry)
         return tuple(found)
 
-    def take_committed(self) -> Iterator[tuple[int, Command]]:
+    def drain_committed(self) -> Iterator[tuple[int, Command]]:
         """Yield each committed entry's index and command once, in order."""
         while self.applied_index < self.commit_index:
             self.applied_index += 1
@@ -206,10 +206,10 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether ``take_changes`` has anything to write."""
+        """Whether ``drain_changes`` has anything to write."""
         return self._snapshot_unwritten or self._first_unwritten is not None
 
-    def take_changes(self) -> LogChanges:
+    def drain_changes(self) -> LogChanges:
         """Return what has changed since the last call."""
         first_index = self._first_unwritten
         entries: tuple[LogEntry, ...] = ()
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -119,7 +119,7 @@
         if log.snapshot_installed:
             log.snapshot_installed = False
             self.ledger.load(log.snapshot.state)
-        for index, command in log.take_committed():
+        for index, command in log.drain_committed():
             done = self.ledger.apply(index, command)
             if self.lease_manager is not None:
                 self.lease_manager.entry_applied(now, command, done)
@@ -156,20 +156,20 @@
                 self._remove_voter_if_silent(now, former[0])
 
     def _remove_voter_if_silent(self, now: int, voter: str) -> None:
-        heard_at = self.raft.replication.last_heard_at(voter)
-        if heard_at is None or now - heard_at <= REPLACE_VOTER_AFTER_US:
+        last_response_at = self.raft.replication.last_response_at(voter)
+        if last_response_at is None or now - last_response_at <= REPLACE_VOTER_AFTER_US:
             return
         if self.raft.replace_voters(now, set(self.raft.voters) - {voter}) is not None:
             fields = {"head": name_of(voter), "store": store_id_of(voter)}
             self.notices.append(Notice("voter_removed", fields))
 
-    def take_messages(self) -> list[tuple[str, Message]]:
+    def drain_messages(self) -> list[tuple[str, Message]]:
         """Return what is to be sent, each with the gateway that it is for, once the write is done."""
-        messages = [(name_of(voter), message) for voter, message in self.raft.take_messages()]
+        messages = [(name_of(voter), message) for voter, message in self.raft.drain_messages()]
         if self.lease_manager is not None:
-            messages += self.lease_manager.take_messages()
-            self.notices += self.lease_manager.take_notices()
-        return messages + self._results.take()
+            messages += self.lease_manager.drain_messages()
+            self.notices += self.lease_manager.drain_notices()
+        return messages + self._results.drain()
 
     def view(self, now: int) -> JsonObject:
         """Return the whole ledger for operators."""
--- a/gaugesail/coordination/replica_host.py
+++ b/gaugesail/coordination/replica_host.py
@@ -139,7 +139,7 @@
         if may_vote and not self.replica.raft.may_vote:
             self.notices.add("voting_enabled", replica=self.replica.raft.replica_id)
         self.replica.raft.may_vote = may_vote
-        self.replica.add_applicants(self.bootstrap.take_applicants())
+        self.replica.add_applicants(self.bootstrap.drain_applicants())
 
     def receive(self, sender: str, message: ReplicaMessage) -> bool:
         """Take in a message of another replica; return whether ``maintain`` is to be called."""
--- a/gaugesail/coordination/replication.py
+++ b/gaugesail/coordination/replication.py
@@ -26,7 +26,7 @@
 
     next_index: int
     resend_index: int  # sent again from here, if what is on its way is not acknowledged
-    heard_at: int
+    last_response_at: int
     match_index: int = 0
     acknowledged_round: int = 0
     entries_sent_at: int = 0
@@ -38,7 +38,7 @@
         A refusal that says less than the follower has acknowledged before is late, or its store was
         restored from a backup: what was sent last is sent again in its time, not at each such answer.
         """
-        self.heard_at = now
+        self.last_response_at = now
         self.acknowledged_round = max(self.acknowledged_round, response.round)
         if response.success:
             self.match_index = max(self.match_index, response.match_index)
@@ -78,7 +78,7 @@
         """Keep progress for each other voter, and for no one else."""
         for voter in voters:
             if voter != replica_id:
-                self.followers.setdefault(voter, Progress(last_index, last_index, heard_at=now))
+                self.followers.setdefault(voter, Progress(last_index, last_index, last_response_at=now))
         self.followers = {voter: known for voter, known in self.followers.items() if voter in voters}
 
     def stop(self) -> None:
@@ -91,14 +91,16 @@
         progress = self.followers.get(voter)
         return 0 if progress is None else progress.match_index
 
-    def last_heard_at(self, voter: str) -> int | None:
+    def last_response_at(self, voter: str) -> int | None:
         """Return when a follower answered last; None if it is unknown."""
         progress = self.followers.get(voter)
-        return None if progress is None else progress.heard_at
+        return None if progress is None else progress.last_response_at
 
-    def count_heard(self, now: int) -> int:
+    def count_responsive(self, now: int) -> int:
         """Return how many followers have answered lately (thesis, 6.2)."""
-        return sum(now - progress.heard_at < QUORUM_TIMEOUT_US for progress in self.followers.values())
+        return sum(
+            now - progress.last_response_at < QUORUM_TIMEOUT_US for progress in self.followers.values()
+        )
 
     def match_indexes(self, voters: Iterable[str]) -> list[int]:
         """Return up to where each follower among the voters has the log."""
--- a/gaugesail/coordination/request_schedule.py
+++ b/gaugesail/coordination/request_schedule.py
@@ -25,7 +25,7 @@
         self.number = 0  # of the latest request
         self._sent_at: dict[int, int] = {}  # by number
         self._waiting_since: int | None = None  # for a response of the replica that was asked
-        self._asked = ""
+        self._requested_replica = ""
         self._preferred = ""  # who answered last, or was named as the leader
         self._passed_over: set[str] = set()
 
@@ -37,7 +37,7 @@
     def choose(self, now: int, replicas: list[str]) -> str:
         """Whom to ask; ``replicas`` are all of them, the likeliest leader first."""
         if self._waiting_since is not None and now - self._waiting_since >= RESPONSE_TIMEOUT_US:
-            self._passed_over.add(self._asked)
+            self._passed_over.add(self._requested_replica)
             self._preferred = ""
             self._waiting_since = None
         candidates = [name for name in replicas if name not in self._passed_over]
@@ -49,7 +49,7 @@
     def begin_request(self, now: int, replica: str) -> int:
         """Number a request that is about to be sent: the lease that it brings counts from here."""
         self.number += 1
-        self._asked = replica
+        self._requested_replica = replica
         if self._waiting_since is None:
             self._waiting_since = now
         self._sent_at[self.number] = now
@@ -88,13 +88,13 @@
         if is_latest:
             self.next_at = now if self._preferred else now + RESPONSE_TIMEOUT_US // 2
 
-    def wait_a_lease(self, now: int) -> None:
+    def wait_one_lease(self, now: int) -> None:
         """Nothing is to be had until operators change something."""
         self.next_at = now + self._lease_us
 
     # ---- what is reported sooner ----
 
-    def hurry(self, now: int) -> None:
+    def request_soon(self, now: int) -> None:
         """Ask soon, but not right after the latest request; while that has no response, after that."""
         if self._waiting_since is not None:
             return
--- a/gaugesail/coordination/spending_rights.py
+++ b/gaugesail/coordination/spending_rights.py
@@ -36,7 +36,7 @@
 
     # ---- towards the gateway ----
 
-    def take_update(self, floors: PlanRates) -> QuotaUpdate | None:
+    def pop_update(self, floors: PlanRates) -> QuotaUpdate | None:
         """What has changed for the gateway since the last call; None where nothing has."""
         floors_same = floors == self._sent_floors
         lease_same = self.lease_until == self._sent_lease_until
@@ -70,7 +70,7 @@
         """Whether any allocation has to be reported to the leader."""
         return bool(self._unreported)
 
-    def take_report(self, request_number: int, most: int) -> list[HeldQuota]:
+    def collect_report(self, request_number: int, most: int) -> list[HeldQuota]:
         """At most so many allocations that have to be reported, carried by this request."""
         report = []
         for quota_name in list(self._unreported)[:most]:
--- a/gaugesail/fleet/operator_calls.py
+++ b/gaugesail/fleet/operator_calls.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gaugesail.coordination.messages import ForgetHead
+from gaugesail.coordination.messages import ForgetGateway
 from gaugesail.coordination.node import FleetNode, StepOutput
 
 from ..core.ports import Clock
@@ -56,7 +56,7 @@
         numbers: list[int] = []
 
         def submit(node: FleetNode, now: int) -> StepOutput:
-            number, output = node.submit_command(now, ForgetHead(gateway))
+            number, output = node.submit_command(now, ForgetGateway(gateway))
             numbers.append(number)
             return output
 
@@ -65,7 +65,7 @@
 
 
 def _command_result(node: FleetNode, number: int) -> dict[str, Any]:
-    result = node.take_command_result(number)
+    result = node.pop_command_result(number)
     if result is None:
         return {"known": False}
     return {"known": True, "done": result.done, "why": result.reason}
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -141,15 +141,15 @@
         keeper, raft = cell.keeper, cell.keeper.raft
         raft.replication._round_started_at = now - 1_000_000
         keeper.process(now)
-        if (save := raft.take_write()) is not None:
+        if (save := raft.pop_write()) is not None:
             cell.term, cell.vote = save.term, save.voted_for
             if save.first_index is not None:
                 cell.log[save.first_index - 1 :] = save.entries
-        said = [(name, to, _pack(what)) for to, what in keeper.take_messages()]
-        said += [(name, to, _pack(what)) for to, what in cell.holder.take_messages()]
+        said = [(name, to, _pack(what)) for to, what in keeper.drain_messages()]
+        said += [(name, to, _pack(what)) for to, what in cell.holder.drain_messages()]
         keeper.notices.clear()
         cell.holder.notices.clear()
-        cell.holder.take_quota_update()
+        cell.holder.pop_quota_update()
         cell.holder.floor_changed = False
         self._still(cell, now)
         return said
@@ -159,13 +159,13 @@
         raft.replication._round_started_at = now - 1_000_000
         raft.replication.heartbeat_at = NEVER
         raft._election_at = NEVER
-        raft._heard_at = now - 10_000_000
+        raft._leader_contact_at = now - 10_000_000
         if not raft.replication.followers:
             raft.replication.round = 0
             for lease in office.leases.values() if office is not None else ():
                 lease.confirmation_round = 0
         for follower in raft.replication.followers.values():
-            follower.heard_at = now
+            follower.last_response_at = now
             follower.entries_sent_at = now
         if office is not None:
             office._allocator._resend_at = NEVER
@@ -266,7 +266,7 @@
         for name, cell in room.cells.items():
             raft = cell.keeper.raft
             for follower in raft.replication.followers.values():
-                follower.heard_at = room.now
+                follower.last_response_at = room.now
             cell.holder.tick(room.now, [])
             self.act(room, name)
         return room
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -534,7 +534,7 @@
     holder = LeaseHolder(FleetTerms("f", ("a",)), "d", 7, "s", PersistedFloor(), 0, random.Random(1))
     holder.set_limits({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
-    said = holder.take_messages()[0][1]
+    said = holder.drain_messages()[0][1]
     assert isinstance(said, m.LeaseRequest)
     return holder, said
 
--- a/gaugesail/measure/planted.py
+++ b/gaugesail/measure/planted.py
@@ -294,7 +294,7 @@
     Plant(
         "entries_not_kept",
         "entries are acknowledged and not persisted",
-        lambda: [_method(consensus.RaftNode, "take_write", _drop_entries)],
+        lambda: [_method(consensus.RaftNode, "pop_write", _drop_entries)],
     ),
     Plant(
         "any_log_elected",
@@ -337,7 +337,7 @@
     Plant(
         "vote_not_kept",
         "a vote is given and not persisted",
-        lambda: [_method(node.FleetNode, "_take_write", _forget_vote)],
+        lambda: [_method(node.FleetNode, "_pop_write", _forget_vote)],
     ),
     Plant(
         "closing_renewed",
--- a/tests/coordination/test_bootstrap.py
+++ b/tests/coordination/test_bootstrap.py
@@ -65,4 +65,4 @@
         for back, answer in fleet[to].receive("c", said):
             assert back == "c" and isinstance(answer, m.BootstrapStatus | m.BootstrapBind)
             fresh.receive(to, answer)
-    assert fresh.record.fleet_id == a.record.fleet_id and a.take_applicants()["c"] == "fresh"
+    assert fresh.record.fleet_id == a.record.fleet_id and a.drain_applicants()["c"] == "fresh"
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -38,8 +38,8 @@
                 if one.role is Role.LEADER:
                     one.tick(self.now)
                 one.flush(self.now)
-                one.take_write()
-                for to, said in one.take_messages():
+                one.pop_write()
+                for to, said in one.drain_messages():
                     if to in self.replicas and not {replica_id, to} & self.cut_off:
                         self.replicas[to].receive(self.now, said)
 
@@ -59,7 +59,7 @@
     cluster.deliver()
     assert all(one.log.commit_index >= index for one in cluster.replicas.values() if index)
     assert {one.leader for one in cluster.replicas.values()} == {"a#1"}
-    assert [command for _, command in cluster.replicas["c#1"].log.take_committed()][-1] == m.CloseSession(7)
+    assert [command for _, command in cluster.replicas["c#1"].log.drain_committed()][-1] == m.CloseSession(7)
 
 
 def test_a_replica_votes_once_a_term_and_for_no_candidate_that_lacks_entries() -> None:
@@ -68,13 +68,13 @@
     cluster.deliver()
     b = cluster.replicas["b#1"]
     b.receive(cluster.now, m.VoteRequest("c#1", 9, False, 0, 0))
-    (_, short), *_ = [item for item in b.take_messages() if isinstance(item[1], m.VoteResponse)]
+    (_, short), *_ = [item for item in b.drain_messages() if isinstance(item[1], m.VoteResponse)]
     assert isinstance(short, m.VoteResponse) and not short.granted, "its log is shorter"
     b.receive(cluster.now, m.VoteRequest("c#1", 9, False, b.log.last_index, 9))
     b.receive(cluster.now, m.VoteRequest("a#1", 9, False, b.log.last_index, 9))
-    granted = [said.granted for _, said in b.take_messages() if isinstance(said, m.VoteResponse)]
+    granted = [said.granted for _, said in b.drain_messages() if isinstance(said, m.VoteResponse)]
     assert granted == [True, False] and b.voted_for == "c#1"
-    save = b.take_write()
+    save = b.pop_write()
     assert save is not None and (save.term, save.voted_for) == (9, "c#1"), "kept before it is said"
 
 
@@ -83,7 +83,7 @@
     a = cluster.replicas["a#1"]
     a.may_vote = False
     a.tick(cluster.now + 5 * ELECTION_TIMEOUT_US)
-    assert a.role is Role.FOLLOWER and not a.take_messages()
+    assert a.role is Role.FOLLOWER and not a.drain_messages()
 
 
 def test_a_leader_that_hears_of_no_majority_steps_down() -> None:
@@ -125,7 +125,7 @@
     cluster.cut_off = set()
     cluster.deliver(30)
     assert a.role is Role.FOLLOWER
-    told = [command for _, command in a.log.take_committed()]
+    told = [command for _, command in a.log.drain_committed()]
     assert m.CloseSession(2) in told and m.CloseSession(1) not in told
 
 
@@ -145,7 +145,7 @@
     cluster.elect()
     b = cluster.replicas["b#1"]
     b.receive(cluster.now, m.VoteRequest("c#1", 9, False, 99, 9))
-    b.take_messages()
+    b.drain_messages()
     before = b.log.last_index, b.log.commit_index
     b.receive(
         cluster.now,
@@ -153,7 +153,7 @@
             "a#1", 1, b.log.last_index, 1, (m.LogEntry(1, m.CloseSession(1)),), b.log.last_index + 1, 1
         ),
     )
-    (_, said), *_ = b.take_messages()
+    (_, said), *_ = b.drain_messages()
     assert isinstance(said, m.AppendResponse) and not said.success and said.term == 9
     assert (b.log.last_index, b.log.commit_index) == before
 
@@ -195,7 +195,7 @@
     for n in range(20):
         a.propose(m.CloseSession(n))
         cluster.deliver(2)
-    assert list(a.log.take_committed())
+    assert list(a.log.drain_committed())
     a.log.compact(b"the ledger")
     assert not a.log.entries and a.log.snapshot.state == b"the ledger"
     cluster.cut_off = set()
@@ -215,23 +215,23 @@
     cluster = Cluster(("a#1",))
     raft = cluster.replicas["a#1"]
     replica = Replica(FleetTerms("f", ("a",)), "d", "f", raft, 0)
-    replica.receive_command("x", m.OperatorCommand(1, m.ForgetHead("h")), "")
-    assert replica.take_messages()[-1] == ("x", m.OperatorCommandResult(1, False, "the leader is not known"))
+    replica.receive_command("x", m.OperatorCommand(1, m.ForgetGateway("h")), "")
+    assert replica.drain_messages()[-1] == ("x", m.OperatorCommandResult(1, False, "the leader is not known"))
     cluster.now += 3 * ELECTION_TIMEOUT_US
     raft.tick(cluster.now)
     replica.process(cluster.now)
     assert replica.lease_manager is not None and Notice("became_leader", {"term": 1}) in replica.notices
     raft.propose(m.OpenSession("h", 5, "store"))
     replica.process(cluster.now)
-    replica.receive_command("x", m.OperatorCommand(2, m.ForgetHead("h")), "a")
-    replica.receive_command("x", m.OperatorCommand(3, m.ForgetHead("g")), "a")
+    replica.receive_command("x", m.OperatorCommand(2, m.ForgetGateway("h")), "a")
+    replica.receive_command("x", m.OperatorCommand(3, m.ForgetGateway("g")), "a")
     raft.propose(m.CloseSession(next(iter(replica.ledger.sessions))))
     replica.process(cluster.now)
-    replica.receive_command("x", m.OperatorCommand(4, m.ForgetHead("h")), "a")
+    replica.receive_command("x", m.OperatorCommand(4, m.ForgetGateway("h")), "a")
     replica.process(cluster.now)
     heard = {
         said.number: said.done
-        for _, said in replica.take_messages()
+        for _, said in replica.drain_messages()
         if isinstance(said, m.OperatorCommandResult)
     }
     assert heard == {2: False, 3: True, 4: True} and not replica.ledger.floor_slots
--- a/tests/coordination/test_lease_holder.py
+++ b/tests/coordination/test_lease_holder.py
@@ -20,7 +20,7 @@
 
 def asked(one: LeaseHolder, now: int) -> m.LeaseRequest:
     one.tick(now, ["a"])
-    (_, ask), *_ = one.take_messages()
+    (_, ask), *_ = one.drain_messages()
     assert isinstance(ask, m.LeaseRequest)
     return ask
 
@@ -73,18 +73,18 @@
     one = holder()
     one.receive(10, "a", answer(asked(one, 0)))
     one.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 50_000, 8000),)))
-    one.take_quota_update()
+    one.pop_quota_update()
     one.receive(2_000_000, "a", answer(asked(one, 1_500_000), session=6))
-    told = one.take_quota_update()
+    told = one.pop_quota_update()
     assert not one.allocations and told is not None and told.replaces_all
 
 
 def test_without_a_store_it_requests_nothing_until_an_earlier_lease_is_over() -> None:
     one = holder("", now=100)
     one.tick(TERMS.lease_with_drift_us, ["a"])
-    assert not one.take_messages()
+    assert not one.drain_messages()
     one.tick(100 + TERMS.lease_with_drift_us, ["a"])
-    assert one.take_messages()
+    assert one.drain_messages()
     assert not one.floors()
 
 
@@ -97,7 +97,7 @@
     one.receive(30, "a", m.LeaseResponse(7, ask.number, m.LeaseStatus.LEFT, 0, 1, "a"))
     assert one.left and one.next_at > 1 << 60, "or its process would turn without end"
     one.tick(10_000_000, ["a"])
-    assert not one.take_messages()
+    assert not one.drain_messages()
 
 
 def test_a_floor_is_of_the_lesser_of_the_agreed_limit_and_its_own() -> None:
--- a/tests/coordination/test_lease_manager.py
+++ b/tests/coordination/test_lease_manager.py
@@ -43,7 +43,7 @@
         manager: Any = getattr(self, "manager", None)
         for _ in range(6):
             self.raft.flush(self.now)
-            for index, command in self.raft.log.take_committed():
+            for index, command in self.raft.log.drain_committed():
                 done = self.ledger.apply(index, command)
                 if manager is not None:
                     manager.entry_applied(self.now, command, done)
@@ -67,7 +67,7 @@
         } | more
         self.manager.request(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **given))
         self.pump()
-        return [said for _, said in self.manager.take_messages()]
+        return [said for _, said in self.manager.drain_messages()]
 
 
 def want(rate: int) -> tuple[m.QuotaDemand, ...]:
@@ -160,7 +160,7 @@
         lease.unanswered_request = m.LeaseRequest(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
         lease.confirmation_round, lease.closing = 0, True
         leader.manager.tick(leader.now)
-        assert [one for _, one in leader.manager.take_messages() if isinstance(one, m.LeaseResponse)]
+        assert [one for _, one in leader.manager.drain_messages() if isinstance(one, m.LeaseResponse)]
 
 
 class Leases(RuleBasedStateMachine):
@@ -179,8 +179,8 @@
 
     def send(self) -> None:
         for n, one in self.holders.items():
-            self.in_flight += [(0, (n, said)) for _, said in one.take_messages()]
-        for to, said in self.leader.manager.take_messages():
+            self.in_flight += [(0, (n, said)) for _, said in one.drain_messages()]
+        for to, said in self.leader.manager.drain_messages():
             self.in_flight.append((int(to[1:]), said))
 
     @rule(n=st.sampled_from([1, 2]), rate=st.sampled_from([0, 20, 60, 200]))
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -47,7 +47,7 @@
     def deliver(self) -> None:
         for _ in range(4):
             for name, one in self.members.items():
-                for to, said in one.take_messages():
+                for to, said in one.drain_messages():
                     if to in self.members and not {name, to} & self.cut_off:
                         self.members[to].receive(self.now, name, said)
 
@@ -62,7 +62,7 @@
     fleet.cut_off = set()
     fleet.run(20)
     assert all(one.state_of("h3") == MemberState.ALIVE for one in fleet.members.values())
-    told = [change.kind for change in fleet.members["h0"].take_changes() if change.name == "h3"]
+    told = [change.kind for change in fleet.members["h0"].drain_changes() if change.name == "h3"]
     assert told[:3] == ["join", "suspect", "gone"] and told[-1] in ("back", "refute")
 
 
@@ -102,10 +102,10 @@
     fleet = Fleet(3)
     fleet.run(4)
     one = fleet.members["h0"]
-    one.take_changes()
+    one.drain_changes()
     one.tick(fleet.now + 60 * SECOND)
     one.tick(fleet.now + 60 * SECOND + PERIOD_US // 2)
-    assert not [change for change in one.take_changes() if change.kind == "gone"]
+    assert not [change for change in one.drain_changes() if change.kind == "gone"]
     assert one.local_health > 0
 
 
--- a/tests/coordination/test_quota_ledger.py
+++ b/tests/coordination/test_quota_ledger.py
@@ -92,10 +92,10 @@
 
 def test_a_gateway_with_a_session_is_not_forgotten() -> None:
     ledger = made(m.OpenSession("a", 1, "s"))
-    assert not ledger.apply(2, m.ForgetHead("a")) and ledger.floor_slots
+    assert not ledger.apply(2, m.ForgetGateway("a")) and ledger.floor_slots
     ledger.apply(3, m.CloseSession(1))
-    assert ledger.apply(4, m.ForgetHead("a")) and not ledger.floor_slots
-    assert not ledger.apply(5, m.ForgetHead("a"))
+    assert ledger.apply(4, m.ForgetGateway("a")) and not ledger.floor_slots
+    assert not ledger.apply(5, m.ForgetGateway("a"))
 
 
 def test_a_snapshot_holds_the_whole_ledger() -> None:
@@ -176,7 +176,7 @@
 
     @rule(head=st.sampled_from("abcdef"))
     def forget(self, head: str) -> None:
-        self.apply(m.ForgetHead(head))
+        self.apply(m.ForgetGateway(head))
 
     @invariant()
     def a_slot_belongs_to_one_store(self) -> None:
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -223,7 +223,7 @@
             lambda sender, process, message: heard.append(message),
         )
         links[name].listen(*where[name])
-    large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MAX_DATAGRAM_BYTES))
+    large = m.OperatorCommand(1, m.ForgetGateway("x" * 5 * MAX_DATAGRAM_BYTES))
     links["a"].send("b", large)
     links["a"].send("b", m.DigestOffer(1))
     links["a"].send("c", m.DigestOffer(2))
@@ -233,7 +233,7 @@
     links["b"].close()
     links["a"].send("b", large)
     reactor.run_until(lambda: False, 1)
-    links["a"].send("b", m.OperatorCommand(1, m.ForgetHead("x" * 9_000_000)))
+    links["a"].send("b", m.OperatorCommand(1, m.ForgetGateway("x" * 9_000_000)))
     reactor.run_until(lambda: False, 1)
     assert len(heard) == 2 and links["a"].counts["too_large"] == 1
     reactor.run_until(lambda: False, 30)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -92,7 +92,7 @@
             m.DigestOffer(1),
             m.VoteRequest("h1#s", 9, False, 9, 9),
             m.Ping(1, ()),
-            m.OperatorCommand(1, m.ForgetHead("h2")),
+            m.OperatorCommand(1, m.ForgetGateway("h2")),
         )
     ]
     taken = 0
