--- a/gaugesail/coordination/__init__.py
+++ b/gaugesail/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""The agreement of a fleet of gateways on quotas: decisions without I/O, without a clock of their own.
+"""How a fleet of gateways agrees on quotas: decisions without I/O and without a clock of their own.
 
 ::
 
@@ -7,8 +7,9 @@
           +------------------+-------------------+-------------------+
           |                  |                   |                   |
       Membership         LeaseHolder         LocalStore          ReplicaHost: Bootstrap, StoreFence
-      who is alive       the gateway's       what is to be           |
-        member_table     lease and quota     persisted           Replica
+      which gateways     the gateway's       the state to            |
+      are alive          lease and quota     persist             Replica
+        member_table                                                 |
         failure_detector   spending_rights                           |
         gossip             gateway_floor              +--------------+--------------+
         local_health       demand_tracker             |              |              |
@@ -18,6 +19,6 @@
                                                      elections
                                                      replication
 
-Records that travel or are stored are in ``*_messages.py`` and ``log_commands.py``; what a store holds is in
-``persisted_state.py``; what operators are shown is in ``operator_views.py``.
+Records that are sent or stored are in ``*_messages.py`` and ``log_commands.py``, the content of a store in
+``persisted_state.py``, and the operators' views in ``operator_views.py``.
 """
--- a/gaugesail/coordination/bootstrap.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -1,9 +1,10 @@
-"""How a fleet begins: once, with all the replicas that the files name, each bound to one founder.
+"""Bootstraps a fleet, once, from all the configured replicas, each bound to one founder.
 
-The first of the names in alphabetical order is the founder.  Each replica without a fleet promises, in its
-store, to be founded by that founder's store and by no other; when all have, the founder writes down who they
-are, and from then on the voters are what the log says.  So no two fleets come of one set of stores, whatever
-arrives late or twice, and whoever starts under whose name.
+The founder is the replica whose name comes first in alphabetical order.  Each replica without a fleet
+promises, in its store, to be founded by that founder's store and by no other.  When all have promised, the
+founder persists the fleet's id and voters; from then on the voters are those of the log.  So one set of
+stores never forms two fleets, even if messages are delayed or duplicated, or a process starts under another's
+name.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 from .messages import BootstrapBind, BootstrapStatus, Message
 from .replica_id import make_replica_id, store_id_of
 
-STATUS_INTERVAL_US = 500_000  # between two questions to the others
-MAX_VOTERS = 16  # that are taken from a message
+STATUS_INTERVAL_US = 500_000  # between two status messages to the other replicas
+MAX_VOTERS = 16  # accepted in a message
 FLEET_ID_BYTES = 8
 
-Sent = list[tuple[str, Message]]  # messages, each with its receiver
+Outgoing = list[tuple[str, Message]]  # messages, each with its receiver
 
 
 @dataclass(slots=True)
 class BootstrapRecord:
-    """What a replica has persisted of its fleet's beginning."""
+    """The persisted state of a replica's bootstrap."""
 
-    fleet_id: str = ""  # empty: there is no fleet yet
-    voters: tuple[str, ...] = ()  # the first ones' replica ids
-    bound_to: str = ""  # the id of the founder's store that it promised itself to
+    fleet_id: str = ""  # empty: no fleet yet
+    voters: tuple[str, ...] = ()  # replica ids of the first voters
+    bound_to: str = ""  # id of the founder's store that the replica is bound to
 
 
 class Bootstrap:
-    """One replica's way into its fleet.  ``unsaved``: ``record`` or ``store_id`` is to be persisted."""
+    """One replica's bootstrap.  ``unsaved``: ``record`` or ``store_id`` must be persisted."""
 
     def __init__(
         self, name: str, store_id: str, replicas: tuple[str, ...], terms_digest: str, record: BootstrapRecord
@@ -39,45 +40,45 @@
         self.store_id = store_id
         self.record = record
         self.unsaved = False
-        self.conflicts: dict[str, str] = {}  # other replicas that do not fit, and why
+        self.conflicts: dict[str, str] = {}  # reasons of conflicts, by the other replica's name
         self._name = name
         self._replicas = replicas
         self._terms_digest = terms_digest
         self._status_at = 0
-        self._bound_stores: dict[str, str] = {}  # replicas that are bound to this store, and their stores
-        self._applicants: dict[str, str] = {}  # replicas whose store is no voter of the fleet that there is
+        self._bound_stores: dict[str, str] = {}  # store ids of replicas bound to this store, by name
+        self._applicants: dict[str, str] = {}  # store ids of replicas whose store is not a voter, by name
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` has something to do."""
+        """When ``tick`` is due next."""
         return self._status_at
 
     @property
     def is_founder(self) -> bool:
-        """Whether this replica founds the fleet: it is the first that the file names."""
+        """Whether this replica founds the fleet: it is the first of the configured replicas."""
         return self._name == self._replicas[0]
 
     def drain_applicants(self) -> dict[str, str]:
-        """Return the replicas, by name, whose store is no voter, since the last call."""
+        """Return and remove the replicas whose store is not a voter: store ids by name."""
         applicants = self._applicants
         self._applicants = {}
         return applicants
 
     def replace_store(self, store_id: str) -> None:
-        """This replica's store is replaced by another, which applies to the same fleet."""
+        """Switch to a new store, which applies to the same fleet."""
         self.store_id = store_id
         self.record.bound_to = ""
         self.unsaved = True
 
     # ---- time ----
 
-    def tick(self, now: int, is_voter: bool) -> Sent:
-        """Ask the others while there is no fleet, or this replica is no voter; return what is sent."""
+    def tick(self, now: int, is_voter: bool) -> Outgoing:
+        """Return the status messages that are due while there is no fleet or this replica is not a voter."""
         if (self.record.fleet_id and is_voter) or now < self._status_at:
             return []
         self._status_at = now + STATUS_INTERVAL_US
         others = [name for name in self._replicas if name != self._name]
-        sent: Sent = [(name, self._status()) for name in others]
+        sent: Outgoing = [(name, self._status()) for name in others]
         if self.is_founder and not self.record.fleet_id:
             self._bind_to(self.store_id)
             sent += [(name, BootstrapBind(self._terms_digest, self.store_id)) for name in others]
@@ -97,12 +98,12 @@
 
     # ---- messages ----
 
-    def receive(self, sender: str, message: BootstrapStatus | BootstrapBind) -> Sent:
-        """Take in what another replica says, and return the answer.  Nothing undoes what is persisted."""
+    def receive(self, sender: str, message: BootstrapStatus | BootstrapBind) -> Outgoing:
+        """Process another replica's message; return the responses.  A persisted promise is never revoked."""
         if sender not in self._replicas:
             return []
         if message.terms_digest != self._terms_digest:
-            self.conflicts[sender] = "its file differs in what binds the fleet"
+            self.conflicts[sender] = "its configuration differs in the fleet's terms"
             return []
         self.conflicts.pop(sender, None)
         if isinstance(message, BootstrapBind):
@@ -112,15 +113,15 @@
             return []
         return self._receive_without_fleet(sender, message)
 
-    def _receive_bind(self, sender: str, message: BootstrapBind) -> Sent:
-        """Promise this replica to the founder, unless it is promised already."""
+    def _receive_bind(self, sender: str, message: BootstrapBind) -> Outgoing:
+        """Bind this replica to the founder's store, unless it is bound already."""
         founds = sender == self._replicas[0] and not self.record.fleet_id
         if founds and not self.record.bound_to:
             self._bind_to(message.founder_store)
         return [(sender, self._status())]
 
     def _receive_fleet(self, sender: str, status: BootstrapStatus) -> None:
-        """Another replica has a fleet."""
+        """Process the status of a replica that has a fleet."""
         if not self.record.fleet_id:
             self._join(status)
         elif status.fleet_id != self.record.fleet_id:
@@ -128,8 +129,8 @@
         elif make_replica_id(sender, status.store_id) not in status.voters:
             self._applicants[sender] = status.store_id
 
-    def _receive_without_fleet(self, sender: str, status: BootstrapStatus) -> Sent:
-        """Another replica has no fleet: it is told of this one's, or counted among the founders."""
+    def _receive_without_fleet(self, sender: str, status: BootstrapStatus) -> Outgoing:
+        """Process the status of a replica without a fleet: send it this one's fleet, or count its promise."""
         if self.record.fleet_id:
             self._applicants[sender] = status.store_id
             return [(sender, self._status())]
@@ -140,10 +141,10 @@
             self._found_if_all_bound()
         return []
 
-    # ---- the beginning ----
+    # ---- founding and joining ----
 
     def _found_if_all_bound(self) -> None:
-        """Once all others are bound to this store there is a fleet."""
+        """Found the fleet once all other replicas are bound to this store."""
         if self.record.fleet_id or len(self._bound_stores) < len(self._replicas) - 1:
             return
         voters = [make_replica_id(name, store_id) for name, store_id in self._bound_stores.items()]
@@ -155,7 +156,7 @@
         self.unsaved = True
 
     def _join(self, status: BootstrapStatus) -> None:
-        """Join the fleet that there is, unless this replica is promised to another founder."""
+        """Join an existing fleet, unless this replica is bound to another founder's store."""
         is_founding_voter = make_replica_id(self._name, self.store_id) in status.voters
         founders = {store_id_of(voter) for voter in status.voters}
         if is_founding_voter and self.record.bound_to and self.record.bound_to not in founders:
--- a/gaugesail/coordination/bootstrap_messages.py
+++ b/gaugesail/coordination/bootstrap_messages.py
@@ -1,4 +1,4 @@
-"""How a fleet begins (bootstrap.py)."""
+"""Messages of a fleet's bootstrap (bootstrap.py)."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class BootstrapStatus(Record, frozen=True, tag="Hello"):
-    """What a replica has persisted of its fleet; without a ``fleet_id`` it asks for one."""
+    """A replica's persisted bootstrap state; without a ``fleet_id`` it requests the receiver's."""
 
     terms_digest: str
     store_id: str
     fleet_id: str = ""
     voters: tuple[str, ...] = ()
-    bound_to: str = ""  # the id of the founder's store that it is bound to
+    bound_to: str = ""  # id of the founder's store that the replica is bound to
 
 
 class BootstrapBind(Record, frozen=True, tag="Bind"):
-    """The founder asks for a promise to be founded by its store and no other."""
+    """The founder's request that the receiver bind itself to its store and no other."""
 
     terms_digest: str
     founder_store: str
--- a/gaugesail/coordination/consensus.py
+++ b/gaugesail/coordination/consensus.py
@@ -1,9 +1,9 @@
 """One replica of the log: Raft (Ongaro, Ousterhout 2014) without I/O and without a clock of its own.
 
-With pre-votes and a leader that steps down when it hears of no majority (Ongaro's thesis, 9.6 and 6.2),
-voters that change one at a time (4.1, after an entry of the leader's own term), and confirmed rounds ("read
-index", 6.4), on which leases rest.  Whatever a replica promises is written before it is sent: the
-caller writes ``pop_write`` before it sends ``drain_messages``.  The same calls give the same answers.
+It includes pre-votes (Ongaro's thesis, 9.6), a leader that steps down when no majority responds (6.2),
+single-voter membership changes (4.1, after an entry of the leader's own term), and confirmed rounds ("read
+index", 6.4), on which leases rest.  A replica persists each promise before it sends it: the caller completes
+the write of ``pop_write`` before it sends ``drain_messages``.  The same calls return the same results.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 @dataclass(slots=True)
 class RaftWrite:
-    """What has changed and is to be written, all or nothing, before any message is sent.
+    """The changes to write atomically before any message is sent.
 
-    ``entries`` replace all from ``first_index`` on; a ``snapshot`` replaces all up to its index.
+    ``entries`` replace all entries from ``first_index`` on; a ``snapshot`` replaces all up to its index.
     """
 
     term: int
@@ -49,7 +49,10 @@
 
 
 class RaftNode:
-    """One replica.  Times are in microseconds of the caller's clock."""
+    """One replica.  Times are in microseconds of the caller's clock.
+
+    ``may_vote``: its store is confirmed to be the latest, and accepts writes.
+    """
 
     def __init__(
         self,
@@ -63,26 +66,26 @@
     ) -> None:
         self.replica_id = replica_id
         self.term = term
-        self.voted_for = voted_for  # a replica id, in this term
+        self.voted_for = voted_for  # replica id, in this term
         self.log = log or RaftLog()
-        self.may_vote = may_vote  # the store is known to be the latest, and takes writes
+        self.may_vote = may_vote
         self.role = Role.FOLLOWER
-        self.leader = ""  # its replica id, as far as known
+        self.leader = ""  # replica id; empty if unknown
         self.replication = Replication()
         self._rng = rng
         self._messages: list[tuple[str, Message]] = []
         self._votes: set[str] = set()
-        self._vote_unwritten = False  # the term, or the vote in it
-        self._term_start_index = 0  # of the first entry of this leader's term
-        self._leader_contact_at = now - ELECTION_TIMEOUT_US  # from a leader
+        self._vote_unwritten = False  # the term or the vote
+        self._term_start_index = 0  # index of the first entry of this leader's term
+        self._leader_contact_at = now - ELECTION_TIMEOUT_US  # of the latest message
         self._election_at = 0
         self._restart_election_timer(now)
 
-    # ---- what holds ----
+    # ---- state ----
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters' replica ids, as the log says."""
+        """The voters' replica ids, by the log."""
         return self.log.voters
 
     @property
@@ -92,17 +95,17 @@
 
     @property
     def quorum_size(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def serving(self) -> bool:
-        """It leads, and an entry of its own term is committed: it knows all that was ever committed."""
+        """Whether it leads with an entry of its own term committed, and so knows all committed entries."""
         return self.role is Role.LEADER and self.log.commit_index >= self._term_start_index
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` has something to do."""
+        """When ``tick`` is due next."""
         return self.replication.heartbeat_at if self.role is Role.LEADER else self._election_at
 
     @property
@@ -113,13 +116,13 @@
         )
 
     def _reached_by_quorum(self, followers: list[int], own: int) -> int:
-        figures = [*followers, own] if self.is_voter else followers
-        return reached_by_quorum(figures, self.quorum_size)
+        values = [*followers, own] if self.is_voter else followers
+        return reached_by_quorum(values, self.quorum_size)
 
-    # ---- what is to be written and sent ----
+    # ---- pending writes and messages ----
 
     def pop_write(self) -> RaftWrite | None:
-        """Return what is to be written before anything is sent; None if nothing has changed."""
+        """Return the write to complete before any message is sent; None if nothing has changed."""
         if not self._vote_unwritten and not self.log.has_changes:
             return None
         changes = self.log.drain_changes()
@@ -127,7 +130,7 @@
         return RaftWrite(self.term, self.voted_for, changes.first_index, changes.entries, changes.snapshot)
 
     def drain_messages(self) -> list[tuple[str, Message]]:
-        """Return the messages to send, each with the replica id that it is for."""
+        """Return and remove the pending messages, each with its receiver's replica id."""
         messages = self._messages
         self._messages = []
         return messages
@@ -138,7 +141,7 @@
     # ---- time ----
 
     def tick(self, now: int) -> None:
-        """As a leader request a heartbeat or step down; otherwise stand for election when it is time."""
+        """As leader request a heartbeat or step down; otherwise start an election after the timeout."""
         if self.role is Role.LEADER:
             if now >= self.replication.heartbeat_at:
                 self._heartbeat_or_step_down(now)
@@ -148,7 +151,7 @@
                 self._start_election(now, pre_vote=True)
 
     def _heartbeat_or_step_down(self, now: int) -> None:
-        """A leader that hears of no majority steps down: who has one may have another leader (6.2)."""
+        """Step down if no majority responds, as a majority may have elected another leader (6.2)."""
         if self.replication.count_responsive(now) + self.is_voter < self.quorum_size:
             self._become_follower(now, self.term, "")
         else:
@@ -160,7 +163,7 @@
     # ---- elections ----
 
     def _start_election(self, now: int, pre_vote: bool) -> None:
-        """Ask for votes; first whether there would be any, so that one that was cut off disturbs nobody."""
+        """Request votes, or pre-votes first, so that an isolated replica does not disrupt the leader."""
         self.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
         self.leader = ""
         term = self.term + 1
@@ -210,7 +213,7 @@
 
     def _receive_vote_request(self, now: int, request: VoteRequest) -> None:
         if request.pre_vote:
-            self._answer_pre_vote(now, request)
+            self._respond_to_pre_vote(now, request)
             return
         if request.term > self.term:
             self._become_follower(now, request.term, "")
@@ -220,10 +223,10 @@
             self._restart_election_timer(now)
         self._send(request.sender, VoteResponse(self.replica_id, self.term, False, granted))
 
-    def _answer_pre_vote(self, now: int, request: VoteRequest) -> None:
+    def _respond_to_pre_vote(self, now: int, request: VoteRequest) -> None:
         has_leader = self.role is Role.LEADER or now - self._leader_contact_at < ELECTION_TIMEOUT_US
         granted = grants_pre_vote(request, self.term, has_leader, self._is_up_to_date(request))
-        # A refusal tells our term: one with the longer log and an older term could never be elected.
+        # A refusal carries this term: a candidate with the longer log but an older term could never win.
         term = request.term if granted else self.term
         self._send(request.sender, VoteResponse(self.replica_id, term, True, granted))
 
@@ -239,7 +242,7 @@
             self._count_votes(now)
 
     def _receive_timeout_now(self, now: int, message: TimeoutNow) -> None:
-        """The leader hands over: stand at once (thesis, 3.10)."""
+        """Start an election at once: the leader transfers leadership (thesis, 3.10)."""
         if message.term == self.term and self.is_voter and self.role is Role.FOLLOWER:
             self._start_election(now, pre_vote=False)
 
@@ -253,27 +256,27 @@
         return self.log.last_index
 
     def replace_voters(self, now: int, voters: Iterable[str]) -> int | None:
-        """Change the voters by one, once the change before is committed (thesis, 4.1).
+        """Add or remove one voter, once the previous change is committed (thesis, 4.1).
 
-        Return the index of the entry, or None if the change is not allowed now.
+        Returns the index of the entry, or None if the change is not allowed now.
         """
-        fresh = tuple(sorted(voters))
-        one_change = len(set(fresh) ^ set(self.voters)) == 1
-        if not self.serving or not self.log.voters_committed or not one_change or not fresh:
+        new_voters = tuple(sorted(voters))
+        one_change = len(set(new_voters) ^ set(self.voters)) == 1
+        if not self.serving or not self.log.voters_committed or not one_change or not new_voters:
             return None
-        index = self.propose(ReplaceVoters(fresh))
+        index = self.propose(ReplaceVoters(new_voters))
         self._track_followers(now)
         return index
 
     def request_round(self) -> int:
-        """Return the number of a round yet to begin.
+        """Request a round; return its number.
 
-        Once ``confirmed_round`` is as high, this replica still led after now.
+        Once ``confirmed_round`` reaches it, this replica was still the leader after this call.
         """
         return self.replication.request_round()
 
     def transfer_leadership(self, voter: str) -> None:
-        """Let a follower that has all entries stand at once (thesis, 3.10)."""
+        """Make a follower that has all entries start an election at once (thesis, 3.10)."""
         progress = self.replication.followers.get(voter)
         if self.role is not Role.LEADER or progress is None:
             return
@@ -281,7 +284,7 @@
             self._send(voter, TimeoutNow(self.replica_id, self.term))
 
     def flush(self, now: int) -> None:
-        """At the end of a step: send what is new, and a heartbeat if a round is requested."""
+        """End a step: send new entries, and a heartbeat if a round is requested."""
         if self.role is not Role.LEADER:
             return
         self._messages += self.replication.messages(now, Leadership(self.replica_id, self.term), self.log)
@@ -294,7 +297,7 @@
         self.replication.track(now, self.replica_id, self.voters, self.log.last_index)
 
     def _advance_commit_index(self) -> None:
-        """What a majority has is committed, if it is of this term (paper, 5.4.2)."""
+        """Commit the entries that a majority has, if the last is of this term (paper, 5.4.2)."""
         matches = self.replication.match_indexes(self.voters)
         reached = self._reached_by_quorum(matches, self.log.last_index)
         if reached > self.log.commit_index and self.log.term_at(reached) == self.term:
@@ -310,12 +313,12 @@
         progress.acknowledge(now, response, self.log.last_index)
         self._advance_commit_index()
         if not self.is_voter and self.log.voters_committed:
-            self._become_follower(now, self.term, "")  # it led until its own removal was committed (4.2.2)
+            self._become_follower(now, self.term, "")  # it leads until its own removal is committed (4.2.2)
 
     # ---- the follower's side ----
 
     def receive(self, now: int, message: Message) -> None:
-        """Take in one message.  A replica that may not vote makes no promise of any kind.
+        """Process one message.  A replica that may not vote only notes the leader, and promises nothing.
 
         Raises LogBroken if the message shows that an invariant of Raft is violated.
         """
@@ -344,35 +347,35 @@
             return
         log = self.log
         if not log.accepts(message.prev_index, message.prev_term, len(message.entries)):
-            self._answer_leader(message, False, log.highest_possible_match(message.prev_index))
+            self._respond_to_leader(message, False, log.highest_possible_match(message.prev_index))
             return
         log.merge(message.prev_index, message.entries)
         match_index = max(
             message.prev_index + len(message.entries), min(log.commit_index, message.commit_index)
         )
         log.commit_index = max(log.commit_index, min(message.commit_index, match_index))
-        self._answer_leader(message, True, match_index)
+        self._respond_to_leader(message, True, match_index)
 
     def _receive_snapshot(self, now: int, message: InstallSnapshot) -> None:
         if not self._accept_leader(now, message):
             return
         snapshot = Snapshot(message.last_index, message.last_term, message.voters, message.state)
         self.log.install(snapshot)
-        self._answer_leader(message, True, max(message.last_index, 0))
+        self._respond_to_leader(message, True, max(message.last_index, 0))
 
     def _accept_leader(self, now: int, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow the sender if its term is not over; otherwise answer with the current term."""
+        """Follow the sender unless its term is outdated; in that case respond with the current term."""
         if message.term < self.term:
             response = AppendResponse(self.replica_id, self.term, False, 0, 0)
             self._send(message.sender, response)
             return False
         leads_same_term = self.role is Role.LEADER and message.term == self.term
         if leads_same_term and isinstance(message, AppendEntries):
-            raise LogBroken(RaftInvariant.ELECTION_SAFETY, f"{message.sender} leads term {self.term} as well")
+            raise LogBroken(RaftInvariant.ELECTION_SAFETY, f"{message.sender} also leads term {self.term}")
         self._become_follower(now, message.term, message.sender)
         return True
 
-    def _answer_leader(
+    def _respond_to_leader(
         self, message: AppendEntries | InstallSnapshot, success: bool, match_index: int
     ) -> None:
         response = AppendResponse(self.replica_id, self.term, success, match_index, message.round)
--- a/gaugesail/coordination/consensus_messages.py
+++ b/gaugesail/coordination/consensus_messages.py
@@ -1,4 +1,4 @@
-"""What replicas of the log say to each other (Raft).  ``sender`` is a replica id."""
+"""Messages between replicas of the log (Raft).  ``sender`` is a replica id."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class VoteRequest(Record, frozen=True, tag="Vote"):
-    """Asks for a vote; ``pre`` asks only whether there would be one."""
+    """Requests a vote; with ``pre_vote`` only whether the receiver would grant one."""
 
     sender: str
     term: int
@@ -17,7 +17,7 @@
 
 
 class VoteResponse(Record, frozen=True, tag="Voted"):
-    """Answers a VoteRequest.  A refusal tells the voter's term."""
+    """Responds to a VoteRequest.  A refusal carries the voter's term."""
 
     sender: str
     term: int
@@ -26,7 +26,7 @@
 
 
 class AppendEntries(Record, frozen=True, tag="Append"):
-    """Entries after ``prev_index``, or a heartbeat without any; ``round`` comes back with the answer."""
+    """Entries after ``prev_index``, none in a heartbeat; the response returns ``round``."""
 
     sender: str
     term: int
@@ -38,10 +38,10 @@
 
 
 class AppendResponse(Record, frozen=True, tag="Appended"):
-    """Answers AppendEntries or InstallSnapshot.
+    """Responds to AppendEntries or InstallSnapshot.
 
-    With ``success`` all up to ``match_index`` is the leader's and written; without, the sender has no more
-    than up to there in common with it.
+    With ``success`` the sender's log matches the leader's up to ``match_index``, and is written; without it
+    the logs match up to there at most.
     """
 
     sender: str
@@ -52,7 +52,7 @@
 
 
 class InstallSnapshot(Record, frozen=True, tag="Install"):
-    """The state after entry ``last_index``, in place of all entries up to there."""
+    """The state after entry ``last_index``; it replaces all entries up to it."""
 
     sender: str
     term: int
@@ -64,7 +64,7 @@
 
 
 class TimeoutNow(Record, frozen=True, tag="Lead"):
-    """The leader hands over: the receiver stands for election at once."""
+    """Transfers leadership: the receiver starts an election at once."""
 
     sender: str
     term: int
--- a/gaugesail/coordination/demand_tracker.py
+++ b/gaugesail/coordination/demand_tracker.py
@@ -1,4 +1,4 @@
-"""What a gateway wants of each quota: its smoothed demand, and which changes of it are to be reported.
+"""A gateway's demand for each quota: smoothed rates, and which changes to report to the leader.
 
 Rates in thousandths of a unit a second; times in microseconds.
 """
@@ -12,15 +12,15 @@
 
 from .lease_messages import QuotaDemand
 
-REPORT_CHANGE = 0.15  # a demand that differs by this share from what was reported is reported
+REPORT_CHANGE = 0.15  # relative change of a demand above which it is reported again
 SMOOTHING_S = 0.2  # time constant of the smoothing
-SAVED_SPENDING_S = 0.7  # in which what is saved up beyond one request is to be spent
-MIN_RATE = 500  # the least demand that is reported, in thousandths of a unit a second
-DEMAND_LIFETIME_US = 3_000_000  # after so long without a request there is no demand
+SAVED_SPENDING_S = 0.7  # time in which to spend the savings beyond one largest request
+MIN_RATE = 500  # minimum demand to report, in thousandths of a unit a second
+DEMAND_LIFETIME_US = 3_000_000  # a quota without a request for this long has no demand
 
 
 class QuotaUsage(NamedTuple):
-    """One quota since the last reading, in units."""
+    """The usage of one quota since the last reading, in units."""
 
     requested: float
     spent: float
@@ -33,15 +33,15 @@
     """The demand for one quota."""
 
     priority_weight: int
-    requested_at: int  # when it was last asked for
+    requested_at: int  # of the latest client request
     rate: float = 0.0
     used: float = 0.0
     saved: float = 0.0  # units
-    reported: int = -1  # the rate that the leader knows; -1: none
-    carried_by: int = 0  # the request that carried it, while that has no answer
+    reported: int = -1  # rate that was reported to the leader; -1: none
+    carried_by: int = 0  # lease request that reported it, until its response; 0: none
 
     def update(self, now: int, usage: QuotaUsage, gain: float, seconds: float) -> None:
-        """Take in one reading over ``seconds``; ``gain`` is its share of the smoothed rates."""
+        """Add one reading over ``seconds``; ``gain`` is its weight in the smoothed rates."""
         self.saved = usage.saved
         self.priority_weight = usage.priority_weight
         self.rate += gain * (usage.requested * 1000 / seconds - self.rate)
@@ -51,7 +51,7 @@
 
 
 class DemandTracker:
-    """The demand for every quota that this gateway's clients have asked for lately."""
+    """The demand for every quota that this gateway's clients have requested lately."""
 
     def __init__(self, now: int) -> None:
         self.max_request = 0  # the largest request, in thousandths of a unit
@@ -59,7 +59,7 @@
         self._recorded_at = now
 
     def record(self, now: int, usage: Mapping[str, QuotaUsage]) -> None:
-        """Take in what was used of each quota since the last call."""
+        """Record the usage of each quota since the last call."""
         seconds = max(1, now - self._recorded_at) / 1e6
         self._recorded_at = now
         gain = 1 - math.exp(-seconds / SMOOTHING_S)
@@ -71,14 +71,14 @@
             estimate.update(now, usage.get(quota_name, idle), gain, seconds)
 
     def has_changed(self, now: int) -> bool:
-        """Whether any demand differs enough from what was reported."""
+        """Whether any demand differs from the reported one by more than REPORT_CHANGE."""
         return any(self._differs(now, estimate) for estimate in self._estimates.values())
 
     def _rate(self, now: int, estimate: DemandEstimate) -> int:
-        """The demand to report: at least MIN_RATE, until nobody has asked for the quota in a while.
+        """Return the demand to report: at least MIN_RATE, and 0 after DEMAND_LIFETIME_US without a request.
 
-        What is saved up goes first: a gateway that has plenty leaves its rate to others, and still has its
-        savings when its demand rises.
+        Savings beyond one largest request are spent first: a gateway with large savings leaves its rate to
+        others, and still has its savings when its demand rises.
         """
         if now - estimate.requested_at >= DEMAND_LIFETIME_US:
             return 0
@@ -90,10 +90,10 @@
         reported = estimate.reported
         return reported < 0 or abs(rate - reported) > REPORT_CHANGE * max(rate, reported)
 
-    def collect_report(self, now: int, request_number: int, most: int) -> tuple[list[QuotaDemand], bool]:
-        """At most so many demands that have to be reported, carried by this request.
+    def collect_report(self, now: int, request_number: int, max_items: int) -> tuple[list[QuotaDemand], bool]:
+        """Return up to ``max_items`` demands to report in request ``request_number``.
 
-        Returns them, and whether there are more.
+        The second value is whether this leaves some out.
         """
         self._forget_withdrawn(now)
         due = [
@@ -102,29 +102,29 @@
             if estimate.carried_by or self._differs(now, estimate)
         ]
         report = []
-        for quota_name, estimate in due[:most]:
+        for quota_name, estimate in due[:max_items]:
             estimate.reported = self._rate(now, estimate)
             estimate.carried_by = request_number
             demand = QuotaDemand(
                 quota_name, estimate.reported, estimate.priority_weight, round(estimate.used)
             )
             report.append(demand)
-        return report, len(due) > most
+        return report, len(due) > max_items
 
     def _forget_withdrawn(self, now: int) -> None:
-        """The leader has confirmed that nobody asks for these any more."""
+        """Drop idle quotas once the leader has confirmed that their demand is 0."""
         for quota_name, estimate in list(self._estimates.items()):
             idle = now - estimate.requested_at > DEMAND_LIFETIME_US
             if idle and estimate.reported == 0 and not estimate.carried_by:
                 del self._estimates[quota_name]
 
     def report_confirmed(self, request_number: int) -> None:
-        """The leader has what this request carried."""
+        """Clear the demands that this request reported: the leader has received it."""
         for estimate in self._estimates.values():
             if estimate.carried_by == request_number:
                 estimate.carried_by = 0
 
     def report_all_again(self) -> None:
-        """The leader knows nothing: another leads, or the session is over."""
+        """Report all demands again, after a change of the leader or of the session."""
         for estimate in self._estimates.values():
             estimate.reported = -1
--- a/gaugesail/coordination/failure_detector.py
+++ b/gaugesail/coordination/failure_detector.py
@@ -1,7 +1,7 @@
-"""Probes one member in each period, through others where it does not answer, and suspects it then (SWIM).
+"""Probes one member in each period, through relays if it does not respond, and then suspects it (SWIM).
 
-Relays tell the prober with a NACK that they are well themselves: relays that are silent too mean that it may
-be this gateway that hears nothing (Lifeguard).
+Relays confirm with a NACK that they work: if relays are silent too, it may be this gateway that receives
+nothing (Lifeguard).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from .membership_messages import Ack, MemberUpdate, Nack, Ping, PingRequest
 from .outbox import Outbox
 
-PING_TIMEOUT_US = 300_000  # after which others are asked to ping
+PING_TIMEOUT_US = 300_000  # until relays are requested to ping
 RELAY_COUNT = 3
 RELAYED_PING_KEPT_US = 4 * PERIOD_US
 
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """One member that is being probed."""
+    """A probe in progress."""
 
     target: str
     number: int
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayedPing:
-    """A ping for another member, and the number by which that knows it."""
+    """A ping sent for another member, with that member's number for it."""
 
     requester: str
     number: int
@@ -60,14 +60,14 @@
         self._outbox = outbox
         self._rng = rng
         self._probe: Probe | None = None
-        self._probe_order: list[str] = []  # drawn anew each time all were probed
+        self._probe_order: list[str] = []  # shuffled anew each time all were probed
         self._relayed: dict[int, RelayedPing] = {}
         self._last_number = 0
         self.period_ends_at = now + int(PERIOD_US * rng.random())
 
     @property
     def next_at(self) -> int:
-        """When the period ends, or the probe's target is late to answer."""
+        """When the period ends, or the ping of its target times out."""
         probe = self._probe
         if probe is None or probe.relayed:
             return self.period_ends_at
@@ -80,11 +80,11 @@
     # ---- time ----
 
     def abandon_probe(self) -> None:
-        """Draw no conclusion from the probe that is running."""
+        """Drop the probe in progress without a conclusion."""
         self._probe = None
 
     def relay_if_late(self, now: int) -> None:
-        """Ask others to ping a target that has not answered in time."""
+        """Request relays to ping a target that has not responded in time."""
         probe = self._probe
         if probe is None or probe.relayed or now < probe.started_at + self._ping_timeout_us:
             return
@@ -94,7 +94,7 @@
             self._outbox.send(name, PingRequest(probe.number, probe.target, self._updates()))
 
     def end_period(self, now: int) -> None:
-        """Suspect the target of a probe that nobody has answered."""
+        """Suspect the target of a probe that was not acknowledged."""
         probe = self._probe
         self._probe = None
         if probe is None:
@@ -118,7 +118,7 @@
             self._probe = Probe(target, self._ping(target), now)
 
     def _next_target(self) -> str | None:
-        """Return the next member in an order that is drawn anew each time all were probed (SWIM, 4.3)."""
+        """Return the next member in an order that is shuffled each time all were probed (SWIM, 4.3)."""
         for _ in range(2):
             while self._probe_order:
                 name = self._probe_order.pop()
@@ -130,7 +130,7 @@
         return None
 
     def _ping(self, name: str) -> int:
-        """Send a ping and return its number.  A suspect hears of it first, so that it can refute."""
+        """Send a ping and return its number.  A suspect is sent its own update, so that it can refute."""
         self._last_number += 1
         member = self._table.members.get(name)
         suspected = member is not None and member.state is MemberState.SUSPECT
@@ -145,22 +145,22 @@
     # ---- messages ----
 
     def receive_ping(self, sender: str, message: Ping) -> None:
-        """Answer a ping."""
+        """Acknowledge a ping."""
         self._outbox.send(sender, Ack(message.number, self._table.own_name, self._updates()))
 
     def receive_ping_request(self, now: int, sender: str, message: PingRequest) -> None:
-        """Ping another for the sender, and tell the sender that this gateway is well."""
+        """Ping the target for the sender, and confirm to the sender that this relay works."""
         number = self._ping(message.target)
         self._relayed[number] = RelayedPing(sender, message.number, now)
         self._outbox.send(sender, Nack(message.number, message.target))
 
     def receive_nack(self, message: Nack) -> None:
-        """A relay is well."""
+        """Count a relay that works."""
         if self._probe is not None and self._probe.number == message.number:
             self._probe.nacks += 1
 
     def receive_ack(self, message: Ack) -> None:
-        """A target is alive: this gateway's, or that of one for which it has pinged."""
+        """End the probe of a target that is alive, or relay the acknowledgement to the requester."""
         probe = self._probe
         if probe is not None and probe.number == message.number and probe.target == message.target:
             self._probe = None
--- a/gaugesail/coordination/gateway_floor.py
+++ b/gaugesail/coordination/gateway_floor.py
@@ -1,6 +1,6 @@
-"""What a gateway may spend of each plan without any lease: the floor that is bound to its store.
+"""What a gateway may spend of each plan without a lease: the floor that is bound to its store.
 
-It is its own for good once it is persisted, so that a gateway that reaches no leader still serves something.
+Once persisted the floor is permanent, so that a gateway that reaches no leader still serves some requests.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
     """The floor as it is persisted: its slot in the ledger, and the limits that it goes by."""
 
     slot: int = -1  # -1: none
-    limits_version: int = 0  # index of the entry that made the limits
+    limits_version: int = 0  # index of the entry that set the limits
     limits: dict[str, RateBurst] = field(default_factory=dict)  # by plan
-    fleet: str = ""  # that gave the slot
+    fleet: str = ""  # the fleet that assigned the slot
 
 
 class GatewayFloor:
-    """The floor of this gateway while its process runs.
+    """This gateway's floor.
 
-    ``changed``: ``current`` has to be persisted before anything is spent by it; whoever writes it clears
-    the flag.
+    ``changed``: ``current`` must be persisted before anything is spent by it; the caller that persists it
+    clears the flag.
     """
 
     def __init__(self, terms: FleetTerms, store: str, persisted: PersistedFloor) -> None:
         self._terms = terms
-        self.store = store  # "": there is none, so that no floor may be spent
+        self.store = store  # store id; "": no store, so no floor may be spent
         self.current = persisted
         self.changed = False
-        self._frozen = False  # the store takes no more writes
+        self._frozen = False  # the store rejects writes
 
     def rates(self, stated_limits: PlanRates) -> PlanRates:
-        """What may be spent of each volume of a plan without a lease.
+        """Return what may be spent without a lease of each volume, by plan.
 
-        The floor of the lesser of two limits: the agreed one, and that of this gateway's own file.
+        It is the floor of the lesser of the agreed limit and this gateway's configured one.
         """
         if self.current.slot < 0 or not self.store:
             return ()
@@ -54,7 +54,7 @@
         return tuple(floors)
 
     def accept(self, response: LeaseResponse) -> None:
-        """Go by the slot and the limits of a response, unless they are older than the current ones."""
+        """Adopt the slot and the limits of a response, unless they are older than the current ones."""
         current = self.current
         received = response.floor_slot, response.limits_version
         if not self.store or self._frozen or received == (current.slot, current.limits_version):
@@ -66,18 +66,18 @@
         self.changed = True
 
     def forget_other_fleet(self, fleet: str) -> None:
-        """A slot that another fleet of this name has given means nothing in this one."""
+        """Drop a slot that another fleet of this name assigned: it is not valid in ``fleet``."""
         if self.current.fleet != fleet:
             self.current = PersistedFloor()
             self.changed = bool(self.store)
 
     def replace_store(self, store: str) -> None:
-        """Another store, which no floor is bound to."""
+        """Switch to a new store, which no floor is bound to."""
         self.store = store
         self.current = PersistedFloor()
 
     def not_persisted(self, persisted: PersistedFloor) -> None:
-        """The store takes no more writes: the lesser of what it has and the current holds, unchanged."""
+        """Freeze the floor at the lesser of persisted and current limits, as the store rejects writes."""
         current = self.current
         limits = {}
         for plan, (rate, burst) in persisted.limits.items():
--- a/gaugesail/coordination/gossip.py
+++ b/gaugesail/coordination/gossip.py
@@ -1,4 +1,4 @@
-"""Which member updates go out with the next message: those that were sent least, as many as fit.
+"""Selects the member updates to send with the next message: the least often sent ones that fit.
 
 Each update is sent a number of times that grows with the logarithm of the fleet's size, which is enough for
 it to reach all members with high probability (SWIM, section 4.1).
@@ -13,37 +13,37 @@
 from .membership_messages import MemberUpdate
 
 GOSSIP_BYTES = 900  # of updates in one message, so that it fits one datagram
-SENDS_PER_LOG_SIZE = 4  # times the decimal logarithm of the fleet's size: how often one update is sent
+SENDS_PER_LOG_SIZE = 4  # sends of each update, times the decimal logarithm of the fleet's size
 UPDATE_OVERHEAD_BYTES = 40
 
 
 class GossipQueue:
-    """The members whose latest update is still to be sent, and how often it was."""
+    """The members whose latest update is still to be sent, with the number of times it was sent."""
 
     def __init__(self) -> None:
         self._times_sent: dict[str, int] = {}
 
     def announce(self, name: str) -> None:
-        """A member's update is new, or worth sending once more."""
+        """Send a member's update anew: it is new or was confirmed."""
         self._times_sent[name] = 0
 
     def forget(self, name: str) -> None:
-        """The member is known no longer."""
+        """Stop sending the update of a removed member."""
         self._times_sent.pop(name, None)
 
     def select(
         self, members: Mapping[str, Member], first: Sequence[MemberUpdate] = ()
     ) -> tuple[MemberUpdate, ...]:
-        """Return the updates for one message: ``first``, then those of ``members`` sent least."""
+        """Return the updates for one message: ``first``, then the least often sent ones that fit."""
         chosen = list(first)
-        room = GOSSIP_BYTES - sum(map(update_bytes, chosen))
+        bytes_left = GOSSIP_BYTES - sum(map(update_bytes, chosen))
         max_sends = SENDS_PER_LOG_SIZE * math.ceil(math.log10(len(members) + 1))
         for name in sorted(self._times_sent, key=lambda name: (self._times_sent[name], name)):
             update = members[name].update
             if update in chosen:
                 continue
-            room -= update_bytes(update)
-            if room < 0:
+            bytes_left -= update_bytes(update)
+            if bytes_left < 0:
                 break
             chosen.append(update)
             self._times_sent[name] += 1
--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -1,8 +1,8 @@
-"""A gateway's side of its lease: it asks the leader for quota, and knows what it may spend and until when.
+"""The holder's side of a lease: requests quota from the leader, and tracks what may be spent and until when.
 
-A lease counts from when the request was sent that was answered, on this gateway's own clock.  What may be
-spent under it is in spending_rights.py, what may be spent without it in gateway_floor.py, what is asked for
-in demand_tracker.py, and when and of whom in request_schedule.py.
+A lease counts from when the granted request was sent, on this gateway's own clock.  What may be spent under
+it is in spending_rights.py, what may be spent without it in gateway_floor.py, the demand to report in
+demand_tracker.py, and the time and receiver of requests in request_schedule.py.
 """
 
 from __future__ import annotations
@@ -25,7 +25,10 @@
 
 
 class LeaseHolder:
-    """One process's session, lease, floor and demand.  Times in microseconds of this gateway's clock."""
+    """One process's session, lease, floor and demand.  Times in microseconds of this gateway's clock.
+
+    ``store`` is the id of the gateway's store; empty if it has none.
+    """
 
     def __init__(
         self,
@@ -43,42 +46,42 @@
         self._floor = GatewayFloor(terms, store, floor)
         self._rights = SpendingRights()
         self._demands = DemandTracker(now)
-        # Without a store nobody knows whether an earlier process of this gateway still holds a lease.
+        # Without a store it is unknown whether an earlier process of this gateway still holds a lease.
         starts_at = now if store else terms.grantor_lease_end(now)
         self._schedule = RequestSchedule(terms.lease_us, starts_at, rng)
         self.session = 0
         self.term = 0
         self.leader = ""
         self._fleet = ""
-        self._last_seen_index = 0  # the latest entry of the fleet's log that it has heard of
+        self._last_seen_index = 0  # of the latest entry of the fleet's log that a message named
         self._stated_limits: PlanRates = ()
         self.leaving = False
         self.left = False
-        self.refusal_reason = ""  # why no lease is to be had
-        self._lapsed = True  # it has no lease
+        self.refusal_reason = ""  # of the last response, for operators; empty if it refused nothing
+        self._lapsed = True  # holds no lease
         self._outbox: list[tuple[str, Message]] = []
         self.notices: list[Notice] = []
 
-    # ---- what it may spend ----
+    # ---- spending limits ----
 
     @property
     def lease_until(self) -> int:
-        """When the lease is over."""
+        """When the lease expires."""
         return self._rights.lease_until
 
     @property
     def allocations(self) -> Mapping[str, HeldQuota]:
-        """What may be spent until then, by quota."""
+        """The allocations that may be spent until ``lease_until``, by quota."""
         return self._rights.allocations
 
     @property
     def floor(self) -> PersistedFloor:
-        """What is to be persisted of the floor."""
+        """The floor to persist."""
         return self._floor.current
 
     @property
     def floor_changed(self) -> bool:
-        """Whether ``floor`` has to be persisted; whoever does clears it."""
+        """Whether ``floor`` must be persisted; the caller that does clears it."""
         return self._floor.changed
 
     @floor_changed.setter
@@ -86,37 +89,37 @@
         self._floor.changed = changed
 
     def floors(self) -> PlanRates:
-        """What may be spent of each volume of a plan without any lease."""
+        """Return what may be spent without a lease of each volume, by plan."""
         return self._floor.rates(self._stated_limits)
 
     def pop_quota_update(self) -> QuotaUpdate | None:
-        """What has changed for the gateway since the last call.  Pass it on once ``floor`` is persisted."""
+        """Return the changes since the last call; None if there are none.  Persist ``floor`` first."""
         return self._rights.pop_update(self.floors())
 
     def resend_quota(self) -> None:
-        """The last update was not passed on: the next one holds everything."""
+        """Include everything in the next update, as the last one was not passed on."""
         self._rights.resend_all()
 
     def replace_store(self, now: int, store: str) -> None:
-        """The store was an old copy: its floor is void, and an earlier process may still hold a lease."""
+        """Switch to a new store: the floor is void, and an earlier process's lease has to expire first."""
         self._floor.replace_store(store)
         self._schedule.start_again_at(self._terms.grantor_lease_end(now))
         self._drop_session()
 
     def floor_not_persisted(self, persisted: PersistedFloor) -> None:
-        """The store takes no more writes: of the two floors the lesser holds from here on."""
+        """Go by the lesser of the persisted and the current floor, as the store rejects writes."""
         self._floor.not_persisted(persisted)
         self._rights.resend_all()
 
-    # ---- what it wants ----
+    # ---- demand ----
 
     def set_limits(self, limits: Mapping[str, RateBurst], max_request: int) -> None:
-        """What this gateway's own file says, in thousandths: rate and burst by plan, its largest request."""
+        """Set this gateway's configured limits by plan and its largest request, in thousandths."""
         self._stated_limits = tuple((plan, *pair) for plan, pair in sorted(limits.items()))
         self._demands.max_request = max_request
 
     def record_demand(self, now: int, usage: Mapping[str, QuotaUsage]) -> None:
-        """Take in what was used of each quota since the last call; changes are reported soon."""
+        """Record the usage of each quota since the last call; changed demand is reported soon."""
         self._demands.record(now, usage)
         if self._demands.has_changed(now):
             self._request_soon(now)
@@ -126,7 +129,7 @@
             self._schedule.request_soon(now)
 
     def leave(self, now: int) -> None:
-        """Give up the session, and say so: from here on nothing is spent but the floor."""
+        """Give up the session and notify the leader: from here on only the floor is spent."""
         self.leaving = True
         self._drop_session()
         self._schedule.next_at = now
@@ -135,7 +138,7 @@
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` has something to do; never once it has left."""
+        """When ``tick`` is due next; NEVER once the holder has left."""
         if self.left:
             return NEVER
         if self._lapsed:
@@ -143,7 +146,7 @@
         return min(self._schedule.next_at, self.lease_until)
 
     def tick(self, now: int, replicas: list[str]) -> None:
-        """Send a request where one is due; ``replicas`` are those to ask, the likeliest leader first."""
+        """Send a request if one is due, to one of ``replicas``, which has the likeliest leader first."""
         if not self._lapsed and now >= self.lease_until:
             self._lapsed = True
             fields = {"parts": len(self.allocations), "asked": self._schedule.number}
@@ -177,14 +180,14 @@
         self._outbox.append((replica, request))
 
     def drain_messages(self) -> list[tuple[str, Message]]:
-        """What is to be sent, by receiver, since the last call."""
+        """Return and remove the pending messages, each with its receiver."""
         messages, self._outbox = self._outbox, []
         return messages
 
-    # ---- what it receives ----
+    # ---- messages ----
 
     def receive(self, now: int, sender: str, message: LeaseResponse | QuotaOrders) -> None:
-        """Take in what a leader says; what is not for this process, or not for its session, is ignored."""
+        """Process a replica's message; ignore those for another process or session."""
         if message.process != self._process:
             return
         if isinstance(message, QuotaOrders):
@@ -199,7 +202,7 @@
     def _apply_response(self, now: int, sender: str, response: LeaseResponse, requested_at: int) -> None:
         is_latest = response.number == self._schedule.number
         if is_latest:
-            self._schedule.answered()
+            self._schedule.response_received()
             self.refusal_reason = ""
         match response.status:
             case LeaseStatus.RENEWED:
@@ -212,7 +215,7 @@
             case LeaseStatus.NOT_LEADER:
                 self._schedule.redirected(now, sender, response.leader, is_latest)
             case LeaseStatus.TERMS_DIFFER:
-                self.refusal_reason = f"{sender}'s file differs in what binds the fleet"
+                self.refusal_reason = f"{sender}'s configuration differs in the fleet's terms"
                 self._schedule.wait_one_lease(now)
             case LeaseStatus.LEFT:
                 self.left = True
@@ -220,7 +223,7 @@
     def _renewed(
         self, now: int, sender: str, response: LeaseResponse, requested_at: int, is_latest: bool
     ) -> None:
-        """The lease is renewed from ``requested_at``, unless the response is of an earlier session."""
+        """Extend the lease, counted from ``requested_at``, unless the response is of an earlier session."""
         if self.leaving or (response.fleet == self._fleet and response.session < self.session):
             return
         self._adopt_session(response)
@@ -240,7 +243,7 @@
                 self._request_soon(now)
 
     def _adopt_session(self, response: LeaseResponse) -> None:
-        """Nothing of an earlier session, or of another fleet of this name, is spent under this one."""
+        """Adopt the response's session; drop the allocations of an earlier session or of another fleet."""
         if response.fleet != self._fleet:
             self._drop_session()
             self._fleet = response.fleet
@@ -252,12 +255,12 @@
             self.session = response.session
 
     def _adopt_leader(self, sender: str, response: LeaseResponse) -> None:
-        """A leader of a new term knows of no demand yet; its limits are the latest."""
+        """Adopt the response's leader and limits; a leader of a new term is sent all demand again."""
         if response.term > self.term:
             self._demands.report_all_again()
         self.term = response.term
         self.leader = response.leader
-        self._schedule.leader_answered(sender)
+        self._schedule.leader_responded(sender)
         self._floor.accept(response)
 
     def _apply_orders(self, now: int, message: QuotaOrders) -> None:
@@ -265,12 +268,12 @@
             self._last_seen_index = max(self._last_seen_index, order.version)
             self._rights.apply_order(order)
         if any(order.release for order in message.orders):
-            self._schedule.request_now(now)  # what was released is nobody's until the leader hears of it
+            self._schedule.request_now(now)  # released quota is unusable until the leader receives the report
         elif self._rights.has_unreported:
             self._request_soon(now)
 
     def _drop_session(self) -> None:
-        """Nothing of the session may be spent any more."""
+        """Drop the session and its allocations."""
         self.session = 0
         self._rights.drop()
         self._demands.report_all_again()
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -1,7 +1,7 @@
-"""What the leader does with leases: opens sessions, renews their leases, and closes those that have run out.
+"""The leader's side of leases: opens sessions, renews their leases, and closes sessions whose lease expired.
 
-It lasts for one term.  It rests on the ledger, in which every entry of earlier terms stands, and on this
-leader's own clock.  Its limits are agreed in limits_agreement.py, its quota is divided in quota_allocator.py.
+A lease manager lasts for one term.  It relies on the ledger, which has all entries of earlier terms, and on
+this leader's own clock.  Limits are agreed in limits_agreement.py, quota is divided in quota_allocator.py.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 class LeaseManager:
     """The leases of all sessions, as one leader counts them in one term.  Times in microseconds.
 
-    ``just_started``: this replica may not know of leases that an earlier leader has granted, because its
-    process or its log is new; then it grants no quota until those have run out.
+    ``just_started``: this replica may not know of all leases that an earlier leader has granted, because its
+    process or its log is new; it then grants no quota until those have expired.
     """
 
     def __init__(
@@ -52,11 +52,11 @@
         self._raft = raft
         self.term = raft.term
         self._leader = name_of(raft.replica_id)
-        self._opening: dict[int, LeaseRequest] = {}  # requests that wait for a session, by process
+        self._opening: dict[int, LeaseRequest] = {}  # requests waiting for their session to open, by process
         self._proposals = ProposedCommands(raft)
         self._outbox: list[tuple[str, Message]] = []
         self._notices: list[Notice] = []
-        # An earlier leader may have renewed any lease until the first entry of this term was committed.
+        # An earlier leader may have renewed leases until the first entry of this term was committed.
         earlier_leases_end = terms.grantor_lease_end(now)
         self.leases = {
             number: SessionLease(earlier_leases_end, session.gateway)
@@ -70,32 +70,32 @@
             self._allocator.grant_nothing_before(earlier_leases_end)
 
     def drain_messages(self) -> list[tuple[str, Message]]:
-        """What is to be sent, by receiver, since the last call."""
+        """Return and remove the pending messages, each with its receiver."""
         messages = list(self._outbox)
         self._outbox.clear()
         return messages
 
     def drain_notices(self) -> list[Notice]:
-        """The notices for operators since the last call."""
+        """Return and remove the pending notices."""
         notices, self._notices = self._notices, []
         return notices
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` has something to do."""
+        """When ``tick`` is due next."""
         expiries = [lease.expires_at + 1 for lease in self.leases.values() if not lease.closing]
         return min([self._allocator.next_at, *expiries])
 
     # ---- requests ----
 
     def request(self, now: int, sender: str, request: LeaseRequest) -> None:
-        """Take in a holder's request.  A renewal is answered once a round that begins now is confirmed."""
+        """Process a holder's request.  A lease is renewed once a round that begins later is confirmed."""
         session = self._ledger.session_of_process(request.process)
         if request.terms_digest != self._digest:
             self._respond(sender, request, LeaseStatus.TERMS_DIFFER)
         elif request.fleet == self._fleet and request.last_seen_index > self._raft.log.last_index:
-            # This log has lost entries.  What the holder has by those is not renewed: it gives up all
-            # of it when it hears so, and may then have what this log says.
+            # This log has lost entries that the holder's allocations rest on.  They are not renewed: the
+            # holder drops its session on this response, and opens a new one by this log.
             self._notify(
                 "stores_are_old", head=sender, seen=request.last_seen_index, last=self._raft.log.last_index
             )
@@ -128,12 +128,12 @@
             self._await_confirmation(lease, request)
 
     def _await_confirmation(self, lease: SessionLease, request: LeaseRequest) -> None:
-        """Answer this request once a majority has confirmed that this replica still leads."""
+        """Respond to a request once a majority has confirmed that this replica still leads."""
         lease.unanswered_request = request
         lease.confirmation_round = self._raft.request_round()
 
     def _record_report(self, number: int, lease: SessionLease, request: LeaseRequest) -> None:
-        """What the holder says of itself: its limits, its floor, what it holds and what it wants."""
+        """Record what a request reports: the holder's limits, floor, allocations and demand."""
         lease.max_request = request.max_request
         if request.limits != lease.limits:
             lease.limits = request.limits
@@ -145,7 +145,7 @@
             self._allocator.demand_reported(lease, demand)
 
     def _acknowledge_floor(self, number: int, request: LeaseRequest) -> None:
-        """The holder's floor goes by newer limits: what is reserved for it by the older is free."""
+        """Propose to stop reserving a floor by older limits than its holder reports to go by."""
         session = self._ledger.sessions[number]
         slot = self._ledger.floor_slots.get(session.floor_slot)
         if slot is None or request.floor_slot != session.floor_slot:
@@ -173,7 +173,7 @@
     # ---- the log ----
 
     def entry_applied(self, now: int, command: Command, done: bool) -> None:
-        """The ledger has applied an entry; ``done``: it changed something."""
+        """Process an entry that the ledger has applied; ``done``: it changed something."""
         match command:
             case OpenSession():
                 self._session_opened(now, command)
@@ -191,7 +191,10 @@
                 self._allocator.divide_all_again()
 
     def _session_opened(self, now: int, command: OpenSession) -> None:
-        """A session has no lease until its first request is answered, and is closed if that never is."""
+        """Process the opening of a session.
+
+        Its holder has no lease until its first request is granted; the session is closed if that never is.
+        """
         self._proposals.applied(command)
         session = self._ledger.session_of_process(command.process)
         request = self._opening.pop(command.process, None)
@@ -220,7 +223,7 @@
     # ---- time ----
 
     def tick(self, now: int) -> None:
-        """Renew and close leases, settle and agree limits, divide quota, and send again what is due."""
+        """Renew leases and close sessions, settle and agree limits, divide quota, and resend due orders."""
         if not self._raft.serving or self._raft.term != self.term:
             return
         self._renew_and_expire(now)
@@ -230,7 +233,7 @@
         self._allocator.resend_unconfirmed(now)
 
     def _renew_and_expire(self, now: int) -> None:
-        """Renew the leases whose requests are confirmed; close the sessions whose leases have run out."""
+        """Renew the leases whose requests are confirmed; close the sessions whose leases have expired."""
         confirmed = self._raft.confirmed_round
         for number, lease in self.leases.items():
             request = lease.unanswered_request
@@ -244,30 +247,30 @@
                 self._close(number)
 
     def _may_renew(self, now: int, number: int, lease: SessionLease) -> bool:
-        """Whether a lease is renewed: not once its end is proposed, nor while a release is overdue.
+        """Whether a lease may be renewed: not while its session is being closed or a release is overdue.
 
-        A holder that keeps what a lowered limit has no room for spends by the old limit: its lease runs out.
+        A holder that keeps more than a lowered limit allows spends by the old limit: its lease has to expire.
         """
         return not lease.closing and not self._allocator.release_is_overdue(now, number, lease)
 
     def _close(self, number: int) -> None:
-        """Propose a session's end; from here on its lease is not renewed."""
+        """Propose to close a session; from here on its lease is not renewed."""
         self.leases[number].closing = True
         self._proposals.propose_once(CloseSession(number))
 
-    # ---- what operators see ----
+    # ---- operators' views ----
 
     def lease_view(self, now: int, number: int) -> dict[str, float | str]:
-        """How long a session's lease is counted, in seconds from now, and whether it is being closed."""
+        """Return for how many seconds a session's lease still counts, and whether it is being closed."""
         lease = self.leases[number]
         seconds = round(max(0, lease.expires_at - now) / 1e6, 2)
         view: dict[str, float | str] = {"counted_s": seconds}
         if lease.closing:
-            view["why"] = "its end is being written down"
+            view["why"] = "its closing is not committed yet"
         return view
 
     def demand_view(self, quota_name: str, number: int) -> dict[str, float | str]:
-        """What a session wants and uses of a quota, in units a second, and why it has not that."""
+        """Return a session's demand and use of a quota, in units a second, and what its change waits for."""
         return self._allocator.demand_view(quota_name, number)
 
     def _notify(self, event: str, **fields: NoticeField) -> None:
--- a/gaugesail/coordination/lease_messages.py
+++ b/gaugesail/coordination/lease_messages.py
@@ -1,4 +1,4 @@
-"""How a gateway renews its lease and hears of its quota (lease_holder.py, lease_manager.py).
+"""Messages by which a gateway renews its lease and receives quota (lease_holder.py, lease_manager.py).
 
 Rates are thousandths of a unit a second, bursts and requests thousandths of a unit.
 """
@@ -11,71 +11,71 @@
 
 
 class QuotaDemand(Record, frozen=True, tag="Demand"):
-    """What a gateway wants of one quota."""
+    """A holder's demand for one quota."""
 
     quota_name: str
-    rate: int  # 0: it wants nothing
+    rate: int  # 0: no demand
     priority_weight: int  # of one unit, in thousandths
-    used: int = 0  # rate at which it has spent lately
+    used: int = 0  # rate at which it spent lately
 
 
 class HeldQuota(Record, frozen=True, tag="Held"):
-    """What a holder spends by of one quota."""
+    """The allocation of one quota by which a holder spends."""
 
     quota_name: str
-    version: int  # index of the latest entry of this allocation that it knows
+    version: int  # index of the latest entry of this allocation that it received
     rate: int
     burst: int
 
 
 class LeaseRequest(Record, frozen=True, tag="Ask"):
-    """A holder renews its lease, and tells what has changed."""
+    """Requests a lease or its renewal, and reports what has changed at the holder."""
 
     process: int
-    number: int  # goes up by one
-    session: int  # 0: it has none
+    number: int  # increases by one with each request of the process
+    session: int  # 0: none
     terms_digest: str
-    store_id: str  # "": it has no store
-    limits: tuple[tuple[str, int, int], ...]  # plan, rate and burst, by its own file
+    store_id: str  # "": no store
+    limits: tuple[tuple[str, int, int], ...]  # plan, rate and burst as configured at the holder
     floor_slot: int  # -1: none
-    floor_version: int  # of the limits that its floor goes by
-    max_request: int  # its largest request
-    fleet: str  # that the session is of
-    last_seen_index: int  # the latest entry of that fleet's log that it has heard of
-    demands: tuple[QuotaDemand, ...] = ()  # those that have changed
-    held: tuple[HeldQuota, ...] = ()  # those that have changed
-    leaving: bool = False  # it gives up its session
+    floor_version: int  # version of the limits that its floor goes by
+    max_request: int  # largest request of the gateway's clients
+    fleet: str  # the fleet of the session
+    last_seen_index: int  # of the latest entry of that fleet's log that the holder received
+    demands: tuple[QuotaDemand, ...] = ()  # changed ones
+    held: tuple[HeldQuota, ...] = ()  # changed ones
+    leaving: bool = False  # the holder gives up its session
 
 
 class LeaseStatus(IntEnum):
-    """What became of a request."""
+    """The outcome of a request."""
 
     RENEWED = 0
-    UNKNOWN_SESSION = 1  # the session is over, or was never opened
-    NOT_LEADER = 2  # ask the gateway that is named, if any
-    TERMS_DIFFER = 3  # the two files differ in the terms of the fleet
-    LEFT = 4  # the session is being closed, as the holder asked
+    UNKNOWN_SESSION = 1  # the session was closed or never opened
+    NOT_LEADER = 2  # retry at the gateway that ``leader`` names, if any
+    TERMS_DIFFER = 3  # the two gateways' configurations differ in the fleet's terms
+    LEFT = 4  # the session is being closed, as the holder requested
 
 
 class QuotaOrder(Record, frozen=True, tag="Order"):
     """One allocation of a session."""
 
     quota_name: str
-    version: int  # index of the entry that made it
+    version: int  # index of the entry that set it
     rate: int
     burst: int
-    release: bool = False  # the holder is asked to come down to these
+    release: bool = False  # the holder is to release down to this rate and burst
 
 
 class LeaseResponse(Record, frozen=True, tag="Answer"):
-    """To one request.  Only RENEWED lets the holder spend, from when it sent that request."""
+    """Responds to a LeaseRequest.  Only RENEWED extends the lease, counted from when the request was sent."""
 
     process: int
     number: int  # of the request
     status: LeaseStatus
     session: int = 0
     term: int = 0
-    leader: str = ""  # "": not known
+    leader: str = ""  # "": unknown
     floor_slot: int = -1
     limits_version: int = 0
     limits: tuple[tuple[str, int, int], ...] = ()  # plan, rate and burst in force
@@ -83,7 +83,7 @@
 
 
 class QuotaOrders(Record, frozen=True, tag="Orders"):
-    """Allocations that have changed, sent when they do and repeated until the holder confirms them."""
+    """Changed allocations, resent until the holder confirms them."""
 
     process: int
     session: int
--- a/gaugesail/coordination/limits_agreement.py
+++ b/gaugesail/coordination/limits_agreement.py
@@ -1,7 +1,7 @@
-"""Which limits hold for the whole fleet, from what each gateway's own file says.
+"""Agrees the fleet's limits from those that each gateway's configuration states.
 
-A limit that falls holds at once for whatever is granted from then on.  One that rises holds once every lease
-that was granted under the earlier limits has run out: until then the ledger is not settled.
+A lower limit applies at once to everything that is granted from then on.  A higher one applies once all
+leases granted under the earlier limits have expired; until then the ledger is not settled.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class LimitsAgreement:
-    """Proposes the limits that all live sessions agree to, and settles them."""
+    """Proposes the limits that all open sessions allow, and settles them."""
 
     def __init__(
         self,
@@ -28,10 +28,10 @@
         self._ledger = ledger
         self._leases = leases
         self._proposals = proposals
-        self._settle_at = settle_at  # microseconds; no lease under earlier limits counts after it
+        self._settle_at = settle_at  # microseconds; when leases under earlier limits have expired
 
     def propose_agreed(self) -> None:
-        """Propose the agreed limits where they differ from those that the ledger has as stated."""
+        """Propose the agreed limits if they differ from the ledger's stated ones."""
         if self._proposals.sets_limits():
             return
         agreed = self._agreed()
@@ -44,27 +44,27 @@
             self._proposals.propose_once(SetLimits(rows))
 
     def _agreed(self) -> dict[str, RateBurst]:
-        """The least that any live session's file says, by plan.
+        """Return the lowest limits that any open session states, by plan.
 
-        While a session has not stated its limits to this leader, those may be less than all others: then the
-        limits stated before count as well, so that nothing rises.
+        A session that has not stated its limits to this leader may have lower ones than all others: until it
+        has, the limits stated before count as well, so that none rises.
         """
-        least: dict[str, RateBurst] = {} if self._all_stated() else dict(self._ledger.stated_limits)
+        lowest: dict[str, RateBurst] = {} if self._all_stated() else dict(self._ledger.stated_limits)
         for lease in self._leases.values():
             for plan, rate, burst in lease.limits:
-                known_rate, known_burst = least.get(plan, (rate, burst))
-                least[plan] = min(rate, known_rate), min(burst, known_burst)
-        return least
+                known_rate, known_burst = lowest.get(plan, (rate, burst))
+                lowest[plan] = min(rate, known_rate), min(burst, known_burst)
+        return lowest
 
     def _all_stated(self) -> bool:
         return all(lease.limits for lease in self._leases.values())
 
     def settle_due(self, now: int) -> None:
-        """Propose that the stated limits hold in full, once no earlier lease can still count."""
+        """Propose to apply the stated limits in full, once all earlier leases have expired."""
         if not self._ledger.settled and now >= self._settle_at and self._all_stated():
             self._proposals.propose_once(SettleLimits(self._ledger.limits_version))
 
     def limits_applied(self, now: int) -> None:
-        """New limits are in the ledger; earlier leases may count for one lease more."""
+        """Note that the ledger has new limits: leases under earlier ones may last one more lease time."""
         granted_anything = bool(self._ledger.allocations)
         self._settle_at = self._terms.grantor_lease_end(now) if granted_anything else now
--- a/gaugesail/coordination/local_store.py
+++ b/gaugesail/coordination/local_store.py
@@ -1,4 +1,4 @@
-"""A gateway's store as its process knows it: the state that it persists, and what the next write holds."""
+"""The process's copy of its gateway's store: the persisted state, and the next write."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LocalStore:
-    """The persisted state.  ``available``: there is a store, and it takes writes."""
+    """The persisted state.  ``available``: there is a store, and it accepts writes."""
 
     def __init__(self, stored: StoredState | None, process: int, started_unix_ms: int) -> None:
         self.available = stored is not None
@@ -19,18 +19,18 @@
         self._process = process
         self._loaded_writes = self.state.writes
         self._replaced = False
-        self._changed = self.available  # the start counts before anything is said
+        self._changed = self.available  # the start is persisted before any message is sent
         self.state.starts += 1
         self.state.process = process
         self.state.generation = max(started_unix_ms, self.state.generation + 1)
 
     def mark(self) -> StoreMark:
-        """Return how far the store has come."""
+        """Return the mark of the store's latest write."""
         state = self.state
         return StoreMark(state.store_id, state.starts, state.writes, self._loaded_writes, self._process)
 
     def replace(self, store_id: str, record: BootstrapRecord) -> None:
-        """The store was an old copy: a fresh one takes its place, in the same fleet."""
+        """Replace an outdated store by a new one in the same fleet."""
         old = self.state
         self.state = PersistentState(
             store_id,
@@ -45,37 +45,37 @@
         self._replaced = True
 
     def pop_changed(self) -> bool:
-        """Return whether the state has to be persisted for its own sake, since the last call."""
+        """Return and clear whether a start or a replacement of the store must be persisted."""
         changed = self._changed
         self._changed = False
         return changed
 
     def update_bootstrap(self, record: BootstrapRecord) -> None:
-        """Take in what the bootstrap has to persist."""
+        """Update the state from the bootstrap's record."""
         self.state.fleet_id = record.fleet_id
         self.state.voters = record.voters
         self.state.bound_to = record.bound_to
 
     def update_known_stores(self, known_stores: dict[str, KnownStore]) -> None:
-        """Take in what is known of the others' stores."""
+        """Update the latest known marks of other stores."""
         self.state.known_stores = {
             store: (known.starts, known.writes, known.process) for store, known in known_stores.items()
         }
 
     def update_floor(self, floor: PersistedFloor) -> None:
-        """Take in the gateway's floor."""
+        """Update the gateway's floor."""
         self.state.floor_slot = floor.slot
         self.state.floor_version = floor.limits_version
         self.state.floor_limits = floor.limits
         self.state.floor_fleet = floor.fleet
 
     def update_vote(self, raft: RaftNode) -> None:
-        """Take in the replica's term and vote."""
+        """Update the replica's term and vote."""
         self.state.term = raft.term
         self.state.voted_for = raft.voted_for
 
     def next_write(self, log_write: RaftWrite | None) -> StoreWrite:
-        """Return the write of the state, and of what has changed in the log."""
+        """Return the next write, of the state and the changes of the log."""
         self.state.writes += 1
         write = StoreWrite(self.state, replaces_store=self._replaced)
         self._replaced = False
--- a/gaugesail/coordination/member.py
+++ b/gaugesail/coordination/member.py
@@ -1,4 +1,4 @@
-"""One member of the fleet as another sees it, and which of two updates of it holds (SWIM, section 4.2)."""
+"""One member of the fleet, and which of two updates of it takes precedence (SWIM, section 4.2)."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class MemberState(IntEnum):
-    """A member's state, the worse the larger."""
+    """A member's state; with equal generation and incarnation the larger state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
-    GONE = 2
-    LEFT = 3  # by its own word
+    GONE = 2  # its suspicion timed out
+    LEFT = 3  # it announced that it leaves
 
 
 class MemberChangeKind(StrEnum):
-    """How a member's state has changed; it is part of a log event's name."""
+    """The kind of a state change; part of a log event's name."""
 
     JOIN = "join"
     SUSPECT = "suspect"
-    REFUTE = "refute"  # it was suspected, and is alive
+    REFUTE = "refute"  # a suspect is alive
     GONE = "gone"
     LEFT = "left"
-    BACK = "back"  # it was gone, or is another process now
+    BACK = "back"  # it was GONE or LEFT, or has a new process
 
 
 @dataclass(slots=True, frozen=True)
 class MemberChange:
-    """A member's state has changed."""
+    """A change of a member's state."""
 
     kind: MemberChangeKind
     name: str
@@ -39,21 +39,21 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One member by its largest update.  Times are in microseconds of this gateway's clock."""
+    """One member with its latest update.  Times are in microseconds of this gateway's clock."""
 
     update: MemberUpdate
     state_since: int
-    suspect_until: int = 0  # then it counts as gone
+    suspect_until: int = 0  # when a suspect's state becomes GONE
     suspected_by: set[str] = field(default_factory=set)
 
     @property
     def state(self) -> MemberState:
-        """The state that the update says."""
+        """The member's state by its latest update."""
         return MemberState(self.update.state)
 
 
 def rank(update: MemberUpdate) -> tuple[int, int, int]:
-    """Return the order of a member's updates: the larger one holds."""
+    """Return an update's rank among those of its member: the larger one takes precedence."""
     return update.generation, update.incarnation, update.state
 
 
@@ -65,7 +65,7 @@
 
 
 def change_kind(before: MemberUpdate | None, after: MemberUpdate) -> MemberChangeKind | None:
-    """Return what operators are told of a larger update; None if nothing."""
+    """Return the change to report to operators after a newer update; None if there is none."""
     state = MemberState(after.state)
     if state is not MemberState.ALIVE:
         return None if before is not None and before.state == state else _KIND_OF_STATE[state]
--- a/gaugesail/coordination/member_table.py
+++ b/gaugesail/coordination/member_table.py
@@ -1,7 +1,7 @@
-"""What is known of each member: its latest update, and how long a suspicion of it lasts.
+"""The table of members: each one's latest update, and how long a suspicion of it lasts.
 
-Of two updates of one member the larger by (generation, incarnation, state) holds, so that order, delay and
-repetition change nothing (SWIM, section 4.2).
+Of two updates of a member the one with the larger (generation, incarnation, state) takes precedence, so that
+reordered, delayed and duplicated updates change nothing (SWIM, section 4.2).
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from .member import Member, MemberChange, MemberState, change_kind, rank
 from .membership_messages import MemberUpdate
 
-PERIOD_US = 1_000_000  # of the protocol: one member is probed in each
+PERIOD_US = 1_000_000  # protocol period: one member is probed in each
 MIN_SUSPICION_PERIODS = 3.0  # times the decimal logarithm of the fleet's size
-MAX_SUSPICION_FACTOR = 4.0  # times the least: a suspicion that nobody else shares
-CONFIRMATIONS_FOR_MIN = 3  # other members that share a suspicion, from which on it lasts the least
-FORGET_US = 24 * 3600 * 1_000_000  # after which a member that has gone is forgotten
-STARTUP_US = 10_000_000  # until then another process of this name is taken for an earlier start of this one
-MAX_MEMBERS = 5000  # so that made-up names cannot fill the memory
+MAX_SUSPICION_FACTOR = 4.0  # times the minimum, for a suspicion that no other member shares
+CONFIRMATIONS_FOR_MIN = 3  # other members sharing a suspicion, from which on it lasts the minimum
+FORGET_US = 24 * 3600 * 1_000_000  # until a member in state GONE or LEFT is removed
+STARTUP_US = 10_000_000  # until then another process of this name counts as an earlier one of this gateway
+MAX_MEMBERS = 5000  # so that forged names cannot exhaust the memory
 
 
 def suspicion_timeout_us(active_members: int, confirmations: int) -> int:
-    """Return how long a suspicion lasts that so many others share (Lifeguard, section IV-B)."""
+    """Return how long a suspicion lasts that ``confirmations`` others share (Lifeguard, section IV-B)."""
     shortest = int(MIN_SUSPICION_PERIODS * max(1.0, math.log10(max(1, active_members))) * PERIOD_US)
     longest = MAX_SUSPICION_FACTOR * shortest
     share = math.log(confirmations + 1) / math.log(CONFIRMATIONS_FOR_MIN + 1)
@@ -35,12 +35,12 @@
 
 
 class MemberTable:
-    """All members that one gateway knows, itself included."""
+    """All members that one gateway knows, including itself."""
 
     def __init__(self, own: MemberUpdate, gossip: GossipQueue, health: LocalHealth, now: int) -> None:
         self.own_name = own.name
         self.members: dict[str, Member] = {own.name: Member(own, now)}
-        self.name_taken = False  # a later process has this gateway's name
+        self.name_taken = False  # a later process uses this gateway's name
         self._own_process = own.process
         self._started_at = now
         self._gossip = gossip
@@ -48,11 +48,11 @@
         self._changes: list[MemberChange] = []
         gossip.announce(own.name)
 
-    # ---- what is known ----
+    # ---- state ----
 
     @property
     def own_update(self) -> MemberUpdate:
-        """What this gateway says of itself."""
+        """The update that this gateway spreads of itself."""
         return self.members[self.own_name].update
 
     def updates(self) -> tuple[MemberUpdate, ...]:
@@ -60,11 +60,11 @@
         return tuple(member.update for member in self.members.values())
 
     def active_names(self) -> list[str]:
-        """Return all members that may be there, this gateway too: one that is suspected counts."""
+        """Return the members in state ALIVE or SUSPECT, including this gateway."""
         return [name for name, member in self.members.items() if member.state <= MemberState.SUSPECT]
 
     def sample_alive(self, rng: random.Random, count: int, excluded: str = "") -> list[str]:
-        """Draw up to ``count`` other members that are alive."""
+        """Return up to ``count`` random members in state ALIVE, except this gateway and ``excluded``."""
         names = [
             name
             for name, member in self.members.items()
@@ -78,12 +78,12 @@
         return [member.suspect_until for member in suspects]
 
     def digest(self) -> int:
-        """Return a hash that is the same at two gateways that know the same."""
+        """Return a hash of all updates; it is equal at two gateways with the same view."""
         ranks = sorted((name, *rank(member.update)) for name, member in self.members.items())
         return xxhash.xxh3_64_intdigest(repr(ranks).encode())
 
     def drain_changes(self) -> list[MemberChange]:
-        """Return what has changed since the last call."""
+        """Return and remove the changes since the last call."""
         changes = self._changes
         self._changes = []
         return changes
@@ -91,7 +91,7 @@
     # ---- time ----
 
     def expire(self, now: int) -> None:
-        """Suspects that did not answer in time are gone, and those long gone are forgotten."""
+        """Set suspects whose suspicion has timed out to GONE; remove members GONE or LEFT for FORGET_US."""
         for name, member in list(self.members.items()):
             if member.state is MemberState.SUSPECT and now >= member.suspect_until:
                 self.set_state(now, member.update, MemberState.GONE)
@@ -100,7 +100,7 @@
                 self._gossip.forget(name)
 
     def postpone_suspicions(self, until: int) -> None:
-        """No suspicion ends before ``until``."""
+        """Let no suspicion end before ``until``."""
         for member in self.members.values():
             if member.state is MemberState.SUSPECT:
                 member.suspect_until = max(member.suspect_until, until)
@@ -108,11 +108,11 @@
     # ---- updates ----
 
     def set_state(self, now: int, update: MemberUpdate, state: MemberState) -> None:
-        """This gateway itself says that a member is in that state."""
+        """Set a member's state as this gateway's own conclusion."""
         self.accept(now, msgspec.structs.replace(update, state=state), self.own_name)
 
     def accept(self, now: int, update: MemberUpdate, sender: str) -> None:
-        """Keep an update if it is larger than the one that stands, and pass it on."""
+        """Apply and spread an update if it takes precedence over the current one."""
         if update.name == self.own_name and sender != self.own_name:
             self._accept_of_self(now, update)
             return
@@ -134,7 +134,7 @@
             self._state_updated(now, member, None, sender)
 
     def _accept_of_self(self, now: int, update: MemberUpdate) -> None:
-        """What others say of this gateway: refuted by a larger incarnation, unless it is another process."""
+        """Process an update of this gateway from others: refute it, or yield the name to a later process."""
         own = self.own_update
         same_process = update.process == self._own_process
         if rank(update) < rank(own) or (rank(update) == rank(own) and same_process):
@@ -143,23 +143,23 @@
             if own.state == MemberState.LEFT:
                 return
             if update.state == MemberState.SUSPECT:
-                self._health.worsen()  # it was slow to answer
-            fresh = msgspec.structs.replace(own, incarnation=update.incarnation + 1)
+                self._health.worsen()  # this gateway responded too late
+            refutation = msgspec.structs.replace(own, incarnation=update.incarnation + 1)
         elif now - self._started_at > STARTUP_US:
-            # Another process has taken this name: this one yields it, and keeps its own session only.
+            # Another process uses this name: this one yields it, and keeps only its own session.
             self.name_taken = True
             return
-        else:  # an earlier start, whose clock was ahead of ours, or which had no store
-            fresh = msgspec.structs.replace(own, generation=update.generation + 1, incarnation=0)
-        self.members[self.own_name].update = fresh
+        else:  # an earlier process of this gateway, whose clock was ahead or which had no store
+            refutation = msgspec.structs.replace(own, generation=update.generation + 1, incarnation=0)
+        self.members[self.own_name].update = refutation
         self._gossip.announce(self.own_name)
 
     def _confirm_suspicion(self, member: Member, sender: str) -> None:
-        """One more member shares a suspicion: it lasts less."""
+        """Shorten a suspicion that one more member shares."""
         if sender in member.suspected_by or len(member.suspected_by) >= CONFIRMATIONS_FOR_MIN + 1:
             return
         member.suspected_by.add(sender)
-        self._gossip.announce(member.update.name)  # each of the first few is worth passing on again
+        self._gossip.announce(member.update.name)  # the first few confirmations are spread as well
         self._set_suspicion_end(member)
 
     def _state_updated(self, now: int, member: Member, before: MemberUpdate | None, sender: str) -> None:
--- a/gaugesail/coordination/membership.py
+++ b/gaugesail/coordination/membership.py
@@ -1,11 +1,11 @@
-"""Which gateways are in the fleet: alive, suspected, gone or left, as one of them sees it.
+"""The fleet's members and their states (alive, suspect, gone or left), as one gateway sees them.
 
-SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's three parts (Dadgar, Phillips, Currey 2018): a
-member that is slow itself probes less and waits longer (local health), a suspicion lasts the shorter the more
-members share it, and a suspect hears of it with the next ping.
+SWIM with suspicion (Das, Gupta, Motivala 2002) and the three extensions of Lifeguard (Dadgar, Phillips,
+Currey 2018): a member that is slow itself probes less and waits longer (local health), a suspicion lasts
+shorter the more members share it, and a suspect learns of it with the next ping.
 
-This decides only how fast the fleet recovers.  No right to spend anything is ever read off it.  There is no
-I/O and no clock of its own; the same calls give the same answers.
+Membership affects only how fast the fleet recovers; no right to spend depends on it.  There is no I/O and no
+clock of its own; the same calls return the same results.
 """
 
 from __future__ import annotations
@@ -22,10 +22,8 @@
 from .messages import Message
 from .outbox import Outbox
 
-COMPARE_PERIODS = 10  # between two comparisons of digests with one other member
-LATE_TICK_US = (
-    500_000  # a tick that comes later: this process was not running, and draws no conclusion from it
-)
+COMPARE_PERIODS = 10  # between two digest comparisons, each with one other member
+LATE_TICK_US = 500_000  # delay of a tick that shows that this process was not running
 MAX_NAME_LENGTH = 128  # of a name or an address in an update
 
 
@@ -44,7 +42,7 @@
         self._detector = FailureDetector(self._table, gossip, self._health, self._outbox, rng, now)
         self._periods = 0
 
-    # ---- what is known ----
+    # ---- state ----
 
     def __iter__(self) -> Iterator[tuple[str, Member]]:
         return iter(self._table.members.items())
@@ -54,17 +52,17 @@
 
     @property
     def own_update(self) -> MemberUpdate:
-        """What this gateway says of itself."""
+        """The update that this gateway spreads of itself."""
         return self._table.own_update
 
     @property
     def local_health(self) -> int:
-        """How badly this gateway keeps up; 0: it is well."""
+        """This gateway's local health score; 0 is healthy."""
         return self._health.score
 
     @property
     def name_taken(self) -> bool:
-        """Whether a later process has this gateway's name."""
+        """Whether a later process uses this gateway's name."""
         return self._table.name_taken
 
     def state_of(self, name: str) -> MemberState | None:
@@ -78,32 +76,32 @@
         return "" if member is None else member.update.address
 
     def digest(self) -> int:
-        """Return a hash that is the same at two gateways that know the same."""
+        """Return a hash of all updates; it is equal at two gateways with the same view."""
         return self._table.digest()
 
     def drain_changes(self) -> list[MemberChange]:
-        """Return what has changed since the last call."""
+        """Return and remove the changes since the last call."""
         return self._table.drain_changes()
 
     def drain_messages(self) -> list[tuple[str, Message]]:
-        """Return the messages to send, each with the member that it is for."""
+        """Return and remove the pending messages, each with its receiver's name."""
         return self._outbox.drain()
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` has something to do."""
+        """When ``tick`` is due next."""
         return min([self._detector.next_at, *self._table.suspicion_ends()])
 
     # ---- joining and leaving ----
 
     def join(self, through: Iterable[str]) -> None:
-        """Announce this gateway to some that may be there, and ask for what they know."""
+        """Announce this gateway to the members ``through``, and request their view."""
         for name in through:
             if name != self._table.own_name:
                 self._outbox.send(name, self._state_sync(wants_reply=True))
 
     def leave(self, now: int) -> None:
-        """Tell some members that this gateway leaves by its own will."""
+        """Announce to some members that this gateway leaves."""
         self._table.set_state(now, self.own_update, MemberState.LEFT)
         for name in self._table.sample_alive(self._rng, RELAY_COUNT):
             self._outbox.send(name, StateSync((self.own_update,), False))
@@ -114,9 +112,9 @@
     # ---- time ----
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Run everything that is due."""
         if now - self.next_at > LATE_TICK_US:
-            # This process did not run: no answer that is missing says anything of others.
+            # This process was not running: missing responses say nothing about other members.
             self._health.worsen()
             self._detector.abandon_probe()
             self._table.postpone_suspicions(now + PERIOD_US)
@@ -128,7 +126,7 @@
             self._detector.begin_period(now)
 
     def _compare_digests(self) -> None:
-        """Now and then, let one other member see whether it knows the same."""
+        """Offer the digest to another member every COMPARE_PERIODS."""
         self._periods += 1
         if self._periods % COMPARE_PERIODS == 0:
             for name in self._table.sample_alive(self._rng, 1):
@@ -137,7 +135,7 @@
     # ---- messages ----
 
     def receive(self, now: int, sender: str, message: Message) -> None:
-        """Take in one message.  Its sender is authenticated; what it says of members may be out of date."""
+        """Process one message.  Its sender is authenticated; its updates may be out of date."""
         match message:
             case Ping():
                 self._accept_updates(now, sender, message.updates)
@@ -165,7 +163,7 @@
 
 
 def is_valid(update: MemberUpdate) -> bool:
-    """Whether an update that came with a message has a known state and a bounded size."""
+    """Whether a received update has a known state and a bounded size."""
     if not 0 <= update.state <= MemberState.LEFT:
         return False
     return max(len(update.name), len(update.address)) <= MAX_NAME_LENGTH
--- a/gaugesail/coordination/membership_messages.py
+++ b/gaugesail/coordination/membership_messages.py
@@ -1,4 +1,4 @@
-"""How gateways learn who is there (SWIM; membership.py)."""
+"""Messages of the membership protocol (SWIM; membership.py)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MemberUpdate(Record, frozen=True, tag="Rumour"):
-    """What is said of one member; the larger of two by (generation, incarnation, state) holds."""
+    """The state of one member; the larger of two by (generation, incarnation, state) takes precedence."""
 
     name: str
     address: str
@@ -17,14 +17,14 @@
 
 
 class Ping(Record, frozen=True, tag="Ping"):
-    """Asks whether the receiver is alive."""
+    """Checks whether the receiver is alive."""
 
     number: int
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class Ack(Record, frozen=True, tag="Ack"):
-    """Answers a Ping.  ``target`` is alive: the sender, or one that it has pinged for the receiver."""
+    """Acknowledges a Ping.  ``target`` is alive: the sender, or a member that it pinged for the receiver."""
 
     number: int
     target: str
@@ -32,7 +32,7 @@
 
 
 class PingRequest(Record, frozen=True, tag="PingFor"):
-    """Asks the receiver to ping ``target`` and to pass its answer on."""
+    """Requests the receiver to ping ``target`` and to relay its Ack."""
 
     number: int
     target: str
@@ -40,20 +40,20 @@
 
 
 class Nack(Record, frozen=True, tag="Nack"):
-    """A relay has got a PingRequest, and is well itself."""
+    """Confirms that a relay works and has received a PingRequest."""
 
     number: int
     target: str
 
 
 class DigestOffer(Record, frozen=True, tag="Compare"):
-    """A hash of all that is known; one that knows otherwise answers with a StateSync."""
+    """A hash of all member updates; a receiver with another hash responds with a StateSync."""
 
     digest: int
 
 
 class StateSync(Record, frozen=True, tag="Sync"):
-    """All that the sender knows; ``wants_reply`` asks for what the receiver knows."""
+    """All member updates of the sender; ``wants_reply`` requests those of the receiver."""
 
     updates: tuple[MemberUpdate, ...]
     wants_reply: bool
--- a/gaugesail/coordination/messages.py
+++ b/gaugesail/coordination/messages.py
@@ -1,7 +1,7 @@
-"""All records that gateways of one fleet exchange or keep; each group stands in a module of its own.
+"""All records that gateways of a fleet exchange or store, from one module per group.
 
-Every message may come late, twice, out of order or not at all; each says enough of what it rests on that its
-receiver can tell an old one.
+Any message may be delayed, duplicated, reordered or lost; each carries what its receiver needs to recognize
+an outdated one.
 """
 
 from __future__ import annotations
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -1,9 +1,9 @@
-"""One gateway among others: membership, consensus, leases and what it may spend, put together.
+"""One gateway of a fleet: combines membership, consensus, leases and spending limits into one state machine.
 
-Whoever drives it hands in what has come and what time it is, and gets back a ``StepOutput``, to be carried
-out in its order: first the write, whole; then the quota goes to the gateway; then the messages go out.  If
-the write fails, nothing of the rest is done, and ``store_failed`` is called.  So whatever this gateway says
-rests on what it has persisted.  Messages to this gateway itself come back to it.
+The caller passes in each event with the current time, and carries out the returned ``StepOutput`` in order:
+it completes the write, passes the quota to the gateway, and sends the messages.  If the write fails, the
+caller drops the rest and calls ``store_failed``.  Everything that this gateway sends therefore rests on state
+that it has persisted.  The caller delivers messages addressed to this gateway back to ``receive``.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayIdentity:
-    """Who this process is: its gateway's name, its address ``host:port``, its number, and when it started."""
+    """Identifies this process: gateway name, address ``host:port``, process number, and start time."""
 
     name: str
     address: str
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class StepOutput:
-    """What a step comes to, to be done in this order."""
+    """The effects of one step, in the order in which the caller carries them out."""
 
     write: StoreWrite | None = None
     quota: QuotaUpdate | None = None
@@ -53,9 +53,9 @@
 
 
 class FleetNode:
-    """The fleet's decisions at one gateway; the same calls give the same outputs.
+    """The fleet's decisions at one gateway.  Deterministic: the same calls return the same outputs.
 
-    Times are in microseconds of the caller's clock.  ``stored``: what the store holds; None if there is none.
+    Times are in microseconds of the caller's clock.  ``stored`` is the store's content; None without a store.
     """
 
     def __init__(
@@ -84,22 +84,22 @@
             terms, terms_digest, identity.process, state.store_id, floor, now, self._rng
         )
         self._persisted_floor = floor
-        self._command_results: dict[int, m.OperatorCommandResult] = {}  # of this gateway's commands
+        self._command_results: dict[int, m.OperatorCommandResult] = {}  # by command number
         self._last_command = 0
         if self.is_replica and stored is not None:
             self._host.open(now, stored.snapshot, stored.entries)
         self.membership.join(terms.replicas)
 
-    # ---- what holds ----
+    # ---- state ----
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` has something to do."""
+        """When ``tick`` is due next."""
         return min([self.membership.next_at, self.lease_holder.next_at, *self._host.due_times()])
 
     @property
     def has_store(self) -> bool:
-        """Whether there is a store that takes writes."""
+        """Whether this gateway has a store that accepts writes."""
         return self._store.available
 
     @property
@@ -109,40 +109,40 @@
 
     @property
     def replica(self) -> Replica | None:
-        """The replica; None if there is none, or no fleet yet."""
+        """The replica; None if this gateway runs none, or the fleet is not bootstrapped yet."""
         return self._host.replica
 
     @property
     def is_leader(self) -> bool:
-        """Whether this gateway leads and grants leases."""
+        """Whether this gateway is the leader and grants leases."""
         return self.replica is not None and self.replica.lease_manager is not None
 
     @property
     def leader(self) -> str:
-        """The name of the gateway that leads, as far as known."""
+        """The leading gateway's name; empty if unknown."""
         if self.replica is not None and self.replica.raft.leader:
             return name_of(self.replica.raft.leader)
         return self.lease_holder.leader
 
     def _likely_leaders(self) -> list[str]:
-        """The replicas to ask for a lease, the likeliest leader first; one that seems gone comes last."""
+        """The replicas to request a lease from, the likeliest leader first, members in state GONE last."""
         names = sorted({name_of(voter) for voter in self._host.voters} or self.terms.replicas)
         states = {name: self.membership.state_of(name) or MemberState.ALIVE for name in names}
         return sorted(names, key=lambda name: (name != self.leader, states[name] >= MemberState.GONE, name))
 
-    # ---- what the gateway and its operators ask ----
+    # ---- calls of the gateway and its operators ----
 
     def set_limits(self, limits: Mapping[str, RateBurst], max_request: int) -> None:
-        """Take this gateway's own limits by plan and its largest request, all in thousandths."""
+        """Set this gateway's configured limits by plan and its largest request, all in thousandths."""
         self.lease_holder.set_limits(limits, max_request)
 
     def report_demand(self, now: int, usage: Mapping[str, QuotaUsage]) -> StepOutput:
-        """Take what was used of each quota since the last call."""
+        """Record the usage of each quota since the last call."""
         self.lease_holder.record_demand(now, usage)
         return self.tick(now)
 
     def leave(self, now: int) -> StepOutput:
-        """This gateway shuts down: its quota goes back, and the others hear of it."""
+        """Shut down: return the quota, announce the departure, and hand over leadership."""
         self.lease_holder.leave(now)
         self.membership.leave(now)
         if self.replica is not None:
@@ -150,7 +150,7 @@
         return self.tick(now)
 
     def submit_command(self, now: int, command: m.ForgetGateway) -> tuple[int, StepOutput]:
-        """Submit an operator's command to the leader; return its number for ``pop_command_result``."""
+        """Submit an operator's command to the leader; return its number, for ``pop_command_result``."""
         self._last_command += 1
         number = self._last_command
         request = m.OperatorCommand(number, command)
@@ -165,21 +165,21 @@
         return number, output
 
     def pop_command_result(self, number: int) -> m.OperatorCommandResult | None:
-        """Return what became of a command, once; None while nothing is known."""
+        """Return and remove a command's result; None while it is pending."""
         return self._command_results.pop(number, None)
 
     def _keep_result(self, result: m.OperatorCommandResult) -> None:
         self._command_results[result.number] = result
 
     def trust_store(self, now: int) -> StepOutput:
-        """Operators say that this store is the latest: it need not wait for others to confirm it."""
+        """Accept an operator's word that this store is the latest: it needs no confirmation by others."""
         self._host.store_fence.trusted_by_operator = True
         return self.tick(now)
 
     # ---- steps ----
 
     def tick(self, now: int) -> StepOutput:
-        """Do what is due."""
+        """Run everything that is due."""
         self.membership.tick(now)
         if self.is_replica:
             self._maintain_replica(now)
@@ -188,7 +188,7 @@
         return self._finish(now)
 
     def receive(self, now: int, sender: str, process: int, message: Message) -> StepOutput:
-        """Take in one message of an authenticated sender."""
+        """Process one message from an authenticated sender."""
         match message:
             case m.Ping() | m.Ack() | m.PingRequest() | m.Nack() | m.DigestOffer() | m.StateSync():
                 self.membership.receive(now, sender, message)
@@ -219,7 +219,7 @@
         if self.replica is not None:
             self.replica.receive_command(sender, command, self.leader)
             return
-        result = m.OperatorCommandResult(command.number, False, "this head is no keeper")
+        result = m.OperatorCommandResult(command.number, False, "this gateway runs no replica")
         self._outbox.send(sender, result)
 
     def _receive_consensus(self, now: int, sender: str, message: ConsensusMessage) -> None:
@@ -227,7 +227,7 @@
             self._host.run_raft(lambda raft: raft.receive(now, message))
 
     def _maintain_replica(self, now: int) -> None:
-        mark = self._store.mark()  # of the store as this step found it
+        mark = self._store.mark()  # before this step replaces the store
         if self._host.store_fence.stale:
             store_id = self._host.replace_store(now)
             self.lease_holder.replace_store(now, store_id)
@@ -235,7 +235,10 @@
         self._host.maintain(now, mark)
 
     def store_failed(self, now: int, why: str) -> None:
-        """The last write failed: nothing that it was for is done."""
+        """Handle a failed write: close the replica, and go by the lesser of persisted and current floor.
+
+        The caller drops the other effects of the step.  ``why`` is logged for operators.
+        """
         self._notices.add("store_failed", why=why)
         self._host.close()
         self._store.available = False
@@ -273,7 +276,7 @@
         replica.notices.clear()
 
     def _pop_write(self) -> StoreWrite | None:
-        """Return what is to be persisted before anything else of this step is done."""
+        """Return the write to complete before the rest of this step; None if nothing has changed."""
         if not self.has_store:
             return None
         raft = self.replica.raft if self.replica is not None else None
@@ -291,7 +294,7 @@
         return store.next_write(log_write)
 
     def _pop_state_changed(self) -> bool:
-        """Return whether anything beside the log has changed since the last call."""
+        """Return whether any state besides the log has changed since the last call."""
         changed = [
             self._store.pop_changed(),
             self._host.store_fence.unsaved,
@@ -303,7 +306,7 @@
         self.lease_holder.floor_changed = False
         return any(changed)
 
-    # ---- what operators see ----
+    # ---- operators' views ----
 
     def view_members(self, now: int) -> JsonObject:
         """Return all members as this gateway sees them; times in seconds."""
@@ -317,7 +320,7 @@
         }
 
     def view_budgets(self, now: int) -> JsonObject:
-        """Return the quotas as this gateway knows them: a replica's whole ledger, or only its own part."""
+        """Return this gateway's lease and quota and, on a replica, the complete ledger."""
         view = {
             "head": self.name,
             "leader": self.leader,
--- a/gaugesail/coordination/notice_queue.py
+++ b/gaugesail/coordination/notice_queue.py
@@ -1,4 +1,4 @@
-"""The notices that wait to be logged."""
+"""The queue of notices to be logged."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class NoticeQueue:
-    """Notices in the order in which they were given."""
+    """Pending notices, in the order in which they were added."""
 
     def __init__(self) -> None:
         self._notices: list[Notice] = []
         self._added_keys: set[str] = set()
 
     def add(self, event: str, **fields: NoticeField) -> None:
-        """Put a notice after the others."""
+        """Append a notice."""
         self._notices.append(Notice(event, fields))
 
     def add_once(self, key: str, event: str, **fields: NoticeField) -> None:
-        """Put a notice after the others, unless one was given under ``key`` before."""
+        """Append a notice, unless one was added with this ``key`` before."""
         if key not in self._added_keys:
             self._added_keys.add(key)
             self.add(event, **fields)
 
     def extend(self, notices: Iterable[Notice]) -> None:
-        """Put several notices after the others."""
+        """Append several notices."""
         self._notices.extend(notices)
 
     def drain(self) -> list[Notice]:
-        """Return and remove all notices."""
+        """Return and remove all pending notices."""
         notices = self._notices
         self._notices = []
         return notices
--- a/gaugesail/coordination/notices.py
+++ b/gaugesail/coordination/notices.py
@@ -1,4 +1,4 @@
-"""What the fleet's decisions tell operators: one log event with its fields."""
+"""Notices to operators: log events that result from the fleet's decisions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """One event for the log.  The agent logs it as ``fleet_<event>``."""
+    """One log event with its fields.  The agent logs it as ``fleet_<event>``."""
 
     event: str
     fields: Mapping[str, NoticeField] = field(default_factory=dict)
--- a/gaugesail/coordination/operator_messages.py
+++ b/gaugesail/coordination/operator_messages.py
@@ -1,4 +1,4 @@
-"""What operators ask of the fleet, and what became of it."""
+"""Operators' commands to the fleet, and their results."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class OperatorCommand(Record, frozen=True, tag="Petition"):
-    """A command that operators gave to any gateway, for the leader to put into the log."""
+    """A command that an operator gave to any gateway, for the leader to append to the log."""
 
     number: int
     command: ForgetGateway
 
 
 class OperatorCommandResult(Record, frozen=True, tag="Heard"):
-    """What became of a command; ``reason`` says why it was not done, or that there was nothing to do."""
+    """The result of a command; ``reason`` says why it was rejected, or that there was nothing to do."""
 
     number: int
     done: bool
--- a/gaugesail/coordination/operator_views.py
+++ b/gaugesail/coordination/operator_views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the fleet, as JSON objects.  Programs read their keys, which stay as they are.
+"""The operators' views of the fleet, as JSON objects.  Their keys are read by programs and must not change.
 
 Rates are in units a second, bursts in units, times in seconds.
 """
@@ -17,7 +17,7 @@
 
 
 def rate_burst_view(rate: int, burst: int) -> JsonObject:
-    """Return a rate and a burst, given in thousandths."""
+    """Return a rate and a burst in units, given in thousandths."""
     return {"rate": rate / 1000, "burst": burst / 1000}
 
 
@@ -51,7 +51,7 @@
 
 
 def ledger_view(now: int, ledger: QuotaLedger, manager: LeaseManager | None) -> JsonObject:
-    """Return the whole ledger; with the leader's ``manager`` also how long leases count and what is used."""
+    """Return the complete ledger; with the leader's ``manager`` also the leases' times and the demand."""
     return {
         "settled": ledger.settled,
         "version": ledger.limits_version,
--- a/gaugesail/coordination/persisted_state.py
+++ b/gaugesail/coordination/persisted_state.py
@@ -1,6 +1,6 @@
-"""What one gateway's store holds of the fleet, and what one write to it changes.
+"""The fleet's state in a gateway's store, and the writes that change it.
 
-The keys of ``PersistentState`` in the store are older than the names of its fields, and stay as they are.
+The stored keys of ``PersistentState`` keep the names of the first version.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class PersistentState(msgspec.Struct):
-    """All that a gateway persists beside its log, written as one."""
+    """The state that a gateway persists besides its log, written as one record."""
 
-    store_id: str = msgspec.field(name="store")  # drawn when the store was made
-    starts: int = msgspec.field(default=0, name="life")  # of processes with this store
+    store_id: str = msgspec.field(name="store")  # random, drawn when the store was created
+    starts: int = msgspec.field(default=0, name="life")  # number of processes started with this store
     writes: int = msgspec.field(default=0, name="saves")
-    process: int = 0  # that wrote it
+    process: int = 0  # the process that wrote it
     generation: int = 0  # of the member (membership.py)
     fleet_id: str = msgspec.field(default="", name="fleet")
-    voters: tuple[str, ...] = msgspec.field(default=(), name="seats")  # the first ones
+    voters: tuple[str, ...] = msgspec.field(default=(), name="seats")  # the fleet's first
     bound_to: str = msgspec.field(default="", name="bound")  # the founder's store (bootstrap.py)
     term: int = 0
     voted_for: str = msgspec.field(default="", name="vote")
@@ -32,12 +32,12 @@
     floor_slot: int = msgspec.field(default=-1, name="slot")
     floor_version: int = msgspec.field(default=0, name="version")
     floor_limits: dict[str, RateBurst] = msgspec.field(default_factory=dict, name="wholes")
-    floor_fleet: str = msgspec.field(default="", name="of_fleet")  # that gave the floor
+    floor_fleet: str = msgspec.field(default="", name="of_fleet")  # the fleet that assigned the slot
 
 
 @dataclass(slots=True)
 class StoredState:
-    """What a store held at the start of a process."""
+    """The content of a store at the start of a process."""
 
     state: PersistentState
     snapshot: Snapshot = field(default_factory=Snapshot)
@@ -46,10 +46,10 @@
 
 @dataclass(slots=True)
 class StoreWrite:
-    """One write, all or nothing.
+    """One atomic write.
 
     ``state`` replaces the last one; ``entries`` replace all of the log from ``first_index`` on; a
-    ``snapshot`` replaces all entries up to its index; ``replaces_store``: nothing of the old log stays.
+    ``snapshot`` replaces all entries up to its index; ``replaces_store``: the old log is removed entirely.
     """
 
     state: PersistentState
--- a/gaugesail/coordination/proposed_commands.py
+++ b/gaugesail/coordination/proposed_commands.py
@@ -1,4 +1,4 @@
-"""Commands that a leader has proposed and that are not applied yet, so that none is proposed twice."""
+"""The commands that a leader has proposed and that are not applied yet, so that none is proposed twice."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _key(command: SingleCommand) -> CommandKey:
-    """Commands of one key do the same: at most one of them is on its way."""
+    """Return a command's key; at most one command of each key is pending."""
     match command:
         case OpenSession():
             return OpenSession, command.process
@@ -38,10 +38,10 @@
     def __init__(self, raft: RaftNode) -> None:
         self._raft = raft
         self._indices: dict[CommandKey, int] = {}
-        self._allocating: dict[str, set[int]] = {}  # sessions with an AllocateQuota on its way, by quota
+        self._allocating: dict[str, set[int]] = {}  # sessions with a pending AllocateQuota, by quota
 
     def propose_once(self, command: SingleCommand) -> None:
-        """Propose a command unless one of the same key is on its way."""
+        """Propose a command, unless one with the same key is pending."""
         key = _key(command)
         if key in self._indices:
             return
@@ -50,9 +50,9 @@
             self._indices[key] = index
 
     def propose_allocation(self, command: AllocateQuota) -> int | None:
-        """Propose an allocation unless one for the same session and quota is on its way.
+        """Propose an allocation, unless one for the same session and quota is pending.
 
-        Returns the index of its entry; None where it was not proposed.
+        Returns the index of its entry, or None if it was not proposed.
         """
         allocating = self._allocating.setdefault(command.quota_name, set())
         if command.session in allocating:
@@ -61,19 +61,19 @@
         return self._raft.propose(command)
 
     def sets_limits(self) -> bool:
-        """Whether new limits are on their way."""
+        """Whether a SetLimits is pending."""
         return (SetLimits, 0) in self._indices
 
     def allocates(self, quota_name: str) -> bool:
-        """Whether any allocation of a quota is on its way."""
+        """Whether any AllocateQuota of a quota is pending."""
         return quota_name in self._allocating
 
     def applied(self, command: SingleCommand) -> None:
-        """A command has been applied, whoever proposed it."""
+        """Note that a command was applied, whichever leader proposed it."""
         self._indices.pop(_key(command), None)
 
     def allocation_applied(self, command: AllocateQuota) -> None:
-        """An allocation has been applied, or refused by the ledger."""
+        """Note that an allocation was applied, or rejected by the ledger."""
         allocating = self._allocating.get(command.quota_name, set())
         allocating.discard(command.session)
         if not allocating:
--- a/gaugesail/coordination/quota_allocator.py
+++ b/gaugesail/coordination/quota_allocator.py
@@ -1,7 +1,7 @@
-"""Divides each quota among the sessions that want it, and keeps their holders informed.
+"""Divides each quota among the sessions that demand it, and sends the resulting orders to their holders.
 
-More is committed to the log first and sent to its holder then.  Less is asked of the holder first, and
-committed once it says that it has released it.  So what holders spend by is never more than the ledger has.
+An increase is committed to the log before it is sent to its holder.  A decrease is requested from the holder
+first, and committed once the holder reports the release.  So holders never spend by more than the ledger has.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from .quota_ledger import Allocation, QuotaLedger, RateBurst, plan_of
 from .session_lease import SessionLease
 
-RESEND_US = 250_000  # until an order that its holder has not confirmed is sent again
+RESEND_US = 250_000  # until an unconfirmed order is resent
 MAX_ORDERS = 24  # in one message
 MAX_DIVIDED = 200  # quotas in one step
-RELEASE_TIMEOUT_US = 1_000_000  # to release what a lowered limit has no room for, before renewal is denied
-BURST_TOLERANCE = 50  # a burst that differs by less than 1/50 of what may be leased is left as it is
+RELEASE_TIMEOUT_US = 1_000_000  # to release the excess over a lowered limit, before renewal is denied
+BURST_TOLERANCE = 50  # a burst within 1/50 of the leasable burst of its target is left unchanged
 
 
 class QuotaAllocator:
@@ -43,16 +43,16 @@
         self._leases = leases
         self._proposals = proposals
         self._outbox = outbox
-        self._grants_from = 0  # microseconds; nothing is granted before it
+        self._grants_from = 0  # microseconds; nothing is granted before
         self._to_divide: dict[str, None] = dict.fromkeys(ledger.allocations)
-        self._over_limit_since: dict[str, int] = {}  # by quota, while more is allocated than may be
+        self._over_limit_since: dict[str, int] = {}  # by quota, while its allocations exceed the limit
         self._resend_at = now
         for quota_name, allocations in ledger.allocations.items():
             for number in allocations:
                 leases[number].unconfirmed[quota_name] = now - RESEND_US
 
     def grant_nothing_before(self, at: int) -> None:
-        """Leases that no log knows of may count until ``at``, in microseconds: grant nothing until then."""
+        """Grant nothing before ``at``, in microseconds: leases that are in no log may count until then."""
         self._grants_from = at
 
     @property
@@ -60,19 +60,19 @@
         """When ``resend_unconfirmed`` is due, in microseconds."""
         return self._resend_at
 
-    # ---- what has changed ----
+    # ---- changes ----
 
     def divide_again(self, quota_names: Iterable[str]) -> None:
-        """These are to be divided in the next step."""
+        """Schedule some quotas to be divided in the next step."""
         self._to_divide.update(dict.fromkeys(quota_names))
 
     def divide_all_again(self) -> None:
-        """Every quota that any session has or wants is to be divided in the next step."""
+        """Schedule all quotas with demand or allocations to be divided in the next step."""
         wanted = {quota_name for lease in self._leases.values() for quota_name in lease.demands}
         self.divide_again(wanted | set(self._ledger.allocations))
 
     def demand_reported(self, lease: SessionLease, demand: QuotaDemand) -> None:
-        """A holder's demand for one quota has changed; rate 0 withdraws it."""
+        """Process a holder's changed demand for one quota; rate 0 withdraws it."""
         if demand.rate > 0:
             lease.demands[demand.quota_name] = demand
         else:
@@ -80,7 +80,7 @@
         self._to_divide[demand.quota_name] = None
 
     def holding_reported(self, number: int, lease: SessionLease, held: HeldQuota) -> None:
-        """A holder says what it spends by: an order has reached it, or it has released some."""
+        """Process a holder's reported allocation: an order was received, or quota was released."""
         allocation = self._allocation(held.quota_name, number)
         if allocation is None or held.version != allocation.version:
             return
@@ -92,7 +92,10 @@
             lease.unconfirmed.pop(held.quota_name, None)
 
     def allocation_applied(self, now: int, command: AllocateQuota, done: bool) -> None:
-        """An allocation is committed; ``done``: the ledger has taken it.  Its holder is sent it."""
+        """Process a committed allocation, and send it to its holder.
+
+        ``done`` is false if the ledger has rejected it.
+        """
         quota_name = command.quota_name
         self._proposals.allocation_applied(command)
         self._to_divide[quota_name] = None
@@ -108,7 +111,7 @@
     # ---- dividing ----
 
     def divide_due(self, now: int) -> None:
-        """Divide what has changed; a quota waits while an earlier allocation of it is on its way."""
+        """Divide the scheduled quotas, up to MAX_DIVIDED; those with uncommitted allocations wait."""
         if now >= self._grants_from > 0:
             self._grants_from = 0
             self.divide_all_again()
@@ -118,7 +121,7 @@
             self._divide(now, quota_name)
 
     def _divide(self, now: int, quota_name: str) -> None:
-        """Ask back what is too much, grant what is too little as far as it is available."""
+        """Request the release of what exceeds the targets, and grant what is missing and available."""
         self._watch_limit(now, quota_name)
         leasable = self._ledger.leasable(plan_of(quota_name))
         claims = self._claims(quota_name)
@@ -145,7 +148,7 @@
             self._over_limit_since.pop(quota_name, None)
 
     def _claims(self, quota_name: str) -> dict[int, QuotaClaim]:
-        """What each session wants and has of a quota, but for those that are being closed."""
+        """Return what each session demands and has of a quota, except sessions that are being closed."""
         allocations = self._ledger.allocations.get(quota_name, {})
         floor_burst = self._terms.floor(*self._ledger.limits.get(plan_of(quota_name), (0, 0)))[1]
         claims: dict[int, QuotaClaim] = {}
@@ -163,7 +166,10 @@
         return claims
 
     def _divisible(self, quota_name: str, leasable: RateBurst, claims: dict[int, QuotaClaim]) -> RateBurst:
-        """What is left for those who claim: what a session that is being closed has is not free yet."""
+        """Return the part of the leasable quota that the claims divide.
+
+        The allocations of sessions that are being closed are not free yet.
+        """
         allocations = self._ledger.allocations.get(quota_name, {})
         closing = [allocation for number, allocation in allocations.items() if number not in claims]
         rate = max(0, leasable[0] - sum(allocation.rate for allocation in closing))
@@ -193,7 +199,7 @@
         return self._ledger.allocations.get(quota_name, {}).get(number)
 
     def release_is_overdue(self, now: int, number: int, lease: SessionLease) -> bool:
-        """Whether a holder still has, after RELEASE_TIMEOUT_US, what a lowered limit has no room for."""
+        """Whether a holder still has more than a lowered limit allows after RELEASE_TIMEOUT_US."""
         return any(
             now - self._over_limit_since.get(quota_name, now) > RELEASE_TIMEOUT_US
             for quota_name in lease.release_targets
@@ -203,7 +209,7 @@
     # ---- orders to holders ----
 
     def resend_unconfirmed(self, now: int) -> None:
-        """Send again, every RESEND_US, what holders have not confirmed."""
+        """Resend unconfirmed orders every RESEND_US."""
         if now < self._resend_at:
             return
         self._resend_at = now + RESEND_US
@@ -213,7 +219,7 @@
                 self._send_orders(now, number, lease, late)
 
     def _send_orders(self, now: int, number: int, lease: SessionLease, quota_names: list[str]) -> None:
-        """Send a holder what the ledger says of some quotas, or what it is asked to come down to."""
+        """Send a holder its allocations of some quotas, or the targets to release down to."""
         orders = list[QuotaOrder]()
         for quota_name in quota_names:
             allocation = self._allocation(quota_name, number)
@@ -231,10 +237,10 @@
             message = QuotaOrders(session.process, number, self._fleet, part)
             self._outbox.append((lease.gateway, message))
 
-    # ---- what operators see ----
+    # ---- operators' views ----
 
     def demand_view(self, quota_name: str, number: int) -> dict[str, float | str]:
-        """What a session wants and uses of a quota, in units a second, and why it has not that."""
+        """Return a session's demand and use of a quota, in units a second, and what its change waits for."""
         lease = self._leases[number]
         demand = lease.demands.get(quota_name)
         view: dict[str, float | str] = {
@@ -242,16 +248,16 @@
             "used": demand.used / 1000 if demand is not None else 0.0,
         }
         if quota_name in lease.release_targets:
-            view["why"] = "asked to give some up"
+            view["why"] = "release requested"
         elif quota_name in lease.unconfirmed:
-            view["why"] = "told, and not yet in its book"
+            view["why"] = "order sent, not confirmed by the holder"
         return view
 
 
 def _order(quota_name: str, allocation: Allocation, target: RateBurst | None) -> QuotaOrder:
-    """The order for one allocation; with a target, a request to release down to that.
+    """Return the order for one allocation; with a target, a request to release down to the target.
 
-    A target may rest on an earlier allocation: no order has more than the ledger has now.
+    A target may be based on an earlier allocation, so an order never exceeds the ledger's current one.
     """
     if target is None:
         return QuotaOrder(quota_name, allocation.version, allocation.rate, allocation.burst, False)
--- a/gaugesail/coordination/quota_ledger.py
+++ b/gaugesail/coordination/quota_ledger.py
@@ -1,8 +1,8 @@
-"""The ledger: which session may spend how much of each quota, as the log's commands make it.
+"""The ledger: how much of each quota every session may spend, as the log's commands determine it.
 
-Every replica that applies the same entries has the same ledger; nothing here knows a clock.  A command that
-would make the allocations and floors of one quota sum to more than its limit, or that rests on what is no
-longer so, changes nothing, whoever proposed it.
+All replicas that apply the same entries have the same ledger; it uses no clock.  A command that would make
+the allocations and floors of one quota exceed its limit, or that is based on outdated state, changes nothing,
+whichever replica proposed it.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     SettleLimits,
 )
 
-RateBurst = tuple[int, int]  # thousandths of a unit a second, and of a unit
+RateBurst = tuple[int, int]  # in thousandths of a unit a second, and of a unit
 NO_SLOT = -1
 
 
 def plan_of(quota_name: str) -> str:
-    """The plan of a quota, which is named PLAN/VOLUME."""
+    """Return the plan of a quota, whose name is PLAN/VOLUME."""
     return quota_name.rpartition("/")[0]
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One process of one gateway, from its opening to its close."""
+    """One process of a gateway, while it may hold a lease."""
 
     number: int  # index of the entry that opened it
     gateway: str
@@ -44,11 +44,11 @@
 
 @dataclass(slots=True, eq=False)
 class FloorSlot:
-    """One gateway's floor, bound to its store for good."""
+    """One gateway's floor, permanently bound to its store."""
 
     gateway: str
     store_id: str
-    limits_versions: list[int]  # its holder goes by the limits of one of these, in order
+    limits_versions: list[int]  # ascending; its holder goes by the limits of one of these
 
 
 @dataclass(slots=True, eq=False)
@@ -57,11 +57,11 @@
 
     rate: int
     burst: int
-    version: int  # index of the entry that made it
+    version: int  # index of the entry that set it
 
 
 class _Snapshot(msgspec.Struct):
-    """The ledger as it is stored; the names of the stored keys are those of the first version."""
+    """The ledger as it is stored; the stored keys keep the names of the first version."""
 
     limits_version: int = msgspec.field(name="version")
     limits: dict[str, RateBurst] = msgspec.field(name="wholes")
@@ -84,27 +84,27 @@
     """The state machine of the log."""
 
     terms: FleetTerms
-    limits_version: int = 0  # index of the entry that made the limits what they are
+    limits_version: int = 0  # index of the entry that changed ``limits`` last
     limits: dict[str, RateBurst] = field(default_factory=dict)  # in force, by plan
-    stated_limits: dict[str, RateBurst] = field(default_factory=dict)  # by the gateways' files
-    settled: bool = True  # the limits in force are those that are stated
+    stated_limits: dict[str, RateBurst] = field(default_factory=dict)  # configured at the gateways, by plan
+    settled: bool = True  # the limits in force are the stated ones
     sessions: dict[int, Session] = field(default_factory=dict)
     floor_slots: dict[int, FloorSlot] = field(default_factory=dict)
     allocations: dict[str, dict[int, Allocation]] = field(default_factory=dict)  # by quota and session
-    _past_limits: dict[int, dict[str, RateBurst]] = field(default_factory=dict)  # that a floor may go by
-    _reserved: dict[str, RateBurst] = field(default_factory=dict)  # reserved_for_floors, as computed
-    _allocated: dict[str, RateBurst] = field(default_factory=dict)  # allocated, as computed
+    _past_limits: dict[int, dict[str, RateBurst]] = field(default_factory=dict)  # that floors may go by
+    _reserved: dict[str, RateBurst] = field(default_factory=dict)  # cache of reserved_for_floors, by plan
+    _allocated: dict[str, RateBurst] = field(default_factory=dict)  # cache of allocated, by quota
 
     # ---- reading ----
 
     def session_of_process(self, process: int) -> Session | None:
-        """The session of one process."""
+        """Return the session of a process; None if it has none."""
         return next((session for session in self.sessions.values() if session.process == process), None)
 
     def reserved_for_floors(self, plan: str) -> RateBurst:
-        """What is set aside for all floors of a plan: of each, the largest that its holder may go by.
+        """Return the sum reserved for all floors of a plan: for each, the largest that its holder may go by.
 
-        A slot that nobody has counts with the current limits, so that a gateway may always have it.
+        A free slot counts with the current limits, so that it can be assigned at any time.
         """
         reserved = self._reserved.get(plan)
         if reserved is None:
@@ -122,13 +122,13 @@
         return max(floor[0] for floor in floors), max(floor[1] for floor in floors)
 
     def leasable(self, plan: str) -> RateBurst:
-        """What may be allocated of one quota of a plan: its limit without the floors."""
+        """Return what may be allocated of one quota of a plan: its limit less the floors."""
         limit = self.limits.get(plan, (0, 0))
         reserved = self.reserved_for_floors(plan)
         return max(0, limit[0] - reserved[0]), max(0, limit[1] - reserved[1])
 
     def allocated(self, quota_name: str) -> RateBurst:
-        """The sum of the allocations of one quota."""
+        """Return the sum of the allocations of one quota."""
         allocated = self._allocated.get(quota_name)
         if allocated is None:
             allocations = self.allocations.get(quota_name, {}).values()
@@ -138,7 +138,7 @@
         return allocated
 
     def available(self, quota_name: str) -> RateBurst:
-        """What more may be allocated of one quota; negative after its limit was lowered."""
+        """Return what is left to allocate of one quota; negative after its limit was lowered."""
         leasable = self.leasable(plan_of(quota_name))
         allocated = self.allocated(quota_name)
         return leasable[0] - allocated[0], leasable[1] - allocated[1]
@@ -146,7 +146,7 @@
     # ---- the log ----
 
     def apply(self, index: int, command: Command) -> bool:
-        """Apply the command of one entry; False where it changes nothing."""
+        """Apply the command of entry ``index``; return whether it changed anything."""
         match command:
             case OpenSession():
                 return self._open_session(index, command)
@@ -172,7 +172,7 @@
         return True
 
     def _assign_floor_slot(self, gateway: str, store: str) -> int:
-        """The slot bound to a store, or a free one that is bound to it now; NO_SLOT where none is free."""
+        """Return the slot bound to a store, or bind a free one to it; NO_SLOT if none is free."""
         free = NO_SLOT
         for number in range(self.terms.max_gateways):
             slot = self.floor_slots.get(number)
@@ -202,7 +202,7 @@
             del self.allocations[quota_name]
 
     def _allocate(self, index: int, command: AllocateQuota) -> bool:
-        """Replace one allocation; the one place where a session gets more, never beyond the limit."""
+        """Replace one allocation within the limit; no other command gives a session more."""
         quota_name = command.quota_name
         current = self.allocations.get(quota_name, {}).get(command.session)
         if not self._is_current(command, current) or not self._fits(command, current):
@@ -217,21 +217,21 @@
         return True
 
     def _is_current(self, command: AllocateQuota, current: Allocation | None) -> bool:
-        """Whether what the command rests on is still so: its session, and the allocation it replaces."""
+        """Whether the command's session is open, and the allocation that it replaces is the current one."""
         version = current.version if current is not None else 0
         if command.session not in self.sessions or command.replaced_version != version:
             return False
         return command.rate >= 0 and command.burst >= 0
 
     def _fits(self, command: AllocateQuota, current: Allocation | None) -> bool:
-        """Whether what the command adds is available; less always fits."""
+        """Whether the increase is available; a decrease always fits."""
         available = self.available(command.quota_name)
         more_rate = command.rate - (current.rate if current is not None else 0)
         more_burst = command.burst - (current.burst if current is not None else 0)
         return more_rate <= max(0, available[0]) and more_burst <= max(0, available[1])
 
     def _set_limits(self, index: int, command: SetLimits) -> bool:
-        """A limit that falls holds for every allocation from here on; one that rises has to be settled."""
+        """Apply lower limits to all allocations from here on; higher ones wait until they are settled."""
         stated = {plan: (rate, burst) for plan, rate, burst in command.limits}
         if stated == self.stated_limits:
             return False
@@ -244,7 +244,7 @@
         return True
 
     def _settle_limits(self, index: int, version: int) -> bool:
-        """The stated limits hold in full, unless they have changed since ``version``."""
+        """Apply the stated limits in full, unless they have changed since ``version``."""
         if version != self.limits_version or self.settled:
             return False
         self._change_limits(index, {**self.limits, **self.stated_limits})
@@ -256,11 +256,11 @@
         self.settled = all(limits[plan] == stated for plan, stated in self.stated_limits.items())
         self._past_limits[index] = limits
         for slot in self.floor_slots.values():
-            slot.limits_versions.append(index)  # its holder may go by these once it hears of them
+            slot.limits_versions.append(index)  # its holder may go by these once it receives them
         self._forget_past_limits()
 
     def _acknowledge_floor(self, command: AcknowledgeFloor) -> bool:
-        """The holder of a slot goes by no limits older than these any more."""
+        """Record that the holder of a slot no longer goes by limits older than the acknowledged ones."""
         slot = self.floor_slots.get(command.floor_slot)
         version = command.limits_version
         if slot is None or version not in slot.limits_versions or slot.limits_versions[0] == version:
@@ -270,7 +270,7 @@
         return True
 
     def _forget_past_limits(self) -> None:
-        """Keep only the limits that a floor may still go by."""
+        """Drop the limits that no floor can go by any more."""
         used = {version for slot in self.floor_slots.values() for version in slot.limits_versions}
         used |= {self.limits_version}
         self._past_limits = {
@@ -279,7 +279,7 @@
         self._reserved.clear()
 
     def _forget_gateway(self, gateway: str) -> bool:
-        """Free the floor slots of a gateway that is gone for good; not one that a session has."""
+        """Free the floor slots of a removed gateway, except those of an open session."""
         in_use = {session.floor_slot for session in self.sessions.values()}
         freed = [
             number
@@ -294,7 +294,7 @@
     # ---- snapshots ----
 
     def dump(self) -> bytes:
-        """The ledger as it is stored in a snapshot of the log."""
+        """Return the ledger as it is stored in a snapshot of the log."""
         sessions = [
             (session.number, session.gateway, session.process, session.floor_slot)
             for session in self.sessions.values()
@@ -320,7 +320,10 @@
         return msgspec.msgpack.encode(snapshot)
 
     def load(self, state: bytes) -> None:
-        """Become what ``dump`` has written; empty bytes are the empty ledger.  MsgspecError."""
+        """Replace the ledger by one that ``dump`` returned; empty bytes are the empty ledger.
+
+        Raises MsgspecError if the bytes are malformed.
+        """
         snapshot = _read_snapshot(state)
         self.limits_version = snapshot.limits_version
         self.limits = snapshot.limits
--- a/gaugesail/coordination/quota_names.py
+++ b/gaugesail/coordination/quota_names.py
@@ -1,4 +1,4 @@
-"""The names by which the fleet divides limits, and what a gateway is told of its quota in its own terms."""
+"""The names of quotas, and the conversion of quota updates to the gateway's events."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def quota_name_of(plan: str, volume: int) -> str:
-    """Return the name under which the fleet divides the limit of one volume."""
+    """Return the name of the quota of one volume under a plan."""
     return f"{plan}/{volume:x}"
 
 
 def quota_changed_event(update: QuotaUpdate) -> QuotaChanged:
-    """Return the gateway's event for an update: by plan and volume, in units instead of thousandths."""
+    """Return the gateway's event for an update: by plan and volume, in units rather than thousandths."""
     allocations = []
     for quota_name, rate, burst in update.allocations:
         plan, _, volume = quota_name.rpartition("/")
--- a/gaugesail/coordination/raft_log.py
+++ b/gaugesail/coordination/raft_log.py
@@ -1,7 +1,7 @@
-"""The log of Raft at one replica: a snapshot, the entries after it, and how far they are committed.
+"""One replica's Raft log: a snapshot, the entries after it, and the commit index.
 
-The log also knows the voters, as its latest entry that names them says, and what of it is not written to the
-store yet.  Section numbers are those of the Raft paper (Ongaro, Ousterhout 2014).
+The log also tracks the voters, by the latest entry that names them, and the changes that are not written to
+the store yet.  Section numbers are those of the Raft paper (Ongaro, Ousterhout 2014).
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from .log_commands import Command, LogEntry, ReplaceVoters
 
 MAX_MESSAGE_ENTRIES = 64
-MAX_MESSAGE_BYTES = 900  # so that a message fits one datagram, unless a single entry is larger
+MAX_MESSAGE_BYTES = 900  # a message fits one datagram, unless a single entry is larger
 ENTRY_OVERHEAD_BYTES = 48
 TUPLE_ITEM_BYTES = 32
 COMPACT_AFTER_ENTRIES = 512
 
 
 class RaftInvariant(Enum):
-    """What holds as long as each store keeps what was written to it (the paper's figure 3)."""
+    """Invariants that hold while each store keeps what was written to it (the paper's figure 3)."""
 
     ELECTION_SAFETY = "a term has one leader"
     COMMITTED_ENTRIES_STAY = "a committed entry never changes"
@@ -28,7 +28,7 @@
 
 
 class LogBroken(Exception):
-    """An invariant of Raft is violated: a store has lost what it wrote, and this replica must stop."""
+    """An invariant of Raft is violated: a store has lost writes, and this replica must stop."""
 
     def __init__(self, invariant: RaftInvariant, detail: str) -> None:
         super().__init__(f"{invariant.value}: {detail}")
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """The state after entry ``index`` of term ``term``, in place of all entries up to there (section 7)."""
+    """The state after entry ``index`` of term ``term``; it replaces all entries up to it (section 7)."""
 
     index: int = 0
     term: int = 0
@@ -48,8 +48,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LogChanges:
-    """What of the log is to be written: ``entries`` replace all from ``first_index`` on; a ``snapshot``
-    replaces all up to its index."""
+    """The changes of the log to write.
+
+    ``entries`` replace all entries from ``first_index`` on; a ``snapshot`` replaces all up to its index.
+    """
 
     first_index: int | None = None
     entries: tuple[LogEntry, ...] = ()
@@ -64,14 +66,14 @@
         self.entries = list(entries)
         self.commit_index = self.snapshot.index
         self.applied_index = self.snapshot.index
-        self.snapshot_installed = False  # by the leader: the caller loads its state and resets this
-        self._voters = [(self.snapshot.index, self.snapshot.voters)]  # by the index that they came with
+        self.snapshot_installed = False  # from the leader: the caller loads its state and resets this
+        self._voters = [(self.snapshot.index, self.snapshot.voters)]  # with the index that set them
         for index, entry in enumerate(self.entries, self.snapshot.index + 1):
             self._note_voters(index, entry.command)
         self._first_unwritten: int | None = None
         self._snapshot_unwritten = False
 
-    # ---- what it holds ----
+    # ---- state ----
 
     @property
     def last_index(self) -> int:
@@ -80,7 +82,7 @@
 
     @property
     def last_term(self) -> int:
-        """The term of the latest entry; 0 where there is none."""
+        """The term of the latest entry; 0 if there is none."""
         return self.term_at(self.last_index) or 0
 
     @property
@@ -90,7 +92,7 @@
 
     @property
     def voters_committed(self) -> bool:
-        """Whether the entry that names the voters is committed."""
+        """Whether the latest entry that names the voters is committed."""
         return self._voters[-1][0] <= self.commit_index
 
     def term_at(self, index: int) -> int | None:
@@ -101,32 +103,32 @@
         return self.entries[position].term if 0 <= position < len(self.entries) else None
 
     def entries_from(self, first_index: int) -> tuple[LogEntry, ...]:
-        """Return the entries from ``first_index`` on that fit one message; at least one if there is any."""
-        found: list[LogEntry] = []
+        """Return the entries from ``first_index`` on that fit one message, at least one if there is any."""
+        selected: list[LogEntry] = []
         size = 0
         for entry in self.entries[first_index - self.snapshot.index - 1 :][:MAX_MESSAGE_ENTRIES]:
             size += entry_bytes(entry)
-            if found and size > MAX_MESSAGE_BYTES:
+            if selected and size > MAX_MESSAGE_BYTES:
                 break
-            found.append(entry)
-        return tuple(found)
+            selected.append(entry)
+        return tuple(selected)
 
     def drain_committed(self) -> Iterator[tuple[int, Command]]:
-        """Yield each committed entry's index and command once, in order."""
+        """Yield index and command of each committed entry that is not applied yet; marks it as applied."""
         while self.applied_index < self.commit_index:
             self.applied_index += 1
             yield self.applied_index, self.entries[self.applied_index - self.snapshot.index - 1].command
 
-    # ---- what a leader does ----
+    # ---- the leader's side ----
 
     def append(self, entry: LogEntry) -> None:
-        """Put an entry after the last."""
+        """Append an entry."""
         self.entries.append(entry)
         self._mark_unwritten(self.last_index)
         self._note_voters(self.last_index, entry.command)
 
     def compact(self, state: bytes) -> None:
-        """Put a snapshot with the ``state`` after the latest applied entry in place of all up to it."""
+        """Replace all applied entries by a snapshot; ``state`` is the state after the latest applied one."""
         index = self.applied_index
         term = self.term_at(index)
         if index == self.snapshot.index or term is None:
@@ -137,25 +139,28 @@
         self._voters = [(index, voters), *(item for item in self._voters if item[0] > index)]
         self._snapshot_unwritten = True
 
-    # ---- what a follower does ----
+    # ---- the follower's side ----
 
     def accepts(self, previous_index: int, previous_term: int, count: int) -> bool:
-        """Whether ``count`` entries after that one continue this log (5.3), or reach past its snapshot, up
-        to which all logs are the same."""
+        """Whether ``count`` entries after ``previous_index`` continue this log.
+
+        They do if the previous entry matches (5.3), or if they extend past the snapshot, up to which all
+        logs are the same.
+        """
         if self.term_at(previous_index) == previous_term:
             return True
         return 0 < previous_index < self.snapshot.index < previous_index + count
 
     def highest_possible_match(self, previous_index: int) -> int:
-        """Up to where this log may agree with a leader whose entry at ``previous_index`` differs."""
+        """Return the last index at which this log may match a leader's that differs at ``previous_index``."""
         if previous_index <= self.snapshot.index:
-            return self.commit_index  # what is committed is the same everywhere
+            return self.commit_index  # committed entries are the same in all logs
         if self.term_at(previous_index) is None:
             return self.last_index
         return previous_index - 1
 
     def merge(self, previous_index: int, entries: Sequence[LogEntry]) -> None:
-        """Take in a leader's entries; what differs from them goes, with all that follows (5.3).
+        """Merge a leader's entries; conflicting entries and all that follow them are removed (5.3).
 
         Raises LogBroken if a committed entry differs, or if the entries leave a gap.
         """
@@ -168,11 +173,13 @@
             if known_term is not None:
                 self._truncate_from(index)
             if index != self.last_index + 1:
-                raise LogBroken(RaftInvariant.NO_GAPS, f"entry {index} after {self.last_index}")
+                raise LogBroken(
+                    RaftInvariant.NO_GAPS, f"received entry {index} after entry {self.last_index}"
+                )
             self.append(entry)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Put a leader's snapshot in place of all up to its index, unless that is committed here."""
+        """Replace all entries up to a leader's snapshot, unless its index is committed here."""
         index = snapshot.index
         if index <= self.commit_index:
             return
@@ -189,9 +196,11 @@
         self._first_unwritten = index + 1
 
     def _truncate_from(self, index: int) -> None:
-        """Remove entries of an earlier leader that were never committed."""
+        """Remove the uncommitted entries from ``index`` on; raises LogBroken if one is committed."""
         if index <= self.commit_index:
-            detail = f"entry {index} differs, and the log is committed up to {self.commit_index}"
+            detail = (
+                f"received a different entry {index}, but entries up to {self.commit_index} are committed"
+            )
             raise LogBroken(RaftInvariant.COMMITTED_ENTRIES_STAY, detail)
         del self.entries[index - self.snapshot.index - 1 :]
         self._mark_unwritten(index)
@@ -202,15 +211,15 @@
         if isinstance(command, ReplaceVoters):
             self._voters.append((index, command.voters))
 
-    # ---- what is to be written ----
+    # ---- unwritten changes ----
 
     @property
     def has_changes(self) -> bool:
-        """Whether ``drain_changes`` has anything to write."""
+        """Whether there are changes that are not written."""
         return self._snapshot_unwritten or self._first_unwritten is not None
 
     def drain_changes(self) -> LogChanges:
-        """Return what has changed since the last call."""
+        """Return the changes since the last call."""
         first_index = self._first_unwritten
         entries: tuple[LogEntry, ...] = ()
         if first_index is not None:
--- a/gaugesail/coordination/record.py
+++ b/gaugesail/coordination/record.py
@@ -1,9 +1,9 @@
-"""The base of all records that gateways of a fleet exchange or keep.
+"""The base of all records that gateways of a fleet exchange or store.
 
-Records travel as arrays that begin with their tag, so that fields may be renamed, but neither reordered nor
-removed, and a renamed record keeps its tag: gateways of an older version read them.  Rates are thousandths
-of a unit a second, bursts thousandths of a unit: whole numbers, so that sums are exact.  Times never travel:
-no two gateways share a clock.
+Records are encoded as arrays that begin with their tag.  Gateways of older versions read them: fields may be
+renamed, but neither reordered nor removed, and a renamed record keeps its tag.  Rates are in thousandths of a
+unit a second, bursts in thousandths of a unit, as integers, so that sums are exact.  Times are never sent, as
+gateways share no clock.
 """
 
 from __future__ import annotations
@@ -12,4 +12,4 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all that travels."""
+    """Base class of all records."""
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -1,6 +1,6 @@
-"""A replica of the log with what it makes of it: the ledger, and the lease manager while it leads.
+"""A replica of the log, with the ledger that results from it and, on the leader, the lease manager.
 
-It is made when its gateway has a fleet, and ends when its store is replaced or fails.
+It is created once its gateway's fleet is bootstrapped, and closed when its store is replaced or fails.
 """
 
 from __future__ import annotations
@@ -24,12 +24,15 @@
 from .raft_log import COMPACT_AFTER_ENTRIES
 from .replica_id import make_replica_id, name_of, store_id_of
 
-REPLACE_VOTER_AFTER_US = 5_000_000  # without an answer of a voter whose gateway is back with another store
-MAX_ROUNDS = 8  # of applying what one step commits
+REPLACE_VOTER_AFTER_US = 5_000_000  # without a response; its gateway has come back with another store
+MAX_ROUNDS = 8  # of applying the entries that one step commits
 
 
 class Replica:
-    """One replica.  Times are in microseconds of its gateway's clock."""
+    """One replica.  Times are in microseconds of its gateway's clock.
+
+    ``started_at`` is when the process started: leases granted before it may still count.
+    """
 
     def __init__(self, terms: FleetTerms, digest: str, fleet: str, raft: RaftNode, started_at: int) -> None:
         self._terms = terms
@@ -43,8 +46,8 @@
         self.lease_manager: LeaseManager | None = None
         self.notices: list[Notice] = []
         self._results = Outbox()  # of operators' commands
-        self._waiting: dict[int, tuple[str, int]] = {}  # sender and number of a command, by its entry
-        self._applicants: dict[str, str] = {}  # gateways with a store that is no voter, and its id
+        self._pending_commands: dict[int, tuple[str, int]] = {}  # sender and number, by entry index
+        self._applicants: dict[str, str] = {}  # store ids of gateways whose store is not a voter, by gateway
 
     @property
     def is_voter(self) -> bool:
@@ -53,24 +56,27 @@
 
     @property
     def next_at(self) -> int:
-        """When the gateway's ``tick`` has something to do for it."""
+        """When the gateway's ``tick`` is due next for this replica."""
         if self.lease_manager is None:
             return self.raft.next_at
         return min(self.raft.next_at, self.lease_manager.next_at)
 
-    # ---- what others ask ----
+    # ---- requests ----
 
     def receive_lease_request(
         self, now: int, sender: str, request: LeaseRequest, leader: str
     ) -> list[tuple[str, Message]]:
-        """Take in a request: the leader answers it later, any other replica at once with who leads."""
+        """Process a lease request; return the responses that are due at once.
+
+        The leader responds later, once its leadership is confirmed; other replicas redirect to ``leader``.
+        """
         if self.lease_manager is not None:
             self.lease_manager.request(now, sender, request)
             return []
         return [(sender, redirect(request, leader if leader != self.name else ""))]
 
     def receive_command(self, sender: str, command: OperatorCommand, leader: str) -> None:
-        """Take in an operator's command; its result is among the messages, once it is known."""
+        """Process an operator's command; its result is sent once known (``drain_messages``)."""
         gateway = command.command.gateway
         number = command.number
         if self.lease_manager is None:
@@ -80,17 +86,17 @@
         elif not any(slot.gateway == gateway for slot in self.ledger.floor_slots.values()):
             self._send_result(sender, number, True, f"{gateway} has no floor")
         elif (index := self.raft.propose(command.command)) is not None:
-            self._waiting[index] = sender, number
+            self._pending_commands[index] = sender, number
 
     def _send_result(self, to: str, number: int, done: bool, reason: str) -> None:
         self._results.send(to, OperatorCommandResult(number, done, reason))
 
     def add_applicants(self, applicants: dict[str, str]) -> None:
-        """Take in gateways, by name, that are back with a store that is no voter."""
+        """Add gateways that have come back with a store that is not a voter: store ids by gateway name."""
         self._applicants.update(applicants)
 
     def transfer_leadership(self) -> None:
-        """This gateway shuts down: the voter that has most of the log may lead at once."""
+        """Hand leadership to the voter with the most complete log, before this gateway shuts down."""
         others = [voter for voter in self.raft.voters if voter != self.raft.replica_id]
         if self.raft.role is Role.LEADER and others:
             self.raft.transfer_leadership(max(others, key=self.raft.replication.match_index))
@@ -98,7 +104,7 @@
     # ---- the end of a step ----
 
     def process(self, now: int) -> None:
-        """Apply what is committed, let the lease manager work on it, and replicate what it proposes."""
+        """Apply committed entries, run the lease manager, and replicate the commands that it proposes."""
         log = self.raft.log
         for _ in range(MAX_ROUNDS):
             before = log.commit_index, log.last_index
@@ -123,13 +129,13 @@
             done = self.ledger.apply(index, command)
             if self.lease_manager is not None:
                 self.lease_manager.entry_applied(now, command, done)
-            waiting = self._waiting.pop(index, None)
-            if waiting is not None:
-                sender, number = waiting
-                self._send_result(sender, number, done, "" if done else "it changed nothing")
+            pending = self._pending_commands.pop(index, None)
+            if pending is not None:
+                sender, number = pending
+                self._send_result(sender, number, done, "" if done else "the command changed nothing")
 
     def _update_lease_manager(self, now: int) -> None:
-        """There is one for each term that it leads, from when an entry of that term is committed."""
+        """Keep one lease manager per term of leadership, from when an entry of that term is committed."""
         raft = self.raft
         manager = self.lease_manager
         if not raft.serving:
@@ -137,14 +143,14 @@
                 self.notices.append(Notice("lost_leadership", {"term": manager.term}))
             self.lease_manager = None
         elif manager is None or manager.term != raft.term:
-            fresh = now - self._started_at < self._terms.lease_with_drift_us or len(raft.voters) == 1
+            just_started = now - self._started_at < self._terms.lease_with_drift_us or len(raft.voters) == 1
             self.lease_manager = LeaseManager(
-                self._terms, self._digest, self._fleet, self.ledger, raft, now, fresh
+                self._terms, self._digest, self._fleet, self.ledger, raft, now, just_started
             )
             self.notices.append(Notice("became_leader", {"term": raft.term}))
 
     def _replace_voters(self, now: int) -> None:
-        """A gateway that is back with another store becomes a voter by that, once the old one is removed."""
+        """Make applicants voters under their new store, once the voter with the old store is removed."""
         for name, store_id in list(self._applicants.items()):
             applicant = make_replica_id(name, store_id)
             former = [voter for voter in self.raft.voters if name_of(voter) == name]
@@ -164,7 +170,7 @@
             self.notices.append(Notice("voter_removed", fields))
 
     def drain_messages(self) -> list[tuple[str, Message]]:
-        """Return what is to be sent, each with the gateway that it is for, once the write is done."""
+        """Return and remove the pending messages with their receivers; send them after the write."""
         messages = [(name_of(voter), message) for voter, message in self.raft.drain_messages()]
         if self.lease_manager is not None:
             messages += self.lease_manager.drain_messages()
@@ -172,10 +178,10 @@
         return messages + self._results.drain()
 
     def view(self, now: int) -> JsonObject:
-        """Return the whole ledger for operators."""
+        """Return the complete ledger for operators."""
         return ledger_view(now, self.ledger, self.lease_manager)
 
 
 def redirect(request: LeaseRequest, leader: str) -> LeaseResponse:
-    """Return the answer of a gateway that does not lead: ``leader`` is whom it takes for the leader."""
+    """Return a non-leader's response, naming the ``leader`` that it knows of; empty if unknown."""
     return LeaseResponse(request.process, request.number, LeaseStatus.NOT_LEADER, 0, 0, leader)
--- a/gaugesail/coordination/replica_host.py
+++ b/gaugesail/coordination/replica_host.py
@@ -1,7 +1,8 @@
-"""Runs a gateway's replica of the log, where its file and its store allow one.
+"""Runs a gateway's replica of the log, if its configuration and its store allow one.
 
-A replica takes part in votes once its fleet has begun (bootstrap.py) and its store is known to be the latest
-(store_fencing.py).  It ends for this process when its log is broken or its store takes no more writes.
+A replica votes once its fleet is bootstrapped (bootstrap.py) and its store is confirmed to be the latest
+(store_fencing.py).  It is closed for the rest of the process when its log is broken or its store rejects
+writes.
 """
 
 from __future__ import annotations
@@ -26,7 +27,10 @@
 
 
 class ReplicaHost:
-    """One gateway's replica, with its bootstrap and its store fence.  Times are in microseconds."""
+    """One gateway's replica, with its bootstrap and its store fence.  Times are in microseconds.
+
+    ``enabled``: this gateway may run a replica.
+    """
 
     def __init__(
         self,
@@ -54,7 +58,7 @@
         self._started_at = now
         self._failed = False
 
-    # ---- what holds ----
+    # ---- state ----
 
     @property
     def is_voter(self) -> bool:
@@ -63,13 +67,13 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters' replica ids, by the log or else by the bootstrap."""
+        """The voters' replica ids, from the log, or from the bootstrap if the log names none."""
         if self.replica is not None and self.replica.raft.voters:
             return self.replica.raft.voters
         return self.bootstrap.record.voters
 
     def due_times(self) -> list[int]:
-        """Return when ``maintain`` or the replica has something to do."""
+        """Return the times at which ``maintain`` and the replica are due."""
         times = []
         if self.enabled:
             times.append(self.store_fence.next_at)
@@ -79,10 +83,10 @@
             times.append(self.replica.next_at)
         return times
 
-    # ---- beginning and end ----
+    # ---- opening and closing ----
 
     def open(self, now: int, snapshot: Snapshot, entries: list[LogEntry]) -> None:
-        """Take up the log as it was persisted, if there is a fleet."""
+        """Open the replica on the persisted log, if the fleet is bootstrapped."""
         record = self.bootstrap.record
         if not record.fleet_id:
             return
@@ -95,13 +99,13 @@
         self.replica = Replica(self._terms, self._terms_digest, record.fleet_id, raft, self._started_at)
 
     def close(self) -> None:
-        """A replica no longer: its store takes no more writes, or its log is broken."""
+        """Close the replica for good: its store rejects writes, or its log is broken."""
         self.replica = None
         self.enabled = False
         self._failed = True
 
     def replace_store(self, now: int) -> str:
-        """The store is an old copy: return the id of a fresh one, which applies to become a voter."""
+        """Replace an outdated store; return the id of the new one, which applies to become a voter."""
         self.notices.add("store_outdated", store=self._store.state.store_id)
         store_id = f"{self._rng.getrandbits(48):012x}"
         self._store.replace(store_id, self.bootstrap.record)
@@ -113,7 +117,7 @@
     # ---- steps ----
 
     def maintain(self, now: int, mark: m.StoreMark) -> None:
-        """Do what follows from whether there is a fleet, the store the latest, and the replica a voter."""
+        """Open the replica, enable voting, and send the store's mark and bootstrap messages, as due."""
         self._open_if_bootstrapped(now)
         others = [name_of(voter) for voter in self.voters if name_of(voter) != self._name]
         may_vote = self.store_fence.may_vote(len(others))
@@ -142,7 +146,7 @@
         self.replica.add_applicants(self.bootstrap.drain_applicants())
 
     def receive(self, sender: str, message: ReplicaMessage) -> bool:
-        """Take in a message of another replica; return whether ``maintain`` is to be called."""
+        """Process a message from another replica; return whether ``maintain`` must be called."""
         match message:
             case m.StoreMark():
                 self.outbox.send(sender, self.store_fence.receive_mark(message))
@@ -158,7 +162,7 @@
         return True
 
     def run_raft(self, step: Callable[[RaftNode], None]) -> None:
-        """Do one step of consensus; if it shows that the log is broken, the replica ends."""
+        """Run one step of consensus; close the replica if the step raises LogBroken."""
         if self.replica is None:
             return
         try:
--- a/gaugesail/coordination/replication.py
+++ b/gaugesail/coordination/replication.py
@@ -1,6 +1,6 @@
-"""What a leader knows of its followers: how far each has the log, and which round it has acknowledged.
+"""A leader's view of its followers: how much of the log each has, and which round it has acknowledged.
 
-A round is a heartbeat to all followers with a number that comes back with their answers.  Once a majority
+A round is a numbered heartbeat to all followers, who return the number in their responses.  Once a majority
 has acknowledged a round, this leader still led when it began ("read index", section 6.4 of Ongaro's thesis).
 """
 
@@ -14,10 +14,10 @@
 from .raft_log import RaftLog
 
 HEARTBEAT_US = 150_000
-ROUND_US = 20_000  # the least between two rounds: requests that come meanwhile share the next one
-RESEND_US = 300_000  # without an answer to entries
+ROUND_US = 20_000  # minimum between two rounds; requests in between share the next one
+RESEND_US = 300_000  # without a response to entries
 RESEND_SNAPSHOT_US = 2_000_000  # longer, as a snapshot takes longer to arrive
-QUORUM_TIMEOUT_US = 2 * ELECTION_TIMEOUT_US  # without an answer a follower counts as lost
+QUORUM_TIMEOUT_US = 2 * ELECTION_TIMEOUT_US  # without a response, until a follower no longer counts
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +25,7 @@
     """One follower's progress.  Times are the leader's, in microseconds."""
 
     next_index: int
-    resend_index: int  # sent again from here, if what is on its way is not acknowledged
+    resend_index: int  # first entry to resend if those in flight are not acknowledged
     last_response_at: int
     match_index: int = 0
     acknowledged_round: int = 0
@@ -33,10 +33,10 @@
     snapshot_sent_at: int | None = None
 
     def acknowledge(self, now: int, response: AppendResponse, last_index: int) -> None:
-        """Take in an answer; ``last_index`` is the leader's.
+        """Process a response; ``last_index`` is the leader's.
 
-        A refusal that says less than the follower has acknowledged before is late, or its store was
-        restored from a backup: what was sent last is sent again in its time, not at each such answer.
+        A rejection below what the follower has acknowledged before is late, or the follower's store was
+        restored from a backup: entries in flight are resent after RESEND_US, not at each such response.
         """
         self.last_response_at = now
         self.acknowledged_round = max(self.acknowledged_round, response.round)
@@ -49,14 +49,14 @@
             self.next_index = self.resend_index
 
     def resend_if_lost(self, now: int) -> None:
-        """Go back to what was never acknowledged, if it was sent long ago."""
+        """Resend unacknowledged entries once they were sent more than RESEND_US ago."""
         if self.match_index < self.next_index - 1 and now - self.entries_sent_at > RESEND_US:
             self.next_index = self.resend_index
 
 
 @dataclass(slots=True, frozen=True)
 class Leadership:
-    """Who sends as leader: its replica id and term."""
+    """The leader that sends: its replica id and term."""
 
     sender: str
     term: int
@@ -68,42 +68,42 @@
     def __init__(self) -> None:
         self.followers: dict[str, Progress] = {}
         self.round = 0
-        self.heartbeat_at = 0  # when the next round begins at the latest
+        self.heartbeat_at = 0  # latest time for the next round to begin
         self._round_started_at = -ROUND_US
         self._round_requested = False
 
     # ---- followers ----
 
     def track(self, now: int, replica_id: str, voters: Iterable[str], last_index: int) -> None:
-        """Keep progress for each other voter, and for no one else."""
+        """Keep progress for all voters other than ``replica_id``, and drop that of former voters."""
         for voter in voters:
             if voter != replica_id:
                 self.followers.setdefault(voter, Progress(last_index, last_index, last_response_at=now))
         self.followers = {voter: known for voter, known in self.followers.items() if voter in voters}
 
     def stop(self) -> None:
-        """Forget all followers: this replica leads no longer."""
+        """Drop all progress when leadership begins or ends."""
         self.followers = {}
         self._round_requested = False
 
     def match_index(self, voter: str) -> int:
-        """Return up to where a follower has the log; 0 if it is unknown."""
+        """Return the last index that a follower has; 0 if it is unknown."""
         progress = self.followers.get(voter)
         return 0 if progress is None else progress.match_index
 
     def last_response_at(self, voter: str) -> int | None:
-        """Return when a follower answered last; None if it is unknown."""
+        """Return when a follower responded last; None if it is unknown."""
         progress = self.followers.get(voter)
         return None if progress is None else progress.last_response_at
 
     def count_responsive(self, now: int) -> int:
-        """Return how many followers have answered lately (thesis, 6.2)."""
+        """Return how many followers have responded within QUORUM_TIMEOUT_US (thesis, 6.2)."""
         return sum(
             now - progress.last_response_at < QUORUM_TIMEOUT_US for progress in self.followers.values()
         )
 
     def match_indexes(self, voters: Iterable[str]) -> list[int]:
-        """Return up to where each follower among the voters has the log."""
+        """Return the last index that each follower among the voters has."""
         return [known.match_index for voter, known in self.followers.items() if voter in voters]
 
     def acknowledged_rounds(self, voters: Iterable[str]) -> list[int]:
@@ -113,12 +113,12 @@
     # ---- rounds ----
 
     def request_round(self) -> int:
-        """Ask for a round; return its number."""
+        """Request a round; return its number."""
         self._round_requested = True
         return self.round + 1
 
     def begin_round(self, now: int) -> bool:
-        """Begin a round if one is requested and due; return whether it has begun."""
+        """Begin a round if one is requested and due; return whether one began."""
         if not self._round_requested:
             return False
         due_at = self._round_started_at + ROUND_US
@@ -131,23 +131,23 @@
         self.heartbeat_at = now + HEARTBEAT_US
         return True
 
-    # ---- what is sent ----
+    # ---- messages ----
 
     def messages(
         self, now: int, leadership: Leadership, log: RaftLog
     ) -> list[tuple[str, AppendEntries | InstallSnapshot]]:
-        """Return what is due to each follower: new entries, and a heartbeat if a round begins."""
+        """Return the messages due to each follower: new entries, and a heartbeat if a round begins."""
         heartbeat = self.begin_round(now)
-        found: list[tuple[str, AppendEntries | InstallSnapshot]] = []
+        due: list[tuple[str, AppendEntries | InstallSnapshot]] = []
         for voter, progress in self.followers.items():
             progress.resend_if_lost(now)
-            # A follower that waits for a snapshot gets heartbeats only, not a message for each answer.
+            # A follower that waits for a snapshot gets heartbeats only, not a message after each response.
             has_entries = (
                 progress.next_index <= log.last_index and log.term_at(progress.next_index - 1) is not None
             )
             if heartbeat or has_entries:
-                found.append((voter, self._next_message(now, progress, leadership, log)))
-        return found
+                due.append((voter, self._next_message(now, progress, leadership, log)))
+        return due
 
     def _next_message(
         self, now: int, progress: Progress, leadership: Leadership, log: RaftLog
@@ -159,7 +159,7 @@
         if previous_term is None:
             sent_at = progress.snapshot_sent_at
             if sent_at is not None and now - sent_at <= RESEND_SNAPSHOT_US:
-                # The snapshot is on its way: a heartbeat until it has arrived.
+                # The snapshot is in flight: send heartbeats until it is acknowledged.
                 return AppendEntries(sender, term, 0, 0, (), 0, self.round)
             progress.snapshot_sent_at = now
             kept = log.snapshot
@@ -173,8 +173,8 @@
         )
 
 
-def reached_by_quorum(figures: list[int], quorum_size: int) -> int:
-    """Return the largest figure that ``quorum_size`` voters have reached; 0 if there are fewer."""
-    if len(figures) < quorum_size:
+def reached_by_quorum(values: list[int], quorum_size: int) -> int:
+    """Return the largest value that ``quorum_size`` voters have reached; 0 if there are fewer."""
+    if len(values) < quorum_size:
         return 0
-    return sorted(figures, reverse=True)[quorum_size - 1]
+    return sorted(values, reverse=True)[quorum_size - 1]
--- a/gaugesail/coordination/request_schedule.py
+++ b/gaugesail/coordination/request_schedule.py
@@ -1,7 +1,7 @@
 """When a gateway sends its next lease request, and to which replica.
 
-A lease is renewed RENEWALS_PER_LEASE times while it lasts.  A change is reported sooner.  A
-replica that does not answer in time, or that does not lead, is passed over until all of them were.
+A lease is renewed RENEWALS_PER_LEASE times per lease time; changes are reported sooner.  A replica that does
+not respond in time, or does not lead, is passed over until all replicas have been.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 import random
 
 RENEWALS_PER_LEASE = 4
-MIN_GAP_US = 60_000  # between two requests where something has changed
-RESPONSE_TIMEOUT_US = 300_000  # before another replica is asked
-MAX_REMEMBERED = 64  # requests whose responses still count
+MIN_GAP_US = 60_000  # between two requests that report changes
+RESPONSE_TIMEOUT_US = 300_000  # until another replica is tried
+MAX_REMEMBERED = 64  # requests whose responses are still accepted
 
 
 class RequestSchedule:
@@ -21,21 +21,21 @@
         self._lease_us = lease_us
         self._rng = rng
         self._earliest_at = starts_at
-        self.next_at = starts_at  # of the next request
+        self.next_at = starts_at  # time of the next request
         self.number = 0  # of the latest request
-        self._sent_at: dict[int, int] = {}  # by number
-        self._waiting_since: int | None = None  # for a response of the replica that was asked
+        self._sent_at: dict[int, int] = {}  # by request number
+        self._waiting_since: int | None = None  # for a response of ``_requested_replica``
         self._requested_replica = ""
-        self._preferred = ""  # who answered last, or was named as the leader
+        self._preferred = ""  # the replica that led at the latest response, or was named as the leader
         self._passed_over: set[str] = set()
 
     def start_again_at(self, at: int) -> None:
-        """Send nothing before then."""
+        """Send no request before ``at``."""
         self._earliest_at = at
         self.next_at = at
 
     def choose(self, now: int, replicas: list[str]) -> str:
-        """Whom to ask; ``replicas`` are all of them, the likeliest leader first."""
+        """Return the replica for the next request, of all ``replicas``, the likeliest leader first."""
         if self._waiting_since is not None and now - self._waiting_since >= RESPONSE_TIMEOUT_US:
             self._passed_over.add(self._requested_replica)
             self._preferred = ""
@@ -47,7 +47,7 @@
         return self._preferred or candidates[0]
 
     def begin_request(self, now: int, replica: str) -> int:
-        """Number a request that is about to be sent: the lease that it brings counts from here."""
+        """Return the number of a request that is about to be sent: its lease counts from ``now``."""
         self.number += 1
         self._requested_replica = replica
         if self._waiting_since is None:
@@ -58,49 +58,49 @@
         return self.number
 
     def request_sent(self, now: int, more_to_report: bool) -> None:
-        """The next follows soon where not all could be reported, or else when this one is not answered."""
+        """Schedule the next request: soon if there is more to report, otherwise after a response timeout."""
         self.next_at = now + (MIN_GAP_US if more_to_report else RESPONSE_TIMEOUT_US)
 
     def sent_at(self, number: int) -> int | None:
-        """When a request was sent; None where it is not known any more."""
+        """Return when a request was sent; None if it is no longer remembered."""
         return self._sent_at.get(number)
 
-    # ---- what follows from a response ----
+    # ---- responses ----
 
-    def answered(self) -> None:
-        """The latest request has its response."""
+    def response_received(self) -> None:
+        """Note that the latest request has its response."""
         self._waiting_since = None
 
     def renewed(self, now: int) -> None:
-        """Renew again in good time, up to an eighth of the gap earlier, so that gateways spread out."""
+        """Schedule the next renewal, up to an eighth of the interval earlier, so that gateways spread out."""
         gap = self._lease_us // RENEWALS_PER_LEASE
         self.next_at = now + gap - self._rng.randrange(gap // 8)
 
-    def leader_answered(self, replica: str) -> None:
-        """This replica leads."""
+    def leader_responded(self, replica: str) -> None:
+        """Note that this replica leads."""
         self._preferred = replica
         self._passed_over.clear()
 
     def redirected(self, now: int, replica: str, leader: str, is_latest: bool) -> None:
-        """A replica does not lead; ``leader`` is whom it thinks does, "" where it knows none."""
+        """Note that a replica does not lead; ``leader`` is the one that it names, empty if it knows none."""
         self._passed_over.add(replica)
         self._preferred = leader if leader not in self._passed_over else ""
         if is_latest:
             self.next_at = now if self._preferred else now + RESPONSE_TIMEOUT_US // 2
 
     def wait_one_lease(self, now: int) -> None:
-        """Nothing is to be had until operators change something."""
+        """Wait for one lease time: requests are refused until operators change a configuration."""
         self.next_at = now + self._lease_us
 
-    # ---- what is reported sooner ----
+    # ---- early reports ----
 
     def request_soon(self, now: int) -> None:
-        """Ask soon, but not right after the latest request; while that has no response, after that."""
+        """Send a request soon, MIN_GAP_US after the latest one; not while that has no response."""
         if self._waiting_since is not None:
             return
         last = self._sent_at.get(self.number, now - MIN_GAP_US)
         self.next_at = max(self._earliest_at, min(self.next_at, max(now, last + MIN_GAP_US)))
 
     def request_now(self, now: int) -> None:
-        """Ask at once, whether or not the latest request has its response."""
+        """Send a request at once, whether or not the latest one has its response."""
         self.next_at = max(self._earliest_at, now)
--- a/gaugesail/coordination/session_lease.py
+++ b/gaugesail/coordination/session_lease.py
@@ -1,4 +1,4 @@
-"""What the leader knows of one session: its lease, what it has stated, and what it has not confirmed."""
+"""The leader's state of one session: its lease, its reports, and its unconfirmed orders."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
     expires_at: int  # FleetTerms.grantor_lease_end: the holder has stopped spending by then
     gateway: str
-    confirmation_round: int = 0  # the round of the log that has to be confirmed before the answer
+    confirmation_round: int = 0  # round of the log to confirm before ``unanswered_request`` is granted
     unanswered_request: LeaseRequest | None = None
-    unconfirmed: dict[str, int] = field(default_factory=dict)  # quotas not confirmed, and when last sent
-    release_targets: dict[str, RateBurst] = field(default_factory=dict)  # what it is asked to come down to
+    unconfirmed: dict[str, int] = field(default_factory=dict)  # when last sent, by quota
+    release_targets: dict[str, RateBurst] = field(default_factory=dict)  # to release down to, by quota
     demands: dict[str, QuotaDemand] = field(default_factory=dict)
-    limits: tuple[tuple[str, int, int], ...] = ()  # by its own file; empty until it has stated them
-    max_request: int = 0  # its largest request, in thousandths of a unit
-    closing: bool = False  # its CloseSession is proposed: it is renewed no more
+    limits: tuple[tuple[str, int, int], ...] = ()  # as stated by the holder; empty until then
+    max_request: int = 0  # largest client request, in thousandths of a unit
+    closing: bool = False  # its CloseSession is proposed: it is no longer renewed
--- a/gaugesail/coordination/spending_rights.py
+++ b/gaugesail/coordination/spending_rights.py
@@ -1,7 +1,7 @@
 """What a gateway may spend under its lease: its allocations, and until when they count.
 
-They are at any time at most what the ledger says.  An order that gives more takes effect when it arrives,
-after its entry is committed; one that asks for a release takes effect before it is reported to the leader.
+They never exceed those of the ledger.  An order that increases one takes effect when it is received, after
+its entry is committed; an order that requests a release takes effect before it is reported to the leader.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaUpdate:
-    """What the gateway may go by from now on.  Rates and bursts in thousandths."""
+    """A change of what the gateway may spend.  Rates and bursts in thousandths."""
 
-    lease_until: int  # microseconds; allocations count no longer
-    allocations: tuple[tuple[str, int, int], ...] = ()  # those that have changed: quota, rate, burst
-    floors: PlanRates | None = None  # all of them; None: unchanged
-    replaces_all: bool = False  # what is not named in ``allocations`` is gone
+    lease_until: int  # microseconds; allocations count until then
+    allocations: tuple[tuple[str, int, int], ...] = ()  # changed ones: quota, rate, burst
+    floors: PlanRates | None = None  # all floors; None: unchanged
+    replaces_all: bool = False  # allocations that this update does not name are removed
 
 
 class SpendingRights:
-    """The allocations of one session, and what of them the gateway and the leader have not heard."""
+    """The allocations of one session, and which changes are pending for the gateway and for the leader."""
 
     def __init__(self) -> None:
         self.lease_until = 0
         self.allocations: dict[str, HeldQuota] = {}  # by quota
-        self._unreported: dict[str, int] = {}  # by quota; the request that carried it last, 0: none
-        self._changed: dict[str, None] = {}  # quotas that the gateway has not heard of
+        self._unreported: dict[str, int] = {}  # latest request that reported it, by quota; 0: none
+        self._changed: dict[str, None] = {}  # quotas whose change is pending for the gateway
         self._replaces_all = False
         self._sent_floors: PlanRates | None = None
         self._sent_lease_until = -1
@@ -37,7 +37,7 @@
     # ---- towards the gateway ----
 
     def pop_update(self, floors: PlanRates) -> QuotaUpdate | None:
-        """What has changed for the gateway since the last call; None where nothing has."""
+        """Return the changes since the last call; None if there are none."""
         floors_same = floors == self._sent_floors
         lease_same = self.lease_until == self._sent_lease_until
         if floors_same and lease_same and not self._changed and not self._replaces_all:
@@ -57,7 +57,7 @@
         return (quota_name, held.rate, held.burst) if held is not None else (quota_name, 0, 0)
 
     def resend_all(self) -> None:
-        """The last update did not reach the gateway: the next one holds everything."""
+        """Include everything in the next update, as the last one did not reach the gateway."""
         self._changed = dict.fromkeys(self.allocations)
         self._replaces_all = True
         self._sent_floors = None
@@ -67,13 +67,13 @@
 
     @property
     def has_unreported(self) -> bool:
-        """Whether any allocation has to be reported to the leader."""
+        """Whether the leader has not confirmed the report of some allocation."""
         return bool(self._unreported)
 
-    def collect_report(self, request_number: int, most: int) -> list[HeldQuota]:
-        """At most so many allocations that have to be reported, carried by this request."""
+    def collect_report(self, request_number: int, max_items: int) -> list[HeldQuota]:
+        """Return up to ``max_items`` allocations to report in request ``request_number``."""
         report = []
-        for quota_name in list(self._unreported)[:most]:
+        for quota_name in list(self._unreported)[:max_items]:
             held = self.allocations.get(quota_name)
             if held is None:
                 del self._unreported[quota_name]
@@ -82,12 +82,12 @@
             report.append(held)
         return report
 
-    def more_unreported_than(self, most: int) -> bool:
-        """Whether one report leaves some out."""
-        return len(self._unreported) > most
+    def more_unreported_than(self, max_items: int) -> bool:
+        """Whether a report of ``max_items`` allocations leaves some out."""
+        return len(self._unreported) > max_items
 
     def report_confirmed(self, request_number: int) -> None:
-        """The leader has what this request carried."""
+        """Clear the allocations that this request reported: the leader has received it."""
         for quota_name, carried_by in list(self._unreported.items()):
             if carried_by == request_number:
                 del self._unreported[quota_name]
@@ -95,14 +95,14 @@
     # ---- changes ----
 
     def extend_lease(self, until: int) -> None:
-        """A lease counts until then; a response that comes late takes nothing back."""
+        """Extend the lease; a late response does not shorten it."""
         self.lease_until = max(self.lease_until, until)
 
     def apply_order(self, order: QuotaOrder) -> None:
-        """Take in one order of this session's leader.
+        """Apply one order of this session's leader.
 
-        An order older than the allocation is nothing.  One of the same entry may only lower it: one that
-        comes twice would give back what has been released since.
+        An order older than the allocation is ignored.  One of the same entry may only lower it: a duplicate
+        would otherwise restore what has been released since.
         """
         held = self.allocations.get(order.quota_name)
         rate = order.rate
@@ -121,7 +121,7 @@
         self._unreported[order.quota_name] = 0
 
     def drop(self) -> None:
-        """The session is over: nothing of it may be spent."""
+        """Drop all allocations and the lease: the session is over."""
         self.allocations = {}
         self.lease_until = 0
         self._unreported.clear()
