--- a/gaugesail/coordination/store_fencing.py
+++ b/gaugesail/coordination/store_fencing.py
@@ -1,11 +1,11 @@
-"""Whether a replica's store is the latest that it wrote: others remember how far each store has come.
-
-A store that was restored from a backup has forgotten votes and entries that its replica had promised, and
-a replica that acts on it could help two leaders to one term.  So each replica tells the others its store's
-latest write now and then, and they keep the largest that they heard.  After a start it makes no promise
-before more than half of the others have said that they know of nothing later: any two such groups share one,
-which heard of the earlier process.  What was written in the second before a stop may be untold; a copy so
-young is not seen by this, but by its file (docs/fleet-agreement.md).
+"""Detects an outdated copy of a replica's store: other replicas remember the latest write of each store.
+
+A store that was restored from a backup lacks votes and entries that its replica has promised, and a replica
+that acts on it could elect two leaders in one term.  So each replica sends the others a mark of its store's
+latest write periodically, and they keep the latest mark that they received.  After a start it makes no
+promise before more than half of the others have confirmed that they know of no later mark: any two such
+groups share a replica, which has the earlier process's mark.  Writes of the last second before a stop may not
+have been marked; a copy that recent is detected by its file instead (docs/fleet-agreement.md).
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from .messages import StoreMark, StoreMarkVerdict
 
 MARK_INTERVAL_US = 1_000_000  # between two marks
-CONFIRM_INTERVAL_US = 300_000  # the same while the store is not confirmed
+CONFIRM_INTERVAL_US = 300_000  # between two marks while the store is not confirmed
 
 
 @dataclass(slots=True, frozen=True)
 class KnownStore:
-    """The latest mark that is known of one store."""
+    """The latest known mark of one store."""
 
     starts: int
     writes: int
@@ -30,7 +30,7 @@
 def may_be_latest(known: KnownStore | None, mark: StoreMark) -> bool:
     """Whether a mark may come from the latest state of its store.
 
-    Another process than the known one has to be a later start, from a state no older than the known one.
+    A process other than the known one must be a later start, from a state no older than the known one.
     """
     if known is None or known.process == mark.process:
         return True
@@ -38,9 +38,9 @@
 
 
 class StoreFence:
-    """What one replica knows of the others' stores, and what they say of its own.
+    """One replica's marks of the other stores, and their verdicts on its own.
 
-    ``unsaved``: ``known_stores`` is to be persisted.
+    ``unsaved``: ``known_stores`` must be persisted.
     """
 
     def __init__(self, known_stores: dict[str, KnownStore], now: int) -> None:
@@ -52,40 +52,42 @@
         self._mark_at = now
 
     def may_vote(self, other_voters: int) -> bool:
-        """Whether more than half of so many other voters have confirmed this store, or an operator has."""
+        """Whether more than half of ``other_voters`` or an operator has confirmed this store."""
         needed = 0 if other_voters == 0 else other_voters // 2 + 1
         return not self.stale and (self.trusted_by_operator or len(self._confirmed_by) >= needed)
 
     def reset(self, now: int) -> None:
-        """This replica has another store, which nobody has confirmed."""
+        """Start anew with a replaced store, which is not confirmed."""
         self._confirmed_by.clear()
         self.stale = False
         self._mark_at = now
 
     @property
     def next_at(self) -> int:
-        """When ``mark_is_due`` turns true."""
+        """When ``mark_is_due`` returns true next."""
         return self._mark_at
 
     def mark_is_due(self, now: int, confirmed: bool) -> bool:
-        """Whether the mark is to be sent again; if so, the next time is set."""
+        """Return whether the mark is due, and if so schedule the next one."""
         if now < self._mark_at:
             return False
         self._mark_at = now + (MARK_INTERVAL_US if confirmed else CONFIRM_INTERVAL_US)
         return True
 
     def receive_mark(self, mark: StoreMark) -> StoreMarkVerdict:
-        """Return the verdict on another replica's mark; what it tells is persisted before that is sent."""
+        """Return the verdict on another replica's mark; persist ``known_stores`` before sending it."""
         known = self.known_stores.get(mark.store_id)
         is_latest = may_be_latest(known, mark)
-        fresh = KnownStore(mark.starts, mark.writes, mark.process)
-        if is_latest and (known is None or fresh.process != known.process or fresh.writes > known.writes):
-            self.known_stores[mark.store_id] = fresh
+        received = KnownStore(mark.starts, mark.writes, mark.process)
+        if is_latest and (
+            known is None or received.process != known.process or received.writes > known.writes
+        ):
+            self.known_stores[mark.store_id] = received
             self.unsaved = True
         return StoreMarkVerdict(mark.store_id, mark.process, is_latest)
 
     def receive_verdict(self, sender: str, verdict: StoreMarkVerdict) -> None:
-        """Take in what another replica says of this one's mark."""
+        """Process another replica's verdict on this one's mark."""
         if verdict.is_latest:
             self._confirmed_by.add(sender)
         else:
--- a/gaugesail/coordination/store_messages.py
+++ b/gaugesail/coordination/store_messages.py
@@ -1,4 +1,4 @@
-"""How replicas find out that a store is not the latest (store_fencing.py)."""
+"""Messages by which replicas detect outdated copies of a store (store_fencing.py)."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StoreMark(Record, frozen=True, tag="Mark"):
-    """How far a replica's store has come."""
+    """The progress of a replica's store."""
 
     store_id: str
-    starts: int  # of processes with this store
+    starts: int  # number of processes started with this store
     writes: int
-    loaded_writes: int  # that it held when this process started
+    loaded_writes: int  # number of writes in it when this process started
     process: int
 
 
