--- a/gaugesail/coordination/raft_log.py
+++ b/gaugesail/coordination/raft_log.py
@@ -198,9 +198,7 @@
     def _truncate_from(self, index: int) -> None:
         """Remove the uncommitted entries from ``index`` on; raises LogBroken if one is committed."""
         if index <= self.commit_index:
-            detail = (
-                f"received a different entry {index}, but entries up to {self.commit_index} are committed"
-            )
+            detail = f"received another entry {index}, but the log is committed up to {self.commit_index}"
             raise LogBroken(RaftInvariant.COMMITTED_ENTRIES_STAY, detail)
         del self.entries[index - self.snapshot.index - 1 :]
         self._mark_unwritten(index)
--- a/tests/coordination/test_bootstrap.py
+++ b/tests/coordination/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap: a fleet begins once, with all the replicas that the files name."""
+"""Bootstrap: a fleet is founded once, by all the configured replicas."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 def deliver(fleet: dict[str, Bootstrap], now: int, cut_off: str = "") -> None:
-    said = [(name, to, what) for name, one in fleet.items()
-            for to, what in one.tick(now, bool(one.record.fleet_id))]  # fmt: skip
-    while said:
-        sender, to, what = said.pop(0)
+    in_flight = [(name, to, message) for name, replica in fleet.items()
+            for to, message in replica.tick(now, bool(replica.record.fleet_id))]  # fmt: skip
+    while in_flight:
+        sender, to, message = in_flight.pop(0)
         if to in fleet and cut_off not in (sender, to):
-            assert isinstance(what, m.BootstrapStatus | m.BootstrapBind)
-            said += [(to, *answer) for answer in fleet[to].receive(sender, what)]
+            assert isinstance(message, m.BootstrapStatus | m.BootstrapBind)
+            in_flight += [(to, *response) for response in fleet[to].receive(sender, message)]
 
 
-def test_a_fleet_begins_once_all_replicas_are_there() -> None:
+def test_a_fleet_is_founded_once_all_replicas_are_reachable() -> None:
     fleet = replicas()
     for n in range(4):
         deliver(fleet, n * SECOND, cut_off="c")
-    assert not any(one.record.fleet_id for one in fleet.values())
+    assert not any(replica.record.fleet_id for replica in fleet.values())
     for n in range(4, 8):
         deliver(fleet, n * SECOND)
-    assert len({one.record.fleet_id for one in fleet.values()}) == 1 and fleet["a"].record.fleet_id
+    assert len({replica.record.fleet_id for replica in fleet.values()}) == 1 and fleet["a"].record.fleet_id
     assert fleet["c"].record.voters == tuple(sorted(make_replica_id(name, f"s-{name}") for name in "abc"))
     assert (name_of("x#y#z"), store_id_of("x#y#z")) == ("x#y", "z")
 
@@ -42,7 +42,7 @@
     b.receive("a", m.BootstrapBind("d", "another store under that name"))
     assert b.record.bound_to == "s-a" and b.unsaved
     b.receive("c", m.BootstrapBind("d", "s-c"))
-    assert b.record.bound_to == "s-a", "only the first of the names founds"
+    assert b.record.bound_to == "s-a", "only the first of the configured replicas founds"
     status = m.BootstrapStatus(
         "d", "s-a", "fleet", (make_replica_id("a", "x"), make_replica_id("b", "s-b")), "x"
     )
@@ -50,7 +50,7 @@
     assert not b.record.fleet_id, "that fleet was founded by another store"
 
 
-def test_conflicting_replicas_are_reported_and_a_fresh_store_applies() -> None:
+def test_conflicting_replicas_are_reported_and_a_new_store_applies() -> None:
     fleet = replicas()
     for n in range(6):
         deliver(fleet, n * SECOND)
@@ -59,10 +59,10 @@
     assert "differs" in a.conflicts["b"]
     a.receive("b", m.BootstrapStatus("d", "s-b", "another", (), ""))
     assert "another fleet" in a.conflicts["b"]
-    fresh = Bootstrap("c", "fresh", ("a", "b", "c"), "d", BootstrapRecord())
-    for to, said in fresh.tick(9 * SECOND, False):
-        assert isinstance(said, m.BootstrapStatus | m.BootstrapBind)
-        for back, answer in fleet[to].receive("c", said):
-            assert back == "c" and isinstance(answer, m.BootstrapStatus | m.BootstrapBind)
-            fresh.receive(to, answer)
-    assert fresh.record.fleet_id == a.record.fleet_id and a.drain_applicants()["c"] == "fresh"
+    new_replica = Bootstrap("c", "fresh", ("a", "b", "c"), "d", BootstrapRecord())
+    for to, message in new_replica.tick(9 * SECOND, False):
+        assert isinstance(message, m.BootstrapStatus | m.BootstrapBind)
+        for receiver, response in fleet[to].receive("c", message):
+            assert receiver == "c" and isinstance(response, m.BootstrapStatus | m.BootstrapBind)
+            new_replica.receive(to, response)
+    assert new_replica.record.fleet_id == a.record.fleet_id and a.drain_applicants()["c"] == "fresh"
--- a/tests/coordination/test_consensus.py
+++ b/tests/coordination/test_consensus.py
@@ -1,4 +1,4 @@
-"""Raft's rules by example: votes, terms, entries, voters, snapshots, confirmed rounds."""
+"""Raft's rules by example: votes, terms, entries, voters, snapshots and confirmed rounds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Cluster:
-    """Some replicas and their messages, delivered when the test says so."""
+    """Replicas and their messages; ``deliver`` exchanges them, except with those in ``cut_off``."""
 
     def __init__(self, voters: tuple[str, ...] = VOTERS) -> None:
         self.now = 10 * SECOND
@@ -34,17 +34,17 @@
     def deliver(self, rounds: int = 16) -> None:
         for _ in range(rounds):
             self.now += 25_000
-            for replica_id, one in self.replicas.items():
-                if one.role is Role.LEADER:
-                    one.tick(self.now)
-                one.flush(self.now)
-                one.pop_write()
-                for to, said in one.drain_messages():
+            for replica_id, replica in self.replicas.items():
+                if replica.role is Role.LEADER:
+                    replica.tick(self.now)
+                replica.flush(self.now)
+                replica.pop_write()
+                for to, message in replica.drain_messages():
                     if to in self.replicas and not {replica_id, to} & self.cut_off:
-                        self.replicas[to].receive(self.now, said)
+                        self.replicas[to].receive(self.now, message)
 
     def elect(self, replica_id: str = "a#1") -> RaftNode:
-        """Let one replica be elected."""
+        """Make a replica win an election, and return it."""
         self.now += 3 * ELECTION_TIMEOUT_US
         self.replicas[replica_id].tick(self.now)
         self.deliver()
@@ -57,8 +57,8 @@
     a = cluster.elect()
     index = a.propose(m.CloseSession(7))
     cluster.deliver()
-    assert all(one.log.commit_index >= index for one in cluster.replicas.values() if index)
-    assert {one.leader for one in cluster.replicas.values()} == {"a#1"}
+    assert all(replica.log.commit_index >= index for replica in cluster.replicas.values() if index)
+    assert {replica.leader for replica in cluster.replicas.values()} == {"a#1"}
     assert [command for _, command in cluster.replicas["c#1"].log.drain_committed()][-1] == m.CloseSession(7)
 
 
@@ -68,14 +68,14 @@
     cluster.deliver()
     b = cluster.replicas["b#1"]
     b.receive(cluster.now, m.VoteRequest("c#1", 9, False, 0, 0))
-    (_, short), *_ = [item for item in b.drain_messages() if isinstance(item[1], m.VoteResponse)]
-    assert isinstance(short, m.VoteResponse) and not short.granted, "its log is shorter"
+    (_, response), *_ = [item for item in b.drain_messages() if isinstance(item[1], m.VoteResponse)]
+    assert isinstance(response, m.VoteResponse) and not response.granted, "its log is shorter"
     b.receive(cluster.now, m.VoteRequest("c#1", 9, False, b.log.last_index, 9))
     b.receive(cluster.now, m.VoteRequest("a#1", 9, False, b.log.last_index, 9))
-    granted = [said.granted for _, said in b.drain_messages() if isinstance(said, m.VoteResponse)]
+    granted = [message.granted for _, message in b.drain_messages() if isinstance(message, m.VoteResponse)]
     assert granted == [True, False] and b.voted_for == "c#1"
-    save = b.pop_write()
-    assert save is not None and (save.term, save.voted_for) == (9, "c#1"), "kept before it is said"
+    write = b.pop_write()
+    assert write is not None and (write.term, write.voted_for) == (9, "c#1"), "persisted before it is sent"
 
 
 def test_a_replica_that_may_not_vote_starts_no_election() -> None:
@@ -86,7 +86,7 @@
     assert a.role is Role.FOLLOWER and not a.drain_messages()
 
 
-def test_a_leader_that_hears_of_no_majority_steps_down() -> None:
+def test_a_leader_without_responses_of_a_majority_steps_down() -> None:
     cluster = Cluster()
     a = cluster.elect()
     cluster.cut_off = {"a#1"}
@@ -97,7 +97,7 @@
     assert a.role is not Role.LEADER and not a.serving
 
 
-def test_a_round_is_confirmed_by_a_majority_that_heard_it_after_it_began() -> None:
+def test_a_round_is_confirmed_by_a_majority_that_acknowledges_it_after_it_began() -> None:
     cluster = Cluster()
     a = cluster.elect()
     cluster.cut_off = {"a#1"}
@@ -125,8 +125,8 @@
     cluster.cut_off = set()
     cluster.deliver(30)
     assert a.role is Role.FOLLOWER
-    told = [command for _, command in a.log.drain_committed()]
-    assert m.CloseSession(2) in told and m.CloseSession(1) not in told
+    applied = [command for _, command in a.log.drain_committed()]
+    assert m.CloseSession(2) in applied and m.CloseSession(1) not in applied
 
 
 def test_a_committed_entry_that_differs_raises() -> None:
@@ -140,7 +140,7 @@
     assert broken.value.invariant is RaftInvariant.COMMITTED_ENTRIES_STAY
 
 
-def test_a_leader_of_an_older_term_is_answered_the_term_and_changes_nothing() -> None:
+def test_a_leader_of_an_older_term_is_sent_the_current_term_and_changes_nothing() -> None:
     cluster = Cluster()
     cluster.elect()
     b = cluster.replicas["b#1"]
@@ -153,8 +153,8 @@
             "a#1", 1, b.log.last_index, 1, (m.LogEntry(1, m.CloseSession(1)),), b.log.last_index + 1, 1
         ),
     )
-    (_, said), *_ = b.drain_messages()
-    assert isinstance(said, m.AppendResponse) and not said.success and said.term == 9
+    (_, message), *_ = b.drain_messages()
+    assert isinstance(message, m.AppendResponse) and not message.success and message.term == 9
     assert (b.log.last_index, b.log.commit_index) == before
 
 
@@ -211,7 +211,7 @@
     )
 
 
-def test_a_single_replica_leads_and_answers_operators_commands() -> None:
+def test_a_single_replica_leads_and_responds_to_operators_commands() -> None:
     cluster = Cluster(("a#1",))
     raft = cluster.replicas["a#1"]
     replica = Replica(FleetTerms("f", ("a",)), "d", "f", raft, 0)
@@ -229,10 +229,10 @@
     replica.process(cluster.now)
     replica.receive_command("x", m.OperatorCommand(4, m.ForgetGateway("h")), "a")
     replica.process(cluster.now)
-    heard = {
-        said.number: said.done
-        for _, said in replica.drain_messages()
-        if isinstance(said, m.OperatorCommandResult)
+    results = {
+        result.number: result.done
+        for _, result in replica.drain_messages()
+        if isinstance(result, m.OperatorCommandResult)
     }
-    assert heard == {2: False, 3: True, 4: True} and not replica.ledger.floor_slots
+    assert results == {2: False, 3: True, 4: True} and not replica.ledger.floor_slots
     assert set(replica.view(cluster.now)) == {"settled", "version", "wholes", "slots", "sessions", "amounts"}
--- a/tests/coordination/test_exhaustive_search.py
+++ b/tests/coordination/test_exhaustive_search.py
@@ -1,4 +1,4 @@
-"""Every state of small instances fits the whole, and a guard that is away is found."""
+"""Exhaustive search: no reachable state exceeds the limit, and a missing safeguard is detected."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 @pytest.mark.parametrize(
-    ("budget", "keepers"),
+    ("budget", "replicas"),
     [(Budget(asks=2), 1), (Budget(asks=1, steps=2), 1), (Budget(asks=1, crashes=1), 1), (Budget(asks=1), 3)],
 )
-def test_every_state_fits_the_whole(budget: Budget, keepers: int) -> None:
-    found = search(budget, keepers, 5000)
-    assert found.whole and not found.broken
-    assert found.moved, "the part goes from one head to the other in some of them"
+def test_no_reachable_state_exceeds_the_limit(budget: Budget, replicas: int) -> None:
+    result = search(budget, replicas, 5000)
+    assert result.whole and not result.broken
+    assert result.moved, "in some states the quota moves from one gateway to the other"
 
 
-def test_it_begins_where_one_head_has_all_that_may_be_given() -> None:
-    way = Search()
-    room = way.first(Budget())
-    assert way.spendable(room)[0] == 100_000 and way.good(room)
-    assert "p/1" in room.cells["h1"].holder.allocations and not room.cells["h2"].holder.allocations
+def test_the_search_begins_with_all_leasable_quota_at_one_gateway() -> None:
+    runner = Search()
+    state = runner.first(Budget())
+    assert runner.spendable(state)[0] == 100_000 and runner.good(state)
+    assert "p/1" in state.cells["h1"].holder.allocations and not state.cells["h2"].holder.allocations
 
 
-@pytest.mark.parametrize("plant", ["lower_unasked", "closed_early"])
-def test_a_guard_that_is_away_is_found(plant: str) -> None:
-    with planted(plant):
-        found = search(Budget(asks=2, steps=1), 1, 4000)
-    assert found.broken, found
+@pytest.mark.parametrize("fault", ["lower_unasked", "closed_early"])
+def test_a_missing_safeguard_is_detected(fault: str) -> None:
+    with planted(fault):
+        result = search(Budget(asks=2, steps=1), 1, 4000)
+    assert result.broken, result
--- a/tests/coordination/test_lease_manager.py
+++ b/tests/coordination/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""The leader's leases: who is renewed, what is granted, and that holders never have more than the limit."""
+"""The leader's leases: renewals, grants, and that all holders together never exceed the limit."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Leader:
-    """A single replica that leads, and its lease manager."""
+    """The only replica of a log, which leads, with its lease manager."""
 
     def __init__(self) -> None:
         self.now = 100 * SECOND
@@ -51,9 +51,9 @@
                 manager.tick(self.now)
             self.now += 30_000
 
-    def ask(self, process: int, session: int = 0, **more: Any) -> list[Any]:
+    def request(self, process: int, session: int = 0, **overrides: Any) -> list[Any]:
         self.number += 1
-        given: dict[str, Any] = {
+        fields: dict[str, Any] = {
             "terms_digest": "d",
             "store_id": f"s{process}",
             "limits": (("p", 100_000, 80_000),),
@@ -64,54 +64,60 @@
             "last_seen_index": 0,
             "demands": (),
             "held": (),
-        } | more
-        self.manager.request(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **given))
+        } | overrides
+        self.manager.request(self.now, f"h{process}", m.LeaseRequest(process, self.number, session, **fields))
         self.pump()
-        return [said for _, said in self.manager.drain_messages()]
+        return [message for _, message in self.manager.drain_messages()]
 
 
-def want(rate: int) -> tuple[m.QuotaDemand, ...]:
+def demand(rate: int) -> tuple[m.QuotaDemand, ...]:
     return (m.QuotaDemand("p/1", rate, 1000, rate),)
 
 
 def test_a_session_is_opened_and_its_quota_granted_once_committed() -> None:
     leader = Leader()
-    (answer,) = leader.ask(1)
-    assert answer.status is m.LeaseStatus.RENEWED and answer.session in leader.ledger.sessions
+    (response,) = leader.request(1)
+    assert response.status is m.LeaseStatus.RENEWED and response.session in leader.ledger.sessions
     leader.now += 10 * SECOND  # the limits are settled
-    said = leader.ask(1, answer.session, demands=want(50_000))
-    orders = [one for one in said if isinstance(one, m.QuotaOrders)]
-    stake = leader.ledger.allocations["p/1"][answer.session]
-    assert orders and orders[-1].orders[0].version == stake.version and stake.rate >= 50_000
+    messages = leader.request(1, response.session, demands=demand(50_000))
+    orders = [one for one in messages if isinstance(one, m.QuotaOrders)]
+    allocation = leader.ledger.allocations["p/1"][response.session]
+    assert orders and orders[-1].orders[0].version == allocation.version and allocation.rate >= 50_000
 
 
 def test_quota_is_released_by_one_holder_before_another_gets_it() -> None:
     leader = Leader()
-    one, two = (leader.ask(n)[0].session for n in (1, 2))
+    one, two = (leader.request(n)[0].session for n in (1, 2))
     leader.now += SECOND
-    leader.ask(1, one), leader.ask(2, two)
+    leader.request(1, one), leader.request(2, two)
     leader.now += 3_200_000
-    leader.ask(1, one), leader.ask(2, two)
-    leader.ask(1, one, demands=want(200_000))
+    leader.request(1, one), leader.request(2, two)
+    leader.request(1, one, demands=demand(200_000))
     had = leader.ledger.allocations["p/1"][one]
     assert had.rate > 80_000
-    said = leader.ask(2, two, demands=want(200_000))
+    messages = leader.request(2, two, demands=demand(200_000))
     lower = [
-        order for told in said if isinstance(told, m.QuotaOrders) for order in told.orders if order.release
+        order
+        for message in messages
+        if isinstance(message, m.QuotaOrders)
+        for order in message.orders
+        if order.release
     ]
     assert lower and leader.ledger.allocations["p/1"][one].rate == had.rate, (
-        "asked for, and not committed yet"
+        "the release is requested, and not committed yet"
+    )
+    leader.request(
+        1, one, demands=demand(200_000), held=(m.HeldQuota("p/1", had.version, 45_000, lower[0].burst),)
     )
-    leader.ask(1, one, demands=want(200_000), held=(m.HeldQuota("p/1", had.version, 45_000, lower[0].burst),))
     assert leader.ledger.allocations["p/1"][one].rate <= 45_000
     assert leader.ledger.allocations["p/1"][two].rate >= 40_000
     assert leader.ledger.allocated("p/1")[0] <= 90_000
 
 
-def test_a_session_is_closed_once_its_lease_has_surely_run_out_and_not_renewed_then() -> None:
+def test_a_session_is_closed_once_its_lease_has_certainly_expired_and_not_renewed_then() -> None:
     leader = Leader()
     asked_at = leader.now
-    session = leader.ask(1)[0].session
+    session = leader.request(1)[0].session
     until = leader.manager.leases[session].expires_at
     assert until >= asked_at + TERMS.lease_with_drift_us > asked_at + TERMS.lease_us  # its clock may be slow
     leader.now = until
@@ -121,41 +127,41 @@
     leader.manager.tick(leader.now)
     assert leader.manager.leases[session].closing
     assert not [
-        one for one in leader.ask(1, session) if getattr(one, "status", None) is m.LeaseStatus.RENEWED
+        one for one in leader.request(1, session) if getattr(one, "status", None) is m.LeaseStatus.RENEWED
     ]
     assert session not in leader.ledger.sessions
-    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
+    assert leader.request(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
 
 
 def test_terms_that_differ_a_log_that_lost_entries_and_a_holder_that_leaves() -> None:
     leader = Leader()
-    assert leader.ask(1, terms_digest="other")[0].status is m.LeaseStatus.TERMS_DIFFER
-    session = leader.ask(1)[0].session
-    assert leader.ask(1, session, last_seen_index=10_000)[0].status is m.LeaseStatus.UNKNOWN_SESSION
-    assert leader.ask(1, session, leaving=True)[0].status is m.LeaseStatus.LEFT
+    assert leader.request(1, terms_digest="other")[0].status is m.LeaseStatus.TERMS_DIFFER
+    session = leader.request(1)[0].session
+    assert leader.request(1, session, last_seen_index=10_000)[0].status is m.LeaseStatus.UNKNOWN_SESSION
+    assert leader.request(1, session, leaving=True)[0].status is m.LeaseStatus.LEFT
     assert session not in leader.ledger.sessions
-    assert leader.ask(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
+    assert leader.request(1, session)[0].status is m.LeaseStatus.UNKNOWN_SESSION
 
 
 def test_a_holder_that_does_not_release_what_a_lowered_limit_forbids_is_not_renewed() -> None:
     leader = Leader()
-    session = leader.ask(1)[0].session
+    session = leader.request(1)[0].session
     for _ in range(5):
         leader.now += SECOND
-        leader.ask(1, session, demands=want(200_000))
+        leader.request(1, session, demands=demand(200_000))
     less = (("p", 20_000, 80_000),)
-    leader.ask(1, session, demands=want(200_000), limits=less)
+    leader.request(1, session, demands=demand(200_000), limits=less)
     leader.now += RELEASE_TIMEOUT_US
-    leader.ask(1, session, demands=want(200_000), limits=less)
+    leader.request(1, session, demands=demand(200_000), limits=less)
     leader.now += 1000
-    said = leader.ask(1, session, demands=want(200_000), limits=less)
-    assert not [one for one in said if getattr(one, "status", None) is m.LeaseStatus.RENEWED]
+    messages = leader.request(1, session, demands=demand(200_000), limits=less)
+    assert not [one for one in messages if getattr(one, "status", None) is m.LeaseStatus.RENEWED]
 
 
-def test_a_manager_that_renews_sessions_being_closed_is_found() -> None:
+def test_a_manager_that_renews_sessions_being_closed_is_detected() -> None:
     with planted("closing_renewed"):
         leader = Leader()
-        session = leader.ask(1)[0].session
+        session = leader.request(1)[0].session
         lease = leader.manager.leases[session]
         lease.unanswered_request = m.LeaseRequest(1, 9, session, "d", "s1", (), -1, 0, 1, "f", 0)
         lease.confirmation_round, lease.closing = 0, True
@@ -164,12 +170,12 @@
 
 
 class Leases(RuleBasedStateMachine):
-    """Two holders and a leader; messages come late, twice, in any order or never, and time passes."""
+    """Two holders and a leader; messages are delayed, duplicated, reordered or lost, and time passes."""
 
     @initialize()
     def begin(self) -> None:
         self.leader = Leader()
-        self.in_flight: list[tuple[int, Any]] = []  # for which holder, 0: the leader
+        self.in_flight: list[tuple[int, Any]] = []  # receiver and message; a holder, or 0 for the leader
         self.holders = {
             n: LeaseHolder(TERMS, "d", n, f"s{n}", PersistedFloor(), self.leader.now, random.Random(n))
             for n in (1, 2)
@@ -179,12 +185,12 @@
 
     def send(self) -> None:
         for n, one in self.holders.items():
-            self.in_flight += [(0, (n, said)) for _, said in one.drain_messages()]
-        for to, said in self.leader.manager.drain_messages():
-            self.in_flight.append((int(to[1:]), said))
+            self.in_flight += [(0, (n, message)) for _, message in one.drain_messages()]
+        for to, message in self.leader.manager.drain_messages():
+            self.in_flight.append((int(to[1:]), message))
 
     @rule(n=st.sampled_from([1, 2]), rate=st.sampled_from([0, 20, 60, 200]))
-    def want(self, n: int, rate: int) -> None:
+    def report_demand(self, n: int, rate: int) -> None:
         one, now = self.holders[n], self.leader.now
         usage = QuotaUsage(rate / 10, rate / 10, 0.0, 1000)
         one.record_demand(now, {"p/1": usage} if rate else {})
@@ -195,13 +201,13 @@
     @rule(pick=st.integers(0, 99), twice=st.booleans())
     def deliver(self, pick: int, twice: bool) -> None:
         index = pick % len(self.in_flight)
-        to, said = self.in_flight[index]
+        to, message = self.in_flight[index]
         if not twice:
             del self.in_flight[index]
         if to:
-            self.holders[to].receive(self.leader.now, "a", said)
+            self.holders[to].receive(self.leader.now, "a", message)
         else:
-            self.leader.manager.request(self.leader.now, f"h{said[0]}", said[1])
+            self.leader.manager.request(self.leader.now, f"h{message[0]}", message[1])
             self.leader.pump()
         self.send()
 
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: updates in any order come to the same, a false suspicion is refuted, a restart replaces."""
+"""Membership: updates converge in any order, false suspicions are refuted, restarts replace a process."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Some members in virtual time; messages to and from those that are cut off are lost."""
+    """Members in virtual time; messages to and from those in ``cut_off`` are lost."""
 
     def __init__(self, count: int) -> None:
         self.now, self.cut_off = 0, set[str]()
@@ -47,9 +47,9 @@
     def deliver(self) -> None:
         for _ in range(4):
             for name, one in self.members.items():
-                for to, said in one.drain_messages():
+                for to, message in one.drain_messages():
                     if to in self.members and not {name, to} & self.cut_off:
-                        self.members[to].receive(self.now, name, said)
+                        self.members[to].receive(self.now, name, message)
 
 
 def test_all_members_learn_of_all_and_a_silent_one_is_gone_and_then_back() -> None:
@@ -62,15 +62,15 @@
     fleet.cut_off = set()
     fleet.run(20)
     assert all(one.state_of("h3") == MemberState.ALIVE for one in fleet.members.values())
-    told = [change.kind for change in fleet.members["h0"].drain_changes() if change.name == "h3"]
-    assert told[:3] == ["join", "suspect", "gone"] and told[-1] in ("back", "refute")
+    kinds = [change.kind for change in fleet.members["h0"].drain_changes() if change.name == "h3"]
+    assert kinds[:3] == ["join", "suspect", "gone"] and kinds[-1] in ("back", "refute")
 
 
 def test_a_member_refutes_a_suspicion_by_a_larger_incarnation() -> None:
     one = member("a", 5)
     one.receive(10, "b", m.StateSync((update("a", MemberState.SUSPECT, 3, process=5),), False))
     assert one.own_update.incarnation == 4 and one.own_update.state == MemberState.ALIVE
-    assert one.local_health > 0, "it was slow to answer"
+    assert one.local_health > 0, "it responded too late"
 
 
 def test_a_restarted_member_replaces_its_former_process_whose_clock_was_ahead() -> None:
@@ -80,16 +80,16 @@
     one.receive(
         900 * SECOND, "b", m.StateSync((update("a", MemberState.ALIVE, 0, generation=990, process=6),), False)
     )
-    assert one.name_taken, "long after its start that is another process under its name"
+    assert one.name_taken, "long after its start another process under its name is no earlier start"
 
 
-def test_updates_in_any_order_come_to_the_same() -> None:
-    told = [
+def test_updates_converge_in_any_order() -> None:
+    updates = [
         update("x", MemberState.ALIVE), update("x", MemberState.SUSPECT), update("x", MemberState.ALIVE, 1),
         update("x", MemberState.GONE, 1), update("x", MemberState.ALIVE, 0, generation=2),
     ]  # fmt: skip
     digests = set()
-    for order in permutations(told):
+    for order in permutations(updates):
         one = member("a")
         for item in order:
             one.receive(10, "b", m.StateSync((item,), False))
@@ -98,7 +98,7 @@
     assert len(digests) == 1
 
 
-def test_a_member_that_did_not_run_suspects_nobody() -> None:
+def test_a_member_that_was_not_running_declares_no_member_gone() -> None:
     fleet = Fleet(3)
     fleet.run(4)
     one = fleet.members["h0"]
@@ -119,23 +119,23 @@
 
 
 class AnyUpdates(RuleBasedStateMachine):
-    """One member hears anything of any other; a plain oracle keeps the largest update of each."""
+    """One member receives arbitrary updates; the oracle keeps the largest of each member."""
 
     @initialize()
     def begin(self) -> None:
         self.one, self.now = member("a", 5), 0
         self.largest: dict[str, tuple[int, int, int]] = {}
-        self.mine = rank(self.one.own_update)
+        self.own_rank = rank(self.one.own_update)
 
     @rule(name=st.sampled_from("bcd"), state=st.sampled_from(list(MemberState)), generation=st.integers(1, 3),
           incarnation=st.integers(0, 3))  # fmt: skip
-    def hear(self, name: str, state: MemberState, generation: int, incarnation: int) -> None:
-        said = update(name, state, incarnation, generation)
-        self.one.receive(self.now, "z", m.StateSync((said,), False))
-        self.largest[name] = max(self.largest.get(name, (0, 0, 0)), rank(said))
+    def receive_update(self, name: str, state: MemberState, generation: int, incarnation: int) -> None:
+        received = update(name, state, incarnation, generation)
+        self.one.receive(self.now, "z", m.StateSync((received,), False))
+        self.largest[name] = max(self.largest.get(name, (0, 0, 0)), rank(received))
 
     @rule(state=st.sampled_from(list(MemberState)), incarnation=st.integers(0, 9))
-    def hear_of_itself(self, state: MemberState, incarnation: int) -> None:
+    def receive_own_update(self, state: MemberState, incarnation: int) -> None:
         self.one.receive(self.now, "z", m.StateSync((update("a", state, incarnation, process=5),), False))
 
     @rule(span=st.integers(0, 100_000))
@@ -143,7 +143,7 @@
         self.now += span
         self.one.tick(self.now)
         for name, member in self.one:
-            if name in self.largest:  # its own doubts count too
+            if name in self.largest:  # its own suspicions count as well
                 self.largest[name] = max(self.largest[name], rank(member.update))
 
     @invariant()
@@ -151,8 +151,8 @@
         for name, largest in self.largest.items():
             member = dict(self.one).get(name)
             assert member is not None and rank(member.update) == largest
-        assert self.one.own_update.state == MemberState.ALIVE and rank(self.one.own_update) >= self.mine
-        self.mine = rank(self.one.own_update)
+        assert self.one.own_update.state == MemberState.ALIVE and rank(self.one.own_update) >= self.own_rank
+        self.own_rank = rank(self.one.own_update)
 
 
 AnyUpdates.TestCase.settings = settings(max_examples=50, stateful_step_count=25)
--- a/tests/coordination/test_planted_faults.py
+++ b/tests/coordination/test_planted_faults.py
@@ -1,4 +1,4 @@
-"""Hard cases of a fleet-wide limit in virtual time, and the faults that they find when a guard is away."""
+"""Hard cases of a fleet-wide limit in virtual time; with a safeguard missing they detect the fault."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from gaugesail.measure.cases import CASES
 from gaugesail.measure.planted import PLANTS, planted
 
-QUICK = {  # a case for each guard, among those that find it
+QUICK = {  # by injected fault, one of the cases that detect it
     "lease_from_receipt": "answer_late",
     "grant_twice": "answers_lost",
     "older_grant": "order_late",
@@ -32,18 +32,18 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_nothing_is_broken(name: str) -> None:
+def test_no_case_violates_the_limit(name: str) -> None:
     assert CASES[name]() == 0
 
 
-@pytest.mark.parametrize("plant", QUICK)
-def test_a_guard_that_is_away_is_missed(plant: str) -> None:
-    with planted(plant):
-        assert CASES[QUICK[plant]]() > 0
+@pytest.mark.parametrize("fault", QUICK)
+def test_a_missing_safeguard_is_detected(fault: str) -> None:
+    with planted(fault):
+        assert CASES[QUICK[fault]]() > 0
 
 
-def test_the_plants_have_names_of_their_own() -> None:
-    assert len({plant.name for plant in PLANTS}) == len(PLANTS) >= 12
+def test_injected_faults_have_unique_names() -> None:
+    assert len({fault.name for fault in PLANTS}) == len(PLANTS) >= 12
 
 
 def test_schedules_of_all_faults_overspend_nothing() -> None:
@@ -53,29 +53,29 @@
         assert done.faults
 
 
-def test_the_whole_is_used_where_demand_moves_and_an_even_split_leaves_much() -> None:
+def test_the_limit_is_used_where_demand_moves_and_an_even_split_leaves_much_unused() -> None:
     assert budgets.steady(3, 5, seconds=20) > 0.93
     assert budgets.steady(3, 5, fleet=False, seconds=20) < 0.85
 
 
-def test_a_dead_heads_part_is_back_soon() -> None:
+def test_a_dead_gateways_quota_is_reallocated_soon() -> None:
     assert budgets.back(3, 5) < 10
 
 
-def test_a_head_that_is_cut_off_has_its_floor() -> None:
+def test_an_isolated_gateway_has_its_floor() -> None:
     assert budgets.cut_off(3, 5) > 0.9
 
 
-def test_what_others_say_is_flat_in_the_number_of_heads() -> None:
+def test_traffic_of_a_gateway_without_a_replica_is_flat_in_the_fleets_size() -> None:
     few, many = budgets.traffic(3, 5, 5)[0], budgets.traffic(3, 40, 5)[0]
     assert many < 3 * few
 
 
-def test_two_hundred_heads_that_start_in_one_second_all_have_a_lease() -> None:
+def test_two_hundred_gateways_that_start_in_one_second_all_have_a_lease() -> None:
     world = budgets.world_of(200, 1)
     held = sum(
-        head.node is not None and head.node.lease_holder.lease_until > head.now()
-        for head in world.heads.values()
+        gateway.node is not None and gateway.node.lease_holder.lease_until > gateway.now()
+        for gateway in world.heads.values()
     )
     world.audit()
     world.run(world.now + SECOND)
--- a/tests/coordination/test_quota_division.py
+++ b/tests/coordination/test_quota_division.py
@@ -1,4 +1,4 @@
-"""The division of a quota: no claims are given more than there is."""
+"""The division of a quota: shares never exceed the rate and burst to divide."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 
 
 @given(st.integers(0, 100_000), st.integers(0, 100_000), claims)
-def test_the_sum_is_at_most_what_there_is(rate: int, burst: int, told: dict[int, QuotaClaim]) -> None:
-    parts = divide(rate, burst, told)
-    assert set(parts) == set(told)
-    assert sum(part[0] for part in parts.values()) <= rate
-    assert sum(part[1] for part in parts.values()) <= burst
-    assert all(min(part) >= 0 for part in parts.values())
+def test_the_shares_never_exceed_the_rate_and_burst(
+    rate: int, burst: int, given_claims: dict[int, QuotaClaim]
+) -> None:
+    shares = divide(rate, burst, given_claims)
+    assert set(shares) == set(given_claims)
+    assert sum(share[0] for share in shares.values()) <= rate
+    assert sum(share[1] for share in shares.values()) <= burst
+    assert all(min(share) >= 0 for share in shares.values())
 
 
 def test_small_demand_is_met_and_the_rest_divided_by_weight() -> None:
-    parts = divide(
+    shares = divide(
         90_000,
         90_000,
         {
@@ -39,12 +41,12 @@
             3: QuotaClaim(200_000, 3000, (0, 0)),
         },
     )
-    assert parts[1][0] == 5_000
-    assert abs(parts[3][0] - 3 * parts[2][0]) < 10 and parts[2][0] + parts[3][0] > 84_990
+    assert shares[1][0] == 5_000
+    assert abs(shares[3][0] - 3 * shares[2][0]) < 10 and shares[2][0] + shares[3][0] > 84_990
 
 
-def test_a_burst_too_small_for_one_request_is_given_to_nobody() -> None:
-    parts = divide(
+def test_a_burst_too_small_for_the_largest_request_is_not_granted() -> None:
+    shares = divide(
         90_000, 10_000, {1: QuotaClaim(50_000, 2, (0, 0), 8000), 2: QuotaClaim(50_000, 1, (0, 0), 8000)}
     )
-    assert parts[1][0] > 0 and parts[2] == (0, 0)
+    assert shares[1][0] > 0 and shares[2] == (0, 0)
