--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -67,7 +67,7 @@
             terms, fleet, ledger, self.leases, self._proposals, self._outbox, now
         )
         if just_started:
-            self._allocator.grant_nothing_before(earlier_leases_end)
+            self._allocator.defer_grants_until(earlier_leases_end)
 
     def drain_messages(self) -> list[tuple[str, Message]]:
         """Return and remove the pending messages, each with its receiver."""
--- a/gaugesail/coordination/member_table.py
+++ b/gaugesail/coordination/member_table.py
@@ -52,7 +52,7 @@
 
     @property
     def own_update(self) -> MemberUpdate:
-        """The update that this gateway spreads of itself."""
+        """The update that this gateway spreads about itself."""
         return self.members[self.own_name].update
 
     def updates(self) -> tuple[MemberUpdate, ...]:
@@ -134,7 +134,7 @@
             self._state_updated(now, member, None, sender)
 
     def _accept_of_self(self, now: int, update: MemberUpdate) -> None:
-        """Process an update of this gateway from others: refute it, or yield the name to a later process."""
+        """Process others' update about this gateway: refute it, or yield the name to a later process."""
         own = self.own_update
         same_process = update.process == self._own_process
         if rank(update) < rank(own) or (rank(update) == rank(own) and same_process):
--- a/gaugesail/coordination/membership.py
+++ b/gaugesail/coordination/membership.py
@@ -52,7 +52,7 @@
 
     @property
     def own_update(self) -> MemberUpdate:
-        """The update that this gateway spreads of itself."""
+        """The update that this gateway spreads about itself."""
         return self._table.own_update
 
     @property
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -227,7 +227,7 @@
             self._host.run_raft(lambda raft: raft.receive(now, message))
 
     def _maintain_replica(self, now: int) -> None:
-        mark = self._store.mark()  # before this step replaces the store
+        mark = self._store.mark()  # as of the start of this step
         if self._host.store_fence.stale:
             store_id = self._host.replace_store(now)
             self.lease_holder.replace_store(now, store_id)
--- a/gaugesail/coordination/quota_allocator.py
+++ b/gaugesail/coordination/quota_allocator.py
@@ -51,7 +51,7 @@
             for number in allocations:
                 leases[number].unconfirmed[quota_name] = now - RESEND_US
 
-    def grant_nothing_before(self, at: int) -> None:
+    def defer_grants_until(self, at: int) -> None:
         """Grant nothing before ``at``, in microseconds: leases that are in no log may count until then."""
         self._grants_from = at
 
