--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -34,7 +34,7 @@
         self, reactor: Reactor, config: configuration.Config, log: Logger, clock: Clock | None = None
     ) -> None:
         limits = config.limits
-        self._wanted = config.settings
+        self._latest_settings = config.settings
         clock = clock or ReactorClock(reactor)
         super().__init__(
             reactor, clock, log, config.listen, config.management, limits.memory_mb, config.folder
--- a/gaugesail/client_admission.py
+++ b/gaugesail/client_admission.py
@@ -103,7 +103,7 @@
         """Whether clients that are here are to go, with their next answer or when they are idle."""
         return self.closing or self.drain.on or self.migration.on
 
-    def limit_beside(self, clients: int) -> None:
+    def reserve_for_predecessor(self, clients: int) -> None:
         """Leave room for the process before this one, which still has so many clients."""
 
     def accept(self, on: bool) -> None:
--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -15,7 +15,7 @@
 
 from .http.endpoint_reader import BadList, split_address
 from .http.management import MAX_CONNECTIONS as MAX_CALLS
-from .net import descriptors
+from .net import available_descriptors
 
 # Standard streams, the reactor's own, the listeners, discovery, and what is closing or still connecting.
 RESERVED_DESCRIPTORS = 24
@@ -170,7 +170,7 @@
             seed=int(str(data.get("seed", "0")), 16),
             limits=Limits(
                 int(limits.get("memory_mb", 192)),
-                descriptors(int(limits.get("sockets", 1024))),
+                available_descriptors(int(limits.get("sockets", 1024))),
                 MAX_CALLS if management else 0,
             ),
             # On this wire an agent that lists are pushed to is watched like discovery itself.
--- a/gaugesail/core/attempts.py
+++ b/gaugesail/core/attempts.py
@@ -78,7 +78,7 @@
             now_us,
             deadline_us,
             start_before_us=action.start_before_us,
-            client_is_gone=lambda: self._end_if_client_is_gone(entry),
+            client_has_disconnected=lambda: self._end_if_client_has_disconnected(entry),
         )
 
     def _deny(self, action: StartAttempt, entry: OpenRequest | None, denial: Denial) -> None:
@@ -144,8 +144,8 @@
         if cancelled:
             self.attempt_ended(attempt, AttemptResult.NOT_STARTED)
 
-    def _end_if_client_is_gone(self, entry: OpenRequest) -> bool:
-        if self.answers.client_is_gone(entry):
+    def _end_if_client_has_disconnected(self, entry: OpenRequest) -> bool:
+        if self.answers.client_has_disconnected(entry):
             self.on_client_disconnected(entry.request_id)
             return True
         return False
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -267,7 +267,7 @@
         """Use what the fleet lets this gateway spend from now on."""
         self._run_with(event)
 
-    def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
+    def drain_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
         under a limit that was asked for."""
         return self.policy.gateway.rate_limits.take_demand(self._clock.now_us())
--- a/gaugesail/core/final_answers.py
+++ b/gaugesail/core/final_answers.py
@@ -56,10 +56,12 @@
             self._close(entry, "failed")
             self._deliver(entry, AnswerKind.FAILED, lambda: reply.fail(reason))
 
-    def client_is_gone(self, entry: OpenRequest) -> bool:
+    def client_has_disconnected(self, entry: OpenRequest) -> bool:
         """Whether the client of an open request has gone, though its end may not have been read yet."""
         reply = entry.reply
-        return entry.request_id in self._table.open and bool(self._call(lambda: reply.client_is_gone()))
+        return entry.request_id in self._table.open and bool(
+            self._call(lambda: reply.client_has_disconnected())
+        )
 
     def _close(self, entry: OpenRequest, counter: str) -> None:
         self._table.close(entry)
--- a/gaugesail/core/ports.py
+++ b/gaugesail/core/ports.py
@@ -106,7 +106,7 @@
         """Answer that the request failed."""
         ...
 
-    def client_is_gone(self) -> bool:
+    def client_has_disconnected(self) -> bool:
         """Whether the client has gone, though its end may not have been read yet."""
         ...
 
@@ -146,7 +146,7 @@
     start_before_us: int = 0  # its quota was this gateway's until then; 0: it may start at any time
     request_answered: bool = False  # what is not written yet must not be (rules.deny_first_byte)
     connection: object | None = None  # the transport's own
-    client_is_gone: Callable[[], bool] | None = None  # whether its client has gone
+    client_has_disconnected: Callable[[], bool] | None = None  # whether its client has gone
 
 
 class AttemptListener(Protocol):
--- a/gaugesail/core/rules.py
+++ b/gaugesail/core/rules.py
@@ -68,7 +68,7 @@
         return Denial.WINDOW_OVER
     if attempt.deadline_us <= now_us:
         return Denial.OUT_OF_TIME
-    if attempt.client_is_gone is not None and attempt.client_is_gone():
+    if attempt.client_has_disconnected is not None and attempt.client_has_disconnected():
         return Denial.CLIENT_LEFT
     return None
 
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -138,7 +138,7 @@
             process=self.process,
         )
 
-    def retune(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """This gateway's own file states other limits."""
         self._gateway_settings = settings
         self._pass_limits()
@@ -315,7 +315,7 @@
         }
         usage = {
             quota_name_of(plan, volume): QuotaUsage(requested, spent, saved, weights.get(plan, 1000))
-            for plan, volume, requested, spent, saved in self._engine.take_quota_demand()
+            for plan, volume, requested, spent, saved in self._engine.drain_quota_demand()
         }
         self._step(lambda node, now: node.report_demand(now, usage))
         self._clock.call_later(DEMAND_INTERVAL_US, self._report_demand)
--- a/gaugesail/http/answer_stream.py
+++ b/gaugesail/http/answer_stream.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..core.ports import BodySource
-from ..net import Emptied
+from ..net import DrainNotifier
 
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
@@ -48,7 +48,7 @@
             if not self._connection.lost and self._connection.stream is not None:
                 emptied(self._connection, self.source)
 
-        Emptied(self._connection.link, report)
+        DrainNotifier(self._connection.link, report)
 
     def cancel_handover(self) -> None:
         """There is no other process any more: go on here."""
--- a/gaugesail/http/client_input.py
+++ b/gaugesail/http/client_input.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..net import waited_us
+from ..net import kernel_wait_us
 from .arrival_times import ArrivalTimes
 from .client_limits import MAX_PIPELINED, MAX_PIPELINED_EXCESS
 from .client_owner import ClientOwner
@@ -26,7 +26,7 @@
 
     def feed(self, data: bytes, link: Any, now_us: int) -> None:
         """Add what has come by a transport."""
-        arrived_us = now_us - waited_us(link, self._owner.clock)
+        arrived_us = now_us - kernel_wait_us(link, self._owner.clock)
         if self.parser.between_messages:
             self.since_us = now_us
         self.parser.feed(data)
--- a/gaugesail/http/client_reply.py
+++ b/gaugesail/http/client_reply.py
@@ -50,6 +50,6 @@
         """Answer that the request failed."""
         self._take().answer(FAILURE_STATUS[reason], reason.value.encode())
 
-    def client_is_gone(self) -> bool:
+    def client_has_disconnected(self) -> bool:
         """Whether the client has gone, though its end may not have been read yet."""
         return self._connection is not None and self._connection.disconnected
--- a/gaugesail/http/client_server.py
+++ b/gaugesail/http/client_server.py
@@ -67,7 +67,7 @@
         self._overflow = places.overflow
         self._set_places(places.connections)
 
-    def limit_beside(self, clients: int) -> None:
+    def reserve_for_predecessor(self, clients: int) -> None:
         """Leave room for another process of this gateway, which still has so many clients."""
         # What the other leaves of both parts is ours.  To have a mere half would starve the usual clients in
         # a flood, of which the other still holds the most.
@@ -76,11 +76,11 @@
     def _set_places(self, connections: int) -> None:
         self._max_connections = connections
         self._max_with_overflow = connections + self._overflow
-        if self.held and self.room > 0:
+        if self.held and self.free_places > 0:
             self.hold(False)
 
     @property
-    def room(self) -> int:
+    def free_places(self) -> int:
         """How many more clients may be accepted."""
         return self._max_with_overflow - len(self._open)
 
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -56,7 +56,7 @@
             operator.memory_mb,
             operator.folder,
         )
-        self._operator, self._wanted = operator, operator.settings
+        self._operator, self._latest_settings = operator, operator.settings
         log = self._log
         self.transport = NodePool(
             reactor, self.clock, self.buffers, log, operator.initiator, operator.connect_timeout_us
--- a/gaugesail/iscsi/operator.py
+++ b/gaugesail/iscsi/operator.py
@@ -14,7 +14,7 @@
 from gaugesail.policy.settings import InvalidSetting, Plan, RequestClass, Settings
 
 from ..http.endpoint_reader import STATES, BadList, split_address
-from ..net import descriptors
+from ..net import available_descriptors
 
 RULE_KEYS = {  # key of the [rules] table: field of Settings
     "gateways": "gateway_count",
@@ -291,7 +291,7 @@
         _units(data, {plan.name: n for n, plan in enumerate(settings.plans)}),
         _nodes(data),
         _whole(limits, "connect_timeout_ms", 1, 60_000, 250) * 1000,
-        descriptors(_whole(limits, "sockets", 16, 1 << 20, 1024)),
+        available_descriptors(_whole(limits, "sockets", 16, 1 << 20, 1024)),
         _whole(limits, "memory_mb", 32, 1 << 20, 192),
         _whole(target, "seed", 0, 1 << 62, 0),
         _table(target, "folder", str, "") or environ.get("TMPDIR") or None,
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -103,7 +103,7 @@
     def reject(self, retry_after_us: int) -> None:
         self.connection.end(self, Status.BUSY)
 
-    def client_is_gone(self) -> bool:
+    def client_has_disconnected(self) -> bool:
         return self.connection.left or self.done
 
     def fail(self, reason: FailureReason) -> None:
@@ -140,8 +140,8 @@
     def left(self) -> bool:
         """The client has gone, by what has come of it: it is not read while it does not read, nor as the loop
         is busy with others."""
-        if self._full or self.stale(self._front.clock):
-            if self.gone(True):
+        if self._full or self.may_have_unread(self._front.clock):
+            if self.peer_closed(True):
                 return True
             self._read_on()
         return self.lost
@@ -182,7 +182,7 @@
     def dataReceived(self, data: bytes) -> None:
         if self._closing or self.lost:
             return
-        self.heard_us = self._front.clock.now_us()
+        self.last_received_us = self._front.clock.now_us()
         self._reader.feed(data)
         try:
             for pdu in self._reader.pdus():
@@ -597,14 +597,14 @@
 
     def limit(self, connections: int) -> None:
         self._max = connections
-        if self.held and self.room > 0:
+        if self.held and self.free_places > 0:
             self.hold(False)
 
     def closable(self) -> list[TargetConnection]:
         return [session for session in self._open if session.idle]
 
     @property
-    def room(self) -> int:
+    def free_places(self) -> int:
         return self._max + OVERFLOW - len(self._open)
 
     def next_name(self) -> str:
@@ -626,12 +626,12 @@
                 silent.close()
             else:
                 connection.unwelcome = True  # told so at its login
-        if self.room <= 0 and self.port is not None and not self.held:
+        if self.free_places <= 0 and self.port is not None and not self.held:
             self.hold(True)
 
     def closed(self, connection: TargetConnection) -> None:
         self._open.pop(connection, None)
-        if self.held and self.room > 0:
+        if self.held and self.free_places > 0:
             self.hold(False)
         if self.closing and not self._open:
             self.on_idle()
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -28,20 +28,20 @@
     """A protocol whose transport is read as ``link``: Twisted's zope interfaces say nothing to mypy."""
 
     lost = False
-    heard_us = 0  # when the latest bytes came, where that is kept
+    last_received_us = 0  # when the latest bytes came, where that is kept
 
     @property
     def link(self) -> Any:
         """The transport, untyped: Twisted's interfaces are not known to mypy."""
         return self.transport
 
-    def stale(self, clock: Clock) -> bool:
+    def may_have_unread(self, clock: Clock) -> bool:
         """What it has sent may lie unread: something came in the latest look itself, so that more may be
         behind, or that look was long ago, as the loop is busy with others."""
         polled = clock.polled_us
-        return self.heard_us >= polled or clock.now_us() - polled > LOOK_US
+        return self.last_received_us >= polled or clock.now_us() - polled > LOOK_US
 
-    def gone(self, behind: bool) -> bool:
+    def peer_closed(self, behind: bool) -> bool:
         """The other side has gone.  Reading tells so; where its end may lie behind what is not read, the
         socket is asked."""
         if not self.lost and behind and hung_up(self.link):
@@ -60,7 +60,7 @@
         return self._build()
 
 
-def descriptors(configured: int) -> int:
+def available_descriptors(configured: int) -> int:
     """How many descriptors this process may have: as configured, but no more than the system gives."""
     system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if system == resource.RLIM_INFINITY else min(configured, system)
@@ -79,7 +79,7 @@
     return bool(_polled(link) & (ENDED | select.POLLIN))
 
 
-def waited_us(link: Any, clock: Clock) -> int:
+def kernel_wait_us(link: Any, clock: Clock) -> int:
     """For how long the latest bytes that have come lay unread in our kernel, in microseconds, as the kernel
     counts it (tcp(7), ``TCP_INFO``); 0 where it does not say, or where that is of no account.
 
@@ -130,7 +130,7 @@
     link.abortConnection()
 
 
-class Emptied:
+class DrainNotifier:
     """A pull producer that calls once, when all that was written has left the transport's buffer."""
 
     def __init__(self, link: Any, call: Callable[[], None]) -> None:
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -47,7 +47,7 @@
         """The gateway is about to serve."""
         ...
 
-    def retune(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """Other settings are in force."""
         ...
 
@@ -101,7 +101,7 @@
         self._stopping_since_us = 0
         self._serve_by_us = 0
         self._replaced = False
-        self._wanted: Settings  # what is in force, or will be when clients have left what was before
+        self._latest_settings: Settings  # what is in force, or will be when clients have left what was before
         self._sweeps = 0
         self._reported: Counter[str] = Counter()
         self.fleet: FleetMember | None = None
@@ -140,7 +140,7 @@
         self.front.port = self._port
         front = self.front
         self._listener = ListeningPort(
-            self._port, self.clock, lambda: front.room, lambda: front.accepting and not front.held
+            self._port, self.clock, lambda: front.free_places, lambda: front.accepting and not front.held
         )
         self.operations.restore()
         self.engine.start(self.initial_endpoints(takeover.state if takeover is not None else {}))
@@ -202,7 +202,7 @@
 
     def predecessor_clients(self, clients: int) -> None:
         """The process before this one still has so many: of the places for clients the rest is ours."""
-        self.front.limit_beside(clients)
+        self.front.reserve_for_predecessor(clients)
 
     def limit(self, processes: int) -> None:
         """Keep within this process's part of the descriptors."""
@@ -247,19 +247,20 @@
 
     def change_settings(self, settings: Settings) -> None:
         """Other settings.  Clients use both for a while: what either forbids is not done until then."""
-        if settings == self._wanted:
+        if settings == self._latest_settings:
             return
-        self._wanted = settings
+        self._latest_settings = settings
         self._apply_settings(transition_settings(self.engine.settings, settings))
         self.clock.call_later(
-            TRANSITION_US, lambda: self._apply_settings(settings) if settings is self._wanted else None
+            TRANSITION_US,
+            lambda: self._apply_settings(settings) if settings is self._latest_settings else None,
         )
 
     def _apply_settings(self, settings: Settings) -> None:
         self.engine.change_settings(settings)
         self.front.change_settings(settings)
         if self.fleet is not None:
-            self.fleet.retune(settings)
+            self.fleet.change_settings(settings)
 
     def _warn_of_restart(self, old: Any, new: Any, live: set[str]) -> None:
         """Log which entries of a configuration differ and wait for a restart."""
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -75,7 +75,7 @@
     def fail(self, reason: FailureReason) -> None:
         self.answers.append(("failed", reason.value))
 
-    def client_is_gone(self) -> bool:
+    def client_has_disconnected(self) -> bool:
         return self.gone
 
     def take(self, *actions: Action, name: str = "a") -> int:
--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -57,7 +57,7 @@
 
 def test_each_reason_to_deny_a_first_byte() -> None:
     over, left = attempt(), attempt()
-    over.request_answered, left.client_is_gone = True, lambda: True
+    over.request_answered, left.client_has_disconnected = True, lambda: True
     assert deny_first_byte(attempt(), NOW) is None
     assert deny_first_byte(over, NOW) is Denial.ANSWERED
     assert deny_first_byte(attempt(deadline_us=NOW), NOW) is Denial.OUT_OF_TIME
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -39,7 +39,7 @@
     def change_quota(self, event: QuotaChanged) -> None:
         self.quota_events.append(event)
 
-    def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
+    def drain_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
         return [("p", 1, self.asked, self.asked, 0.0)] if self.asked else []
 
     def rate(self) -> float:
--- a/tests/fleet/test_store_failures.py
+++ b/tests/fleet/test_store_failures.py
@@ -17,7 +17,7 @@
 from gaugesail.iscsi.operator import write_toml
 from gaugesail.rehearsal.faults.shim import Call
 from gaugesail.rehearsal.fleet.heads import free_ports
-from tests.support.faulty_process import HOST, FaultyHead, HangingNode, faulty, folder_of, wait_until
+from tests.support.faulty_process import HOST, FaultyGateway, HangingNode, faulty, folder_of, wait_until
 
 HEADS = ("a", "b", "c")
 KEY = "a key of the tests alone"
@@ -27,7 +27,7 @@
 class FleetHead:
     """One of three keepers, each with its own faults."""
 
-    def __init__(self, head: FaultyHead, calls: int) -> None:
+    def __init__(self, head: FaultyGateway, calls: int) -> None:
         self.head, self._calls = head, calls
 
     def budgets(self) -> dict[str, Any]:
--- a/tests/http/test_kernel_wait.py
+++ b/tests/http/test_kernel_wait.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from gaugesail.rehearsal.faults.shim import Call
-from tests.support.faulty_process import HOST, FaultyHead, HangingNode, faulty, wait_until
+from tests.support.faulty_process import HOST, FaultyGateway, HangingNode, faulty, wait_until
 
 SLACK_MS = 150
 TIMEOUT_MS = 1500
@@ -23,7 +23,7 @@
     return int(re.findall(rb"Request-Timeout-Ms: (\d+)", text)[-1])
 
 
-def too_much_ms(head: FaultyHead, node: HangingNode, waited_s: float) -> float:
+def too_much_ms(head: FaultyGateway, node: HangingNode, waited_s: float) -> float:
     """By how much that is more than its client has left, for a request that has waited so long unread."""
     assert wait_until(lambda: node.requests > 0, 2.0), head.text
     return told_ms(node) - (TIMEOUT_MS - 1000 * waited_s)
--- a/tests/policy/test_node_starts.py
+++ b/tests/policy/test_node_starts.py
@@ -17,7 +17,7 @@
     TimerFired,
 )
 from gaugesail.policy.settings import Plan, RequestClass, Settings
-from tests.support.faulty_process import FaultyHead, HangingNode, at_once, faulty, folder_of, wait_until
+from tests.support.faulty_process import FaultyGateway, HangingNode, at_once, faulty, folder_of, wait_until
 
 HOUR_S = 3600.0
 ASKED = 8
@@ -28,7 +28,7 @@
     return time.time_ns() // 1_000_000
 
 
-def sent_at_once(head: FaultyHead, node: HangingNode, units: int = 1) -> int:
+def sent_at_once(head: FaultyGateway, node: HangingNode, units: int = 1) -> int:
     """How many of several requests a node that hangs is sent before it has answered any."""
     before = node.requests
     for number in range(ASKED):
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -139,7 +139,7 @@
 
 def test_a_broken_file_is_not_taken_and_a_start_without_some_keys_is(tmp_path: Path) -> None:
     head = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head
-    file, good, wanted = tmp_path / "config.json", json.dumps(head._config.raw), head._wanted
+    file, good, wanted = tmp_path / "config.json", json.dumps(head._config.raw), head._latest_settings
     noise = good.replace('"read"', '"reads"')
     reads = noise.replace('"worth"', '"gain"')
     renamed = noise.replace('"give_up_us"', '"give_up"', 1)
--- a/tests/process/test_persistent_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -14,7 +14,7 @@
 from gaugesail.rehearsal.faults.shim import Call
 from gaugesail.rehearsal.fleet.heads import free_ports
 from gaugesail.state import State
-from tests.support.faulty_process import HOST, FaultyHead, ServingNode, faulty, wait_until
+from tests.support.faulty_process import HOST, FaultyGateway, ServingNode, faulty, wait_until
 from tests.support.scenario_runner import play
 
 NODE = "b0"
@@ -29,7 +29,7 @@
         return error.code
 
 
-def in_use(head: FaultyHead, name: str) -> bool:
+def in_use(head: FaultyGateway, name: str) -> bool:
     """Whether the node is sent a request now."""
     answer = head.ask(name, 0, 1000)
     wait_until(lambda: answer.status != 0, 1.5)
@@ -70,7 +70,7 @@
     listen = free_ports(1)[0]
     file = tmp_path / f"gaugesail-{HOST}-{listen}.json"
     file.mkdir()  # reading it fails as the system says
-    head = FaultyHead(tmp_path, library, [ServingNode(0)], management=f"{HOST}:{port}")
+    head = FaultyGateway(tmp_path, library, [ServingNode(0)], management=f"{HOST}:{port}")
     config = json.loads((tmp_path / "config").read_text()) | {"listen": f"{HOST}:{listen}"}
     (tmp_path / "config").write_text(json.dumps(config))
     try:
--- a/tests/process/test_wall_clock.py
+++ b/tests/process/test_wall_clock.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tests.support.faulty_process import (
-    FaultyHead,
+    FaultyGateway,
     HangingNode,
     ServingNode,
     answered_late,
@@ -64,7 +64,7 @@
     assert not any(found.values()), found
 
 
-def served(head: FaultyHead, name: str) -> int:
+def served(head: FaultyGateway, name: str) -> int:
     answer = head.ask(name, 0, 2000)
     wait_until(lambda: answer.status != 0, 2.5)
     return answer.status
--- a/tests/support/faulty_process.py
+++ b/tests/support/faulty_process.py
@@ -177,7 +177,7 @@
 class Answer:
     """A request on a connection of its own, and what came of it."""
 
-    def __init__(self, head: FaultyHead, name: str, shard: int, timeout_ms: int, units: int) -> None:
+    def __init__(self, head: FaultyGateway, name: str, shard: int, timeout_ms: int, units: int) -> None:
         self.due_s = timeout_ms / 1000
         self._socket = socket.create_connection((HOST, head.port), 5.0)
         self._socket.settimeout(0.0)
@@ -213,7 +213,7 @@
         self._socket.close()
 
 
-class FaultyHead:
+class FaultyGateway:
     """One process of a head whose system calls and wall clock are the test's."""
 
     def __init__(
@@ -238,7 +238,7 @@
         self.log = folder / "log"
         self._answers: list[Answer] = []
 
-    def start(self) -> FaultyHead:
+    def start(self) -> FaultyGateway:
         environ = os.environ | self.faults.environment()
         environ |= {"BALANCER_CONFIG": str(self.folder / "config"), "TMPDIR": str(self.folder)}
         with self.log.open("ab") as log:
@@ -284,9 +284,9 @@
 def faulty(
     folder: Path, library: Path, nodes: list[HangingNode], *arguments: str, ahead_s: float = 0.0,
     management: str = "", seed: str = "7", **changes: str,
-) -> Iterator[FaultyHead]:  # fmt: skip
+) -> Iterator[FaultyGateway]:  # fmt: skip
     """A head that has started, with its wall clock so far ahead, and is ended whatever comes."""
-    head = FaultyHead(folder, library, nodes, arguments, management, seed, **changes)
+    head = FaultyGateway(folder, library, nodes, arguments, management, seed, **changes)
     head.faults.step_wall_clock(ahead_s)
     try:
         yield head.start()
