--- a/gaugesail/__init__.py
+++ b/gaugesail/__init__.py
@@ -1,1 +1,1 @@
-"""A storage gateway: fronts for clients, connections to storage nodes, and an engine around ``policy``."""
+"""A storage gateway: client servers, connections to storage nodes, and an engine around ``policy``."""
--- a/gaugesail/__main__.py
+++ b/gaugesail/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one head: by the platform's environment, or by the operator's file that is named."""
+"""Runs one gateway, configured by the platform's environment or by the operator's file in its arguments."""
 
 import sys
 
@@ -7,8 +7,8 @@
 
 
 def main() -> int:
-    """Run one gateway; the exit code of the process."""
-    from twisted.internet import reactor  # importing it installs it: only the main program does
+    """Run one gateway and return the exit code of the process."""
+    from twisted.internet import reactor  # only the main program imports it, as that installs the reactor
 
     return run(reactor, make_logger(), sys.argv[1:])
 
--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -1,4 +1,4 @@
-"""Puts a head together and runs it through its life: start, service, orderly stop."""
+"""Assembles a gateway for the platform's HTTP protocol."""
 
 from __future__ import annotations
 
@@ -22,13 +22,16 @@
 from .operations import Operations
 from .service import Service
 
-RELOADABLE_ENTRIES = {  # of a configuration: taken while the gateway runs, or only read at a start
+RELOADABLE_ENTRIES = {  # fields of Config that are applied at run time, or needed only at startup
     "discovery", "known", "seed", "settings", "conn_idle_us", "connect_timeout_us", "zones", "kinds", "raw",
 }  # fmt: skip
 
 
 class PlatformGateway(Service):
-    """One gateway on the platform's protocol.  Embeddable: the reactor is passed in, nothing is global."""
+    """A gateway for the platform's protocol.
+
+    It can be embedded: the reactor is passed in, and no state is global.
+    """
 
     def __init__(
         self, reactor: Reactor, config: configuration.Config, log: Logger, clock: Clock | None = None
@@ -65,7 +68,7 @@
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
 
     def _build_discovery(self, config: configuration.Config) -> DiscoveryClient:
-        """The client of discovery; a list goes to the node pool before the policy hears of it."""
+        """Build the discovery client; the node pool gets each endpoint list before the policy does."""
         settings = DiscoverySettings(
             config.discovery,
             config.zones,
@@ -82,8 +85,8 @@
         )
 
     def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
-        """The list to start with: the predecessor's if it used the same discovery, or the configuration's."""
-        # Another service may count its revisions from anywhere: the process before must have used the same.
+        """The predecessor's endpoint list if it used the same discovery service, else the configured one."""
+        # Revisions of different discovery services cannot be compared.
         same = handed_over.get("discovery") == self.discovery.host
         endpoints: EndpointList = self.discovery.load_cached(
             handed_over["list"] if same else self._config.known
@@ -91,7 +94,7 @@
         return endpoints
 
     def offer_takeover(self) -> Takeover | None:
-        """Add the latest list, and which discovery it came from."""
+        """Offer also the latest endpoint list and the address of its discovery service."""
         takeover = super().offer_takeover()
         if takeover is not None:
             takeover.state.update(discovery=self.discovery.host, list=self.discovery.latest)
@@ -99,11 +102,11 @@
 
     @property
     def has_streams(self) -> bool:
-        """An answer is streamed to its client."""
+        """Whether any answer is being streamed to its client."""
         return bool(self.front.streams)
 
     def hand_over_answers(self) -> None:
-        """Hand streamed answers to the successor, each once its client's buffer is empty."""
+        """Hand streamed answers over to the successor, each once its client's write buffer is empty."""
         for client in self.front.streams:
             if client.stream is not None:
                 client.stream.start_handover(self._stream_emptied)
@@ -118,12 +121,12 @@
         self.front.closed(client)
 
     def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
-        """Go on with a large answer.  Where either side has gone meanwhile, the other ends with it."""
+        """Continue a streamed answer; if one of its connections has ended, the other is closed too."""
         client_descriptor, node_descriptor = descriptors
         try:
             node = self.transport.take_over(node_descriptor, state["brick"], self.engine.attempts)
         except OSError:
-            reset(client_descriptor)  # an end in order could pass for the answer's own
+            reset(client_descriptor)  # a regular close could pass for the end of the answer
             return
         client = self.front.buildProtocol(None)
         stream = client.take_over_stream(ClientStreamState.from_json(state["client"]), node)
@@ -136,13 +139,16 @@
         node.stream_to(stream)
 
     def limit(self, processes: int) -> None:
-        """Keep within the descriptors of one of so many processes."""
+        """Limit the connections to one process's share of the descriptors among ``processes``."""
         limits = self._config.limits.of(processes)
         self.front.limit(ClientPlaces(limits.client_connections, limits.client_overflow))
         self.transport.limit(limits.node_connections)
 
     def apply_configuration(self, config: configuration.Config) -> None:
-        """Take the file whole or not at all."""
+        """Apply a reloaded configuration if it is complete.
+
+        Raises ConfigError, and applies nothing, if it is not.
+        """
         configuration.check_shape(self._config.raw, config.raw)
         self._warn_of_restart(self._config, config, RELOADABLE_ENTRIES)
         self._config = replace(config, limits=self._config.limits)
--- a/gaugesail/cli.py
+++ b/gaugesail/cli.py
@@ -1,4 +1,4 @@
-"""The command line.  Libraries of a command are imported when it is called, and only then."""
+"""The command line; the module of a command is imported only when the command is called."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are told by the module and the name that they are found under."""
+    """A group of commands that are imported on use; ``lazy`` maps each name to ``module:attribute``."""
 
     def __init__(self, *args: Any, lazy: dict[str, str] | None = None, **named: Any) -> None:
         super().__init__(*args, **named)
@@ -20,7 +20,7 @@
         return sorted({*super().list_commands(ctx), *self._lazy})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a command's module and return the command; None for a name that there is not."""
+        """Import a command's module and return the command, or None for an unknown name."""
         if (where := self._lazy.get(cmd_name)) is None:
             return super().get_command(ctx, cmd_name)
         module, _, name = where.partition(":")
@@ -37,7 +37,7 @@
     },
 )
 def main() -> None:
-    """gaugesail: a storage head, its rehearsal kit and its laboratory."""
+    """gaugesail: a storage gateway, its rehearsal kit and its laboratory."""
 
 
 @click.group(cls=LazyGroup, lazy={
@@ -45,7 +45,7 @@
     "soak": "gaugesail.rehearsal.soak.command:command",
 })  # fmt: skip
 def trial() -> None:
-    """Play what the fleet does with real processes on loopback, and faults between them."""
+    """Run trials of real processes on loopback, with faults injected between them."""
 
 
 @click.group(cls=LazyGroup, lazy={
@@ -53,7 +53,7 @@
     "ramp": "gaugesail.measure.ramp:command", "storm": "gaugesail.measure.storm:command",
 })  # fmt: skip
 def measure() -> None:
-    """Measure what the head does, in virtual time or against a baseline in the same run."""
+    """Measure the gateway, in virtual time or against a baseline in the same run."""
 
 
 if __name__ == "__main__":
--- a/gaugesail/client_admission.py
+++ b/gaugesail/client_admission.py
@@ -1,4 +1,4 @@
-"""Client admission on any wire: clients are accepted, sent away by a drain, or left to the next process."""
+"""Client admission on any wire protocol: accepting, draining, and migration to the successor process."""
 
 from __future__ import annotations
 
@@ -11,45 +11,49 @@
 from .core.engine import Engine
 from .core.ports import Clock, DelayedCall
 
-CLOSING_BEGINS_US = 500_000  # until then connections end with their answers alone: what crosses a close fails
-CLOSING_ENDS_US = 1_800_000  # by then all idle ones are closed: what came before is over 2 s old at 4 s
-MIGRATION_ENDS_US = 2_500_000  # of clients to the next process: SIGKILL comes no sooner than 3.7 s
+# Times after closing begins.  A request that crosses a close fails.
+CLOSING_BEGINS_US = 500_000  # until then connections are closed only with their answers
+CLOSING_ENDS_US = 1_800_000  # all idle connections are closed; what arrived before is over 2 s old at 4 s
+MIGRATION_ENDS_US = 2_500_000  # of clients to the successor process; SIGKILL follows at 3.7 s or later
 CLOSING_STEP_US = 100_000
 
 
 class CloseReason(Enum):
     """Why a gateway closes a client's connection; counted as ``closed_<reason>``."""
 
-    LAST_ANSWER = "last_answer"  # its answer was to be the last
-    IDLE = "idle"  # clients are sent away, or the gateway ends
+    LAST_ANSWER = "last_answer"  # after an answer that announced the close
+    IDLE = "idle"  # for a drain, a migration or the shutdown
     MADE_ROOM = "made_room"
     BAD_REQUEST = "bad_request"
     SILENT = "silent"
 
 
 class Closable(Protocol):
-    """A client's connection that may be closed."""
+    """A client connection that can be closed."""
 
     def close(self) -> None:
-        """Close it in order."""
+        """Close the connection gracefully."""
         ...
 
 
 class GradualClose:
-    """Closes what is idle, a few connections at a time, for as long as it is on."""
+    """While on, closes idle connections a few at a time, all of them by ``ends_us`` after its start.
+
+    ``idle`` returns the idle connections, longest idle first.
+    """
 
     def __init__(
         self, clock: Clock, idle: Callable[[], Sequence[Closable]], ends_us: int = CLOSING_ENDS_US
     ) -> None:
         self._clock = clock
-        self._idle = idle  # the longest idle first
+        self._idle = idle
         self._ends_us = ends_us
         self.on = False
         self._since_us = 0
         self._step: DelayedCall | None = None
 
     def set(self, on: bool) -> None:
-        """Begin, or stop."""
+        """Start or stop closing."""
         if on and not self.on:
             self._since_us = self._clock.now_us()
         self.on = on
@@ -68,7 +72,7 @@
 
 
 class ClientAdmission(Factory):
-    """What the servers of all wires share: whether clients are to come, and how those that are here leave."""
+    """The base of all client servers: whether clients are accepted, and how connected ones leave."""
 
     noisy = False
 
@@ -76,38 +80,38 @@
         self.engine = engine
         self.clock = clock
         self.on_idle = on_idle
-        self.port: Any = None  # what accepts, set when it listens
-        self.listening = False  # the gateway has its address, in this process or the next
-        self.accepting = False  # this process accepts what comes there
-        self.held = False  # accepting is held back, as all places are in use
+        self.port: Any = None  # the listening port, once it is open
+        self.listening = False  # the clients' address is open, in this process or its successor
+        self.accepting = False  # this process accepts connections there
+        self.held = False  # accepting is paused, as all places are in use
         self.closing = False
         self.drain = GradualClose(clock, self.closable)
-        self.migration = GradualClose(clock, self.closable, MIGRATION_ENDS_US)  # to the next process
+        self.migration = GradualClose(clock, self.closable, MIGRATION_ENDS_US)  # to the successor process
 
     def closable(self) -> Sequence[Closable]:
-        """The connections that may be closed, as they are idle; the longest idle first."""
+        """The idle connections, which may be closed; longest idle first."""
         raise NotImplementedError
 
     @property
     def serving(self) -> bool:
-        """Whether requests are served, by this process or the next."""
+        """Whether requests are served, by this process or its successor."""
         return self.listening and self.engine.started
 
     @property
     def ready(self) -> bool:
-        """Whether clients are to come; a drained gateway serves those that are here."""
+        """Whether clients should connect; a drained gateway serves only those already connected."""
         return self.serving and not self.drain.on
 
     @property
     def leaving(self) -> bool:
-        """Whether clients that are here are to go, with their next answer or when they are idle."""
+        """Whether connected clients should leave, with their next answer or when they are idle."""
         return self.closing or self.drain.on or self.migration.on
 
     def reserve_for_predecessor(self, clients: int) -> None:
-        """Leave room for the process before this one, which still has so many clients."""
+        """Reserve places for the ``clients`` connections that the predecessor process still holds."""
 
     def accept(self, on: bool) -> None:
-        """Accept clients, or leave that to another process."""
+        """Start accepting clients, or leave that to another process."""
         self.accepting = on
         if on and not self.held:
             self.port.startReading()
@@ -115,15 +119,15 @@
             self.port.stopReading()
 
     def hold(self, on: bool) -> None:
-        """Hold accepting back: with all places in use the rest waits in the kernel, at no descriptor."""
+        """Pause or resume accepting; further connections wait in the kernel and need no descriptor."""
         self.held = on
         if self.accepting:
             (self.port.stopReading if on else self.port.startReading)()
 
     def end(self) -> None:
-        """The process is about to be killed: reject what is still arriving while that can be."""
+        """Reject requests that are still being received, as the process is about to be killed."""
 
     def supersede(self, on: bool) -> None:
-        """The next process accepts in place of this one; or has gone, and this one does again."""
+        """Leave accepting to the successor, or, with ``on`` False, resume it as the successor has ended."""
         self.accept(not on)
         self.migration.set(on)
--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a gateway: its JSON file and its environment."""
+"""The platform's configuration of a gateway: a JSON file and environment variables."""
 
 from __future__ import annotations
 
@@ -17,49 +17,49 @@
 from .http.management import MAX_CONNECTIONS as MAX_CALLS
 from .net import available_descriptors
 
-# Standard streams, the reactor's own, the listeners, discovery, and what is closing or still connecting.
+# For standard streams, the reactor, listeners, discovery, and connections being closed or opened.
 RESERVED_DESCRIPTORS = 24
-FEWEST_USABLE = 4  # descriptors, however few there are
-# Of the descriptors that are left.  A node has at most four attempts in flight (the largest congestion
-# window), so that 14 nodes use 56; a few more connections rest after an answer, or are stuck beside a trial.
+MIN_USABLE_DESCRIPTORS = 4
+# Shares of the usable descriptors.  A node has at most four attempts in flight (the largest congestion
+# window), so that 14 nodes use 56; a few more connections are idle, or hang while a new one is tried.
 CLIENT_PERCENT = 65
-CLIENT_OVERFLOW_PERCENT = 5  # clients whose connections end with their answer
+CLIENT_OVERFLOW_PERCENT = 5  # for clients whose connections are closed after their answer
 NODE_PERCENT = 30
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the text names what is wrong."""
+    """The configuration is invalid; the text names the file or entry and the fault."""
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the processes of a gateway may hold together."""
+    """Limits on all processes of a gateway together."""
 
     memory_mb: int = 192
-    sockets: int = 1024
-    calls: int = 0  # connections of the second address, where there is one
+    sockets: int = 1024  # descriptors
+    management_connections: int = 0  # reserved, if there is a management address
 
     def of(self, processes: int) -> Limits:
-        """The limits of one of several processes that run beside each other."""
+        """The limits of each of several processes that run in parallel."""
         return replace(self, sockets=self.sockets // processes)
 
     @property
     def _usable(self) -> int:
-        return max(FEWEST_USABLE, self.sockets - RESERVED_DESCRIPTORS - self.calls)
+        return max(MIN_USABLE_DESCRIPTORS, self.sockets - RESERVED_DESCRIPTORS - self.management_connections)
 
     @property
     def client_connections(self) -> int:
-        """How many clients may be connected."""
+        """The maximum of client connections."""
         return self._usable * CLIENT_PERCENT // 100
 
     @property
     def client_overflow(self) -> int:
-        """How many clients beyond those may be connected until their answer."""
+        """The maximum of client connections beyond those, which are closed after their answer."""
         return max(1, self._usable * CLIENT_OVERFLOW_PERCENT // 100)
 
     @property
     def node_connections(self) -> int:
-        """How many connections to nodes there may be."""
+        """The maximum of connections to nodes."""
         return max(1, self._usable * NODE_PERCENT // 100)
 
 
@@ -79,46 +79,46 @@
     connect_timeout_us: int
     zones: list[str]
     kinds: list[str]
-    pushed: bool  # lists come from an agent beside the gateway, and bind it from when the agent has them
-    folder: str | None  # where the next process of this gateway finds what it is to know
-    raw: dict[str, Any]  # as it was read
+    pushed: bool  # a local agent pushes endpoint lists, which are in force once the agent has them
+    folder: str | None  # shared by the processes of this gateway, for handover and state
+    raw: dict[str, Any]  # the JSON that was read
 
 
-# What the wire says may be absent; any other key of the file in force must be in the one that replaces it.
-OPTIONAL = {
+# Keys that the protocol defines as optional; a new file must have all other keys of the one in force.
+OPTIONAL_KEYS = {
     "aim_stretch", "keep_order", "free_resends", "extra_per_request", "look_back_us", "key_quiet_us", "fleet",
 }  # fmt: skip
 
 
 def check_shape(old: Any, new: Any, path: str = "") -> None:
-    """Check that a file that replaces another is complete: it has all that the other has, in its form.
+    """Check that a new configuration has all keys of the old one, with values of the same JSON types.
 
-    Reading fills what is missing with defaults, so that a file with a key lost would pass for a good one.
-    Raises ConfigError, which names the entry.
+    Reading replaces missing keys by defaults, so that a truncated file would be accepted without this check.
+    ``path`` is the prefix of the entries' names.  Raises ConfigError, which names the entry.
     """
     if isinstance(old, dict) and isinstance(new, dict):
         for key, value in old.items():
             if key in new:
                 check_shape(value, new[key], f"{path}{key}.")
-            elif key not in OPTIONAL:
-                raise ConfigError(f"{path}{key}: it is missing")
+            elif key not in OPTIONAL_KEYS:
+                raise ConfigError(f"{path}{key}: the entry is missing, but the configuration in force has it")
     elif isinstance(old, list) and isinstance(new, list):
         rows = [row for row in old if isinstance(row, dict)]
         first = rows[0] if rows else {}
         shared = {key: value for key, value in first.items() if all(key in row for row in rows)}
         for n, row in enumerate(new if rows else []):
             check_shape(shared, row, f"{path}{n}.")
-    elif _form(old) != _form(new) and old is not None:
-        raise ConfigError(f"{path.rstrip('.')}: {new!r} stands where {old!r} was")
+    elif _json_type(old) != _json_type(new) and old is not None:
+        raise ConfigError(f"{path.rstrip('.')}: expected a value like {old!r}, got {new!r}")
 
 
-def _form(value: Any) -> str:
+def _json_type(value: Any) -> str:
     number = isinstance(value, (int, float)) and not isinstance(value, bool)
     return "number" if number else type(value).__name__
 
 
 def flatten(value: Any, path: str = "") -> list[str]:
-    """Nested JSON as the path=value lines that ``parse_settings`` reads."""
+    """Convert nested JSON to the path=value lines that ``parse_settings`` reads."""
     if isinstance(value, dict):
         prefix = f"{path}." if path else ""
         return [line for key, item in value.items() for line in flatten(item, f"{prefix}{key}")]
@@ -126,40 +126,43 @@
         if any(isinstance(item, (dict, list)) for item in value):
             lines = [f"{path}.count={len(value)}"]
             return lines + [line for n, item in enumerate(value) for line in flatten(item, f"{path}.{n}")]
-        return [f"{path}={','.join(_plain(item) for item in value)}"]
-    return [f"{path}={_plain(value)}"]
+        return [f"{path}={','.join(_text(item) for item in value)}"]
+    return [f"{path}={_text(value)}"]
 
 
-def _plain(value: Any) -> str:
+def _text(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return "" if value is None else str(value).replace("\n", "_")
 
 
 def load(environ: Mapping[str, str] | None = None) -> Config:
-    """The configuration that ``BALANCER_CONFIG`` names; the other variables stand in for what it lacks."""
+    """Load the file named by ``BALANCER_CONFIG``; other variables are the defaults of missing entries.
+
+    Raises ConfigError if the file cannot be read or is invalid.
+    """
     environ = os.environ if environ is None else environ
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise ConfigError("BALANCER_CONFIG is not set")
+        raise ConfigError("BALANCER_CONFIG: expected the path of a file, but the variable is not set")
     try:
         data = json.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from None
     if not isinstance(data, dict):
-        raise ConfigError(f"{path}: an object is needed")
+        raise ConfigError(f"{path}: expected a JSON object, got {type(data).__name__}")
     return read(data, environ)
 
 
 def read(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    """A configuration from its JSON form."""
+    """Build a configuration from its JSON form and the environment; raises ConfigError if it is invalid."""
     settings = data.get("settings")
     if not isinstance(settings, dict):
-        raise ConfigError("settings: an object is needed")
+        raise ConfigError(f"settings: expected a JSON object, got {type(settings).__name__}")
     try:
         limits, permissions = data.get("limits", {}), settings.get("permissions", {})
-        # Which classes write is given by position, and stays as it was when classes are added or dropped; a
-        # request's method tells it here.
+        # class_writes lists classes by position and does not change when classes are added or removed; on
+        # this wire a request's method determines whether it writes.
         domain = {key: value for key, value in settings.get("domain", {}).items() if key != "class_writes"}
         management = data.get("management") or environ.get("BALANCER_MANAGEMENT")
         return Config(
@@ -173,7 +176,7 @@
                 available_descriptors(int(limits.get("sockets", 1024))),
                 MAX_CALLS if management else 0,
             ),
-            # On this wire an agent that lists are pushed to is watched like discovery itself.
+            # On this wire the agent that pushes endpoint lists is watched like discovery itself.
             settings=replace(
                 parse_settings("\n".join(flatten(settings | {"domain": domain})).encode()),
                 subscribes_to_endpoints=True,
--- a/gaugesail/core/__init__.py
+++ b/gaugesail/core/__init__.py
@@ -1,1 +1,1 @@
-"""The engine: requests, their attempts and their answers, on any wire."""
+"""The engine: requests, attempts and final answers, independent of the wire protocol."""
--- a/gaugesail/core/activity.py
+++ b/gaugesail/core/activity.py
@@ -1,4 +1,4 @@
-"""What an engine writes down of its work: counters for the log, and the steps of requests for the trace."""
+"""The records of an engine's work: counters for the log, and steps of requests for the trace."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
         self._note = self.trace.note
 
     def note(self, subject: str, step: Step, detail: str = "") -> None:
-        """Enter a step of a request or a node in the trace."""
+        """Add a step of a request or a node to the trace."""
         self._note(self._now_us(), subject, step, detail)
 
     def fault(self, event: str, error: Exception) -> None:
-        """Log an exception that was contained."""
+        """Log an exception that was caught."""
         self.log.error(event, error=repr(error))
--- a/gaugesail/core/attempts.py
+++ b/gaugesail/core/attempts.py
@@ -1,6 +1,6 @@
-"""Attempts from their start to their one end, and what the node transport reports of them.
+"""Attempts, from their start to their single end, and the node transport's reports about them.
 
-At most one attempt of a request is in flight.  Whoever ends an attempt first decides its result.
+At most one attempt of a request is in flight.  The first end of an attempt determines its result.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from .rules import Denial, RuleMonitor, deny_attempt, deny_first_byte
 from .trace import Step
 
-ANSWER_MARGIN_US = 4_000  # the last answer leaves this long before the client gives up
+ANSWER_MARGIN_US = 4_000  # between the latest answer and the client's timeout
 
 
 def _deadline_us(entry: OpenRequest, action: StartAttempt, now_us: int) -> int:
-    """When an attempt that starts now has to end: by its own timeout, and in time for the answer."""
+    """The end of an attempt that starts now: its own timeout, but early enough for the final answer."""
     last_us = entry.deadline_us - ANSWER_MARGIN_US
     return min(last_us, now_us + action.timeout_us) if action.timeout_us else last_us
 
 
 @dataclass(slots=True, eq=False)
 class Attempts:
-    """Starts, aborts and ends attempts; the listener that the node transport reports to."""
+    """Starts, aborts and ends attempts; implements ``AttemptListener`` for the node transport."""
 
     clock: Clock
     transport: NodeTransport
@@ -45,10 +45,10 @@
     in_maintenance: set[NodeId]
     on_client_disconnected: Callable[[int], None]  # with the request's id
 
-    # ---- asked for by the policy ----
+    # ---- called by the policy ----
 
     def start(self, action: StartAttempt) -> None:
-        """Make an attempt, or let the policy know at once that none may be made."""
+        """Start an attempt, or report NOT_STARTED to the policy if the rules deny it."""
         entry = self.table.open.get(action.request_id)
         now_us = self.clock.now_us()
         deadline_us = 0 if entry is None else _deadline_us(entry, action, now_us)
@@ -59,7 +59,7 @@
             self._send(entry, self._new_attempt(entry, action, now_us, deadline_us))
 
     def cancel(self, action: CancelAttempt) -> None:
-        """End an attempt, unless it has ended or its answer is being passed on."""
+        """Cancel an attempt, unless it has ended or its answer is being streamed."""
         attempt = self.table.attempts.get((action.request_id, action.attempt))
         if attempt is not None and not attempt.answer_started:
             self.abort(attempt, AttemptResult.CANCELLED)
@@ -82,7 +82,7 @@
         )
 
     def _deny(self, action: StartAttempt, entry: OpenRequest | None, denial: Denial) -> None:
-        """The attempt that is not made counts as one, unless another is in flight."""
+        """Report a denied attempt; it counts toward the limit unless another one is in flight."""
         self.activity.counts["attempts_denied"] += 1
         number = 0
         client_request_id = ""
@@ -106,39 +106,40 @@
         node = attempt.node_id.decode(errors="replace")
         self.activity.note(attempt.client_request_id, Step.SENT, f"{attempt.number} to {node}")
         self.deadlines.add(attempt.deadline_us, AttemptDeadline(attempt))
-        if attempt.node_id in self.in_maintenance:  # whatever the policy says: nothing new until it is back
+        if attempt.node_id in self.in_maintenance:  # overrides the policy until maintenance ends
             self.attempt_ended(attempt, AttemptResult.NO_CONNECTION)
             return
         try:
             self.transport.send(attempt, self)
-        except Exception as error:  # whatever the transport meets, the attempt must end
+        except Exception as error:  # the attempt must end even if the transport fails
             self.activity.fault("send_raised", error)
             self.abort(attempt, AttemptResult.RESET)
 
-    # ---- ended by the engine ----
+    # ---- ends decided by the engine ----
 
     def deadline_reached(self, attempt: Attempt) -> None:
-        """Abort an attempt whose time is up, unless its answer is being passed on."""
+        """Abort an attempt at its deadline, unless its answer is being streamed."""
         if not (attempt.ended or attempt.answer_started):
             self.abort(attempt, AttemptResult.TIMEOUT)
 
     def abort(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt: its connection is aborted before anything else may be sent.
+        """End an attempt; its connection is aborted before anything else may be sent.
 
-        Where its last byte was never written, say as its connection was late, it has not run and won't.
+        If its last byte was never written, for example as the connection was not established in time, the
+        attempt cannot have run and ends as NO_CONNECTION.
         """
         try:
             if self.transport.abort(attempt) is False:
                 result = AttemptResult.NO_CONNECTION
-        except Exception as error:  # its result is owed all the same
+        except Exception as error:  # the result is reported in any case
             self.activity.fault("abort_raised", error)
         self.attempt_ended(attempt, result)
 
     def cancel_unwritten(self, attempt: Attempt) -> None:
-        """End an attempt that is still being written; one that has been written goes on."""
+        """Cancel an attempt that is not completely written; one that is written continues."""
         try:
             cancelled = self.transport.cancel_unwritten(attempt)
-        except Exception as error:  # then it goes on
+        except Exception as error:  # the attempt continues
             self.activity.fault("cancel_unwritten_raised", error)
             return
         if cancelled:
@@ -150,10 +151,10 @@
             return True
         return False
 
-    # ---- reported by the node transport ----
+    # ---- AttemptListener: reported by the node transport ----
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Whether the first byte of an attempt may leave; the transport asks right before it does."""
+        """Whether the first byte of an attempt may be sent; called by the transport right before it."""
         denial = deny_first_byte(attempt, self.clock.now_us())
         if denial is None:
             return True
@@ -161,15 +162,15 @@
         return False
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """The first byte of an attempt leaves."""
+        """Record that the first byte of an attempt is being sent."""
         self.activity.note(attempt.client_request_id, Step.STARTED)
         self.rules.attempt_started(attempt, self.clock.now_us())
 
     def answer_started(self, attempt: Attempt, source: BodySource) -> BodySink | None:
-        """An answer is passed on from its first bytes: it is the final one, whatever happens to the rest.
+        """Start streaming an answer; it is the request's final answer even if it breaks off later.
 
-        From here on neither its deadline nor the policy ends it; its id stays in use until it ends.  None
-        where nobody receives it.
+        From now on neither the deadline nor the policy ends the attempt, and its id stays in use until its
+        end.  Returns None if no client receives the answer.
         """
         if attempt.ended or attempt.answer_started:
             return None
@@ -183,12 +184,12 @@
         return sink
 
     def adopt_stream(self, attempt: Attempt) -> None:
-        """Go on with an answer that another process began; its id is in use until it ends."""
+        """Continue an answer that another process began to stream; its id is in use until its end."""
         attempt.answer_started = True
         self.table.reserve_id(attempt.client_request_id)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: bytes = b"") -> None:
-        """The one end of an attempt.  A second report of it is dropped, and so are its late bytes."""
+        """End an attempt with its result and, for SERVED, its answer; later reports of it are ignored."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -208,11 +209,11 @@
             if result is AttemptResult.SERVED:
                 request_finished = True
                 self.answers.serve(entry, answer)
-        attempt.payload = None  # the deadline queue may hold the attempt for a while
+        attempt.payload = None  # the deadline queue may reference the attempt until its deadline
         self._report(attempt, result, request_finished)
 
     def health_check_ended(self, node_id: NodeId, result: AttemptResult, elapsed_us: int) -> None:
-        """The one end of a health check."""
+        """Report the result of a health check, after ``elapsed_us``, to the policy."""
         self.policy.add(HealthCheckEnded(node_id, result, elapsed_us))
 
     def _stream_ended(self, attempt: Attempt, result: AttemptResult) -> None:
--- a/gaugesail/core/clock.py
+++ b/gaugesail/core/clock.py
@@ -1,8 +1,8 @@
-"""The clock of a running gateway.  Every span of time in the program is counted by a monotonic clock.
+"""The clock of a running gateway: all durations are measured by a monotonic clock.
 
-A Twisted reactor times its calls by ``time.time``, which an administrator or a time service may step.
+A Twisted reactor schedules its calls by ``time.time``, which an administrator or a time service may step.
 ``use_monotonic_time`` replaces that, once, before the reactor's first call; ``ReactorClock`` rejects a
-reactor that still uses the wall clock.  The wall clock is read a single time, at the start.
+reactor that still uses the wall clock.  The wall clock is read only once, at startup.
 """
 
 from __future__ import annotations
@@ -15,37 +15,43 @@
 
 from .ports import DelayedCall, Reactor
 
-LATE_TIMER_S = 0.05  # a timer that is later than this: the process stood still, or was very busy
+LATE_TIMER_S = 0.05  # a timer later than this indicates that the process was suspended or overloaded
 
 
 class WallClockReactor(ValueError):
-    """A reactor whose timers follow the wall clock, or have begun to."""
+    """The reactor's timers, or calls that it has already scheduled, follow the wall clock."""
 
 
 def boot_ns() -> int:
-    """Monotonic nanoseconds that go on while the machine sleeps, where the system has such a clock."""
+    """Monotonic nanoseconds that include suspend time, on systems that have such a clock."""
     return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC))
 
 
 def use_monotonic_time(reactor: Any, monotonic_ns: Callable[[], int] = time.monotonic_ns) -> None:
-    """Time all calls of a reactor by a monotonic clock; raises WallClockReactor where it has some already."""
+    """Schedule all calls of a reactor by a monotonic clock.
+
+    Raises WallClockReactor if calls are already scheduled by the wall clock.  A reactor with another time
+    source is left unchanged.
+    """
     if not uses_wall_clock(reactor):
         return
     if reactor.getDelayedCalls():
-        raise WallClockReactor("the reactor has calls that follow the wall clock; set it up before the first")
+        raise WallClockReactor(
+            "the reactor has calls scheduled by the wall clock: call use_monotonic_time before the first"
+        )
     reactor.seconds = lambda: monotonic_ns() / 1e9
 
 
 def uses_wall_clock(reactor: Any) -> bool:
-    """Whether a step of the wall clock moves this reactor's timers."""
+    """Whether a step of the wall clock shifts this reactor's timers."""
     return reactor.seconds in (wall_seconds, time.time)
 
 
 class _ReactorCall:
-    """A delayed call of the reactor.
+    """A delayed call of the reactor that lets the sockets be read first if it is late.
 
-    One that comes late lets the sockets be read first: after a standstill of the process they may hold what
-    forbids the call, and the reactor runs timers before it reads.
+    The reactor runs timers before it reads; after a suspension of the process, unread input may already rule
+    out what the call would do.
     """
 
     __slots__ = ("_call", "_due", "_handle", "_reactor")
@@ -70,10 +76,10 @@
 
 
 class ReactorClock:
-    """Time from the system, calls from the reactor.
+    """Takes the time from the system and schedules calls on the reactor.
 
-    ``now_us`` is Unix microseconds as the wall clock had them at the start, and monotonic from there on.
-    Raises WallClockReactor where the reactor's own timers are not.
+    ``now_us`` starts at the Unix time of startup and is monotonic from there on.  Raises WallClockReactor if
+    the reactor's timers follow the wall clock.
     """
 
     def __init__(
@@ -85,13 +91,13 @@
         if uses_wall_clock(reactor):
             raise WallClockReactor(
                 "the reactor's timers follow the wall clock: call"
-                " gaugesail.core.clock.use_monotonic_time(reactor) before anything is timed by it"
+                " gaugesail.core.clock.use_monotonic_time(reactor) before it schedules any call"
             )
         self._reactor = reactor
         self._monotonic_ns = monotonic_ns
         self._offset = unix_ns() - monotonic_ns()
         self._polled_us: int | None = None
-        # A reactor in memory has none: what is sent there has arrived.
+        # A reactor in memory has no doIteration: data arrives when it is sent.
         self._do_iteration: Any = getattr(reactor, "doIteration", None)
         if self._do_iteration is not None:
             self._polled_us = self.now_us()
@@ -99,25 +105,25 @@
             patched.doIteration = self._iterate
 
     def now_us(self) -> int:
-        """The present time in microseconds."""
+        """The current time in microseconds."""
         return (self._monotonic_ns() + self._offset) // 1000
 
     @property
     def matches_kernel_clock(self) -> bool:
-        """Whether spans that the kernel measures are spans of this clock too."""
+        """Whether durations measured by the kernel are valid for this clock."""
         return self._monotonic_ns in (time.monotonic_ns, boot_ns)
 
     @property
     def polled_us(self) -> int:
-        """When the reactor last began to read its sockets; all that had come by then has been handled."""
+        """When the reactor's latest pass over its sockets began; input that arrived earlier is handled."""
         return self.now_us() if self._polled_us is None else self._polled_us
 
     def _iterate(self, delay: Any) -> None:
-        """One pass of the reactor over its sockets, and the handling of all that it found."""
+        """Run one pass of the reactor over its sockets, including the handling of their input."""
         began_us = self.now_us()
         self._do_iteration(delay)
         self._polled_us = began_us
 
     def call_later(self, delay_us: int, call: Callable[[], None]) -> DelayedCall:
-        """Make a call once, after a delay in microseconds."""
+        """Make a call once, after ``delay_us`` microseconds."""
         return _ReactorCall(self._reactor, max(0, delay_us) / 1e6, call)
--- a/gaugesail/core/deadlines.py
+++ b/gaugesail/core/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines on one heap: however many there are, a single delayed call waits for the earliest."""
+"""A queue of deadlines on one heap, with a single delayed call for the earliest of them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from .ports import Attempt, Clock, DelayedCall
 
-LONGEST_DELAY_US = 10 * 60 * 1_000_000  # of one delayed call; a later deadline is waited for in several
+LONGEST_DELAY_US = 10 * 60 * 1_000_000  # of one delayed call; later deadlines take several calls
 
 
 @dataclass(slots=True)
 class PolicyTimer:
-    """A timer that the policy has set; the policy gets its token back."""
+    """A timer set by the policy, which gets its token back when the timer is due."""
 
     token: int
 
 
 @dataclass(slots=True)
 class AttemptDeadline:
-    """The end of the time that an attempt may take."""
+    """The time by which an attempt must end."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class RequestDeadline:
-    """The last moment for a request's final answer."""
+    """The time by which a request must have its final answer."""
 
     request_id: int
 
@@ -36,31 +36,35 @@
 
 
 class DeadlineQueue:
-    """Deadlines in the order of their time; those of one instant in the order in which they were added."""
+    """Deadlines in order of time; equal times keep the order in which they were added.
+
+    ``on_due`` is called when the earliest deadline is due; it calls ``pop_due`` until that returns None, and
+    ``ensure_scheduled`` afterwards.
+    """
 
     def __init__(self, clock: Clock, on_due: Callable[[], None]) -> None:
         self._clock = clock
         self._on_due = on_due
-        self._heap: list[tuple[int, int, Deadline]] = []  # time, number of the entry, deadline
+        self._heap: list[tuple[int, int, Deadline]] = []  # time, sequence number, deadline
         self._added = 0
         self._call: DelayedCall | None = None
         self._call_at_us = 0
 
     def add(self, at_us: int, deadline: Deadline) -> None:
-        """Enter a deadline at a time of the clock, in microseconds."""
+        """Add a deadline at ``at_us``, a time of the clock in microseconds."""
         self._added += 1
         heapq.heappush(self._heap, (at_us, self._added, deadline))
         if self._call is None or at_us < self._call_at_us:
             self._schedule()
 
     def pop_due(self, now_us: int) -> Deadline | None:
-        """Take the earliest deadline that has come by ``now_us``; None where there is none."""
+        """Remove and return the earliest deadline due by ``now_us``, or None."""
         if not self._heap or self._heap[0][0] > now_us:
             return None
         return heapq.heappop(self._heap)[2]
 
     def ensure_scheduled(self) -> None:
-        """Wait for the earliest deadline, unless something has scheduled that call already."""
+        """Schedule the call for the earliest deadline, unless one is scheduled already."""
         if self._call is None:
             self._schedule()
 
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -1,8 +1,9 @@
-"""The engine: owns open requests, attempts and deadlines, and carries out what the policy decides.
+"""The engine owns open requests, attempts and deadlines, and carries out the policy's actions.
 
-It knows no wire.  Events are gathered and given to the policy once a tick; its actions are carried out in
-order.  The engine itself guarantees, whatever the policy says: one final answer for each request, one attempt
-in flight, the limit of attempts, nothing sent after the answer, and an answer while the client still waits.
+It is independent of the wire protocol.  Events are collected and passed to the policy once per reactor tick;
+its actions are carried out in order.  Whatever the policy decides, the engine itself guarantees exactly one
+final answer per request, at most one attempt in flight, the limit on attempts, that nothing is sent after the
+answer, and that the answer leaves before the client's timeout.
 """
 
 from __future__ import annotations
@@ -62,7 +63,10 @@
 
 
 class Engine:
-    """One gateway's requests, between the clients' side, the policy and the nodes."""
+    """Connects the client server, the policy and the node transport of one gateway.
+
+    ``seed`` initializes the policy's random numbers.  Requests beyond ``max_open`` open ones are rejected.
+    """
 
     def __init__(
         self,
@@ -107,53 +111,55 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What has happened since the start, by the names that the log shows."""
+        """Event counters since the start, keyed by the names used in the log."""
         return self._activity.counts
 
     @property
     def trace(self) -> Trace:
-        """The latest steps of requests and nodes."""
+        """The latest steps of requests and nodes, in memory."""
         return self._activity.trace
 
     @property
     def started(self) -> bool:
-        """Whether the policy has had its first endpoint list."""
+        """Whether the policy has received its first endpoint list."""
         return self.policy.started
 
     @property
     def idle(self) -> bool:
-        """Whether no client is owed an answer."""
+        """Whether no request is open."""
         return not self._open
 
     @property
     def open_requests(self) -> int:
-        """How many requests are owed their answer."""
+        """The number of requests that have no final answer yet."""
         return len(self._open)
 
     @property
     def attempts_in_flight(self) -> int:
-        """How many attempts have not ended, those of answered requests included."""
+        """The number of attempts that have not ended, including those of answered requests."""
         return len(self._table.attempts)
 
     @property
     def rejections(self) -> Counter[str]:
-        """The policy's rejections since its start, as ``refused_<why>_<node>``: the guard, and whether the
-        shard's node was ``none``, ``cold`` or ``warm`` (docs/fleet.md).  Fails of unsafe classes count too.
+        """The policy's rejections since its start, keyed ``refused_<reason>_<node>``.
+
+        ``<node>`` is the state of the shard's node: ``none``, ``cold`` or ``warm`` (docs/fleet.md).  Requests
+        that are failed because a rejection would be unsafe for their class are counted too.
         """
         return self.policy.gateway.recovery.rejections
 
     def start(self, known: EndpointList) -> None:
-        """Set the policy up with the endpoint list as it was last known."""
+        """Start the policy with the last known endpoint list."""
         self.policy.started = True
         self.update_endpoints(known)
 
-    # ---- from the clients' side ----
+    # ---- called by the client server ----
 
     def submit(self, request: ClientRequest, reply: Reply, received_us: int | None = None) -> int:
-        """Receive a request; its final answer comes through ``reply``, never from inside this call.
+        """Accept a request; its final answer is delivered through ``reply``, never during this call.
 
-        Its time runs from ``received_us``, by default from now.  The result is the engine's id of the
-        request, or 0 where it is not admitted.
+        The request's timeout starts at ``received_us``, by default now.  Returns the engine's request id, or
+        0 if the request is not admitted.
         """
         now_us = self._clock.now_us() if received_us is None else received_us
         request_id = self._next_request_id
@@ -184,9 +190,9 @@
         return request_id
 
     def _admit(self, request: ClientRequest, reply: Reply) -> bool:
-        """Whether a request may be received; where it may not, its answer is on its way."""
-        # An id whose earlier attempt may still be in flight must not be sent again: that would be a second
-        # copy.  The error is the new request's; the client of the first neither hears of it nor loses any.
+        """Whether a request is admitted; if it is not, its answer is scheduled."""
+        # While an earlier attempt with this id may be in flight, sending the id again would make a second
+        # copy.  Only the new request fails; the request that uses the id is not affected.
         if self._table.uses_id(request.client_request_id):
             self.counts["id_in_use"] += 1
             self._activity.note(request.client_request_id, Step.NOT_ADMITTED, FailureReason.ID_IN_USE.value)
@@ -201,10 +207,10 @@
         return True
 
     def stage_upload(self, request: ClientRequest, source: BodySource) -> BodySink | None:
-        """Write a large request to the node where it will run while it is received, short of its end.
+        """Start writing a large request to its node while it is still being received, withholding its end.
 
-        It is submitted when it is complete, and runs when the policy starts its attempt.  None where there is
-        no node to write it to.
+        The request is submitted once it is complete, and its end is sent when the policy starts an attempt.
+        Returns None if there is no node to write it to.
         """
         node_id = self.policy.gateway.node_of(request.shard)
         if node_id is None or node_id in self.in_maintenance:
@@ -212,9 +218,10 @@
         return self._transport.stage_upload(node_id, request, source)
 
     def client_disconnected(self, request_id: int) -> None:
-        """The client left; its attempt goes on, and only the policy hears its result.
+        """Close a request whose client has disconnected; only the policy receives its attempt's result.
 
-        An attempt that is still being written ends: a node counts an attempt from its last byte.
+        An attempt that is not completely written is cancelled, as a node counts an attempt from its last
+        byte; one that is written continues.
         """
         entry = self._open.get(request_id)
         if entry is None:
@@ -227,14 +234,14 @@
             self.attempts.cancel_unwritten(entry.in_flight)
 
     def closed_unanswered(self, request_id: int) -> None:
-        """The clients' side has closed the connection of this request before its answer."""
+        """Report that the client server closed the connection of this request before its answer."""
         if (entry := self._open.get(request_id)) is not None:
             self.rules.report(RuleViolation.CLOSED_UNANSWERED, entry.request.client_request_id)
 
-    # ---- from discovery, operators and the fleet ----
+    # ---- called by discovery, operators and the fleet ----
 
     def update_endpoints(self, endpoints: EndpointList) -> None:
-        """Give an endpoint list to the policy at once: the time of the drain rule runs."""
+        """Pass an endpoint list to the policy at once, as the grace period of draining nodes starts now."""
         self.rules.update_endpoints(endpoints, self._clock.now_us())
         for endpoint in endpoints.endpoints:
             if endpoint.state is not EndpointState.READY or endpoint.node_id not in self._listed:
@@ -250,34 +257,36 @@
 
     @property
     def listed_nodes(self) -> list[NodeId]:
-        """The nodes that endpoint lists have named, the oldest first."""
+        """The nodes that endpoint lists have named, oldest first."""
         return self._listed.ids()
 
     def restore_listed_nodes(self, node_ids: list[NodeId]) -> None:
-        """Enter what lists have named to the process before this one."""
+        """Add the nodes that endpoint lists have named to the predecessor process."""
         self._listed.restore(node_ids)
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings for the requests received from now on."""
+        """Apply new settings to requests received from now on."""
         self.settings = settings
         self.rules.drain_grace_us = settings.drain_grace_us
         self._run_with(SettingsChanged(settings))
 
     def change_quota(self, event: QuotaChanged) -> None:
-        """Use what the fleet lets this gateway spend from now on."""
+        """Apply a new quota from the fleet."""
         self._run_with(event)
 
     def drain_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
-        """Plan, volume, units asked for and sent since the last call, and units saved up, of each volume
-        under a limit that was asked for."""
+        """Return and reset the demand of each limited volume that had requests since the last call.
+
+        Each row has the plan, the volume, the units requested, the units sent, and the units saved up.
+        """
         return self.policy.gateway.rate_limits.take_demand(self._clock.now_us())
 
     def set_sibling_process(self, present: bool) -> None:
-        """Another process of this gateway works beside this one, or no longer does."""
+        """Set whether another process of this gateway serves in parallel with this one."""
         self._run_with(SiblingProcessChanged(present))
 
     def set_maintenance(self, node_id: NodeId, on: bool) -> None:
-        """Operators take a node out of use, or put it back: like a drain that no endpoint list ends."""
+        """Put a node into maintenance, or end it: like a drain that endpoint lists do not end."""
         (self.in_maintenance.add if on else self.in_maintenance.discard)(node_id)
         self._transport.set_maintenance(node_id, on)
         self._run_with(MaintenanceChanged(node_id, on))
@@ -290,7 +299,7 @@
         self.policy.run()
 
     def fail_all(self) -> None:
-        """Answer all open requests now, and later ones at once: the process is about to be killed."""
+        """Fail all open requests and reject new ones, as the process is about to be killed."""
         self.closing = True
         for request_id in list(self._open):
             self._fail_overdue(request_id)
@@ -313,7 +322,7 @@
                 self._carry_out_besides(action)
 
     def _carry_out_besides(self, action: Action) -> None:
-        """Carry out an action that is about no request."""
+        """Carry out an action that does not concern a request."""
         match action:
             case WatchEndpoints():
                 self._discovery.watch(action.on)
@@ -327,10 +336,10 @@
                 fields = dict(action.fields)
                 self._log.info(action.event, **(fields | {"text": action.text} if action.text else fields))
             case SendPeerMessage():
-                self._log.warning("no_peers")  # gateways have no way to talk to each other
+                self._log.warning("no_peers")  # the policy's messages between gateways have no transport
 
     def _fail_overdue(self, request_id: int) -> None:
-        """Answer a request for which the policy has decided nothing in its time."""
+        """Fail a request that the policy has not decided before its deadline."""
         self.counts["overdue"] += 1
         self._answers.fail(request_id, FailureReason.OUT_OF_TIME)
         self.policy.add(ClientDisconnected(request_id))
@@ -349,7 +358,7 @@
                         overdue.append(request_id)
         self.policy.run()
         for request_id in overdue:
-            # The policy has had its chance; a request still open now would outlive its client.
+            # The policy ran above and left the request open: fail it before the client's timeout.
             if request_id in self._open:
                 self._fail_overdue(request_id)
         self._deadlines.ensure_scheduled()
--- a/gaugesail/core/final_answers.py
+++ b/gaugesail/core/final_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of each request; an exception of the clients' side stays with its one client."""
+"""Delivers the single final answer of each request; an exception in a reply affects only its own client."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AnswerKind(Enum):
-    """How a request was answered, as the trace shows it."""
+    """How a request was answered; the value is shown in the trace."""
 
     SERVED = "served"
     STREAMED = "begins"
@@ -24,40 +24,40 @@
 
 
 class FinalAnswers:
-    """Closes a request and delivers its answer, in this order, so that it never has a second one."""
+    """Closes a request before its answer is delivered, so that it cannot be answered twice."""
 
     def __init__(self, table: RequestTable, activity: Activity) -> None:
         self._table = table
         self._activity = activity
 
     def serve(self, entry: OpenRequest, answer: bytes) -> None:
-        """Deliver a complete answer."""
+        """Deliver a complete answer to an open request."""
         reply = entry.reply
         self._close(entry, "served")
         self._deliver(entry, AnswerKind.SERVED, lambda: reply.send_answer(answer))
 
     def start_stream(self, entry: OpenRequest, source: BodySource) -> BodySink | None:
-        """Begin to deliver an answer that is passed on while it comes; None where its client is gone."""
+        """Start to stream an answer while it is received; None if the client has disconnected."""
         reply = entry.reply
         self._close(entry, "served")
         return self._deliver(entry, AnswerKind.STREAMED, lambda: reply.start_stream(source))
 
     def reject(self, request_id: int, retry_after_us: int) -> None:
-        """Reject a request that is still open; the client may come back after ``retry_after_us``."""
+        """Reject a request if it is still open; the client may retry after ``retry_after_us``."""
         if (entry := self._table.open.get(request_id)) is not None:
             reply = entry.reply
             self._close(entry, "refused")
             self._deliver(entry, AnswerKind.REJECTED, lambda: reply.reject(retry_after_us))
 
     def fail(self, request_id: int, reason: FailureReason) -> None:
-        """Fail a request that is still open."""
+        """Fail a request if it is still open."""
         if (entry := self._table.open.get(request_id)) is not None:
             reply = entry.reply
             self._close(entry, "failed")
             self._deliver(entry, AnswerKind.FAILED, lambda: reply.fail(reason))
 
     def client_has_disconnected(self, entry: OpenRequest) -> bool:
-        """Whether the client of an open request has gone, though its end may not have been read yet."""
+        """Whether the client of an open request has disconnected, even if that has not been read yet."""
         reply = entry.reply
         return entry.request_id in self._table.open and bool(
             self._call(lambda: reply.client_has_disconnected())
--- a/gaugesail/core/listed_nodes.py
+++ b/gaugesail/core/listed_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes that endpoint lists have named, so that an operator's call can be checked against them."""
+"""The nodes that endpoint lists have named, used to check the node ids in operators' calls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ListedNodes:
-    """Node ids in the order in which they were last named; the oldest beyond the bound are forgotten."""
+    """Node ids, ordered by when they were last named; beyond MAX_LISTED_NODES the oldest are dropped."""
 
     def __init__(self) -> None:
         self._nodes: OrderedDict[NodeId, None] = OrderedDict()
@@ -22,19 +22,19 @@
         return len(self._nodes)
 
     def add(self, node_id: NodeId) -> None:
-        """Enter a node as the latest."""
+        """Add a node as the most recent."""
         self._nodes[node_id] = None
         self._nodes.move_to_end(node_id)
 
     def trim(self) -> None:
-        """Forget the oldest beyond MAX_LISTED_NODES."""
+        """Drop the oldest nodes beyond MAX_LISTED_NODES."""
         while len(self._nodes) > MAX_LISTED_NODES:
             self._nodes.popitem(last=False)
 
     def ids(self) -> list[NodeId]:
-        """All of them, the oldest first."""
+        """All node ids, oldest first."""
         return list(self._nodes)
 
     def restore(self, node_ids: list[NodeId]) -> None:
-        """Enter what lists have named to the process before this one."""
+        """Add the nodes that endpoint lists have named to the predecessor process."""
         self._nodes.update((node_id, None) for node_id in node_ids[-MAX_LISTED_NODES:])
--- a/gaugesail/core/policy_runner.py
+++ b/gaugesail/core/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the policy: gathers the events of one tick, hands them over together, and carries out its actions."""
+"""Runs the policy: passes it the events of one reactor tick together, and carries out its actions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PolicyRunner:
-    """The policy and the events that wait for it.  An exception of the policy never leaves this class."""
+    """Owns the policy and its pending events; an exception in the policy never leaves this class."""
 
     def __init__(
         self,
@@ -24,42 +24,42 @@
         carry_out: Callable[[Action], None],
     ) -> None:
         self.gateway = gateway
-        self.started = False  # the policy may run: the engine was started with the list last known
+        self.started = False  # the engine was started with the last known endpoint list
         self._clock = clock
         self._activity = activity
         self._open_requests = open_requests
         self._carry_out = carry_out
         self._events: list[Event] = []
         self._flush: DelayedCall | None = None
-        self._received: list[RequestReceived] = []  # since the sockets were last read
-        self._awaiting_read: list[RequestReceived] = []  # received before that
+        self._received: list[RequestReceived] = []  # since the latest pass over the sockets
+        self._awaiting_read: list[RequestReceived] = []  # received before that pass
         self._read: DelayedCall | None = None
         self._running = False
 
     def add(self, event: Event) -> None:
-        """Hand an event to the policy at the end of this tick."""
+        """Pass an event to the policy at the end of this tick."""
         self._events.append(event)
         if self._flush is None and not self._running:
             self._flush = self._clock.call_later(0, self._run_flush)
 
     def add_without_run(self, event: Event) -> None:
-        """Keep an event for a call of ``run`` that follows."""
+        """Add an event without scheduling a run; the caller calls ``run`` afterwards."""
         self._events.append(event)
 
     def add_request(self, event: RequestReceived) -> None:
-        """Hand a new request to the policy once all sockets have been read.
+        """Pass a new request to the policy once all sockets have been read.
 
-        The end of its connection may have come together with it.  Whatever else makes the policy run before,
-        the request waits; one pass over the sockets serves all requests received since the one before.
+        The end of its connection may have arrived together with the request.  Runs of the policy before that
+        do not include the request; one pass over the sockets covers all requests received since the last.
         """
         self._received.append(event)
         if self._read is None:
             self._read = self._clock.call_later(0, self._sockets_read)
 
     def run(self) -> None:
-        """Give the policy what has come in and carry out its actions.  Never raises, never nests."""
+        """Pass the pending events to the policy and carry out its actions; never raises and never nests."""
         if self._running or not self.started:
-            return  # the loop below takes what was just added, the first list what came before it
+            return  # handled by the flush below, or by the first endpoint list
         self._running = True
         try:
             if self._events:
@@ -75,7 +75,7 @@
     def _decide(self, events: list[Event]) -> list[Action]:
         try:
             return self.gateway.handle(self._clock.now_us(), events)
-        except Exception as error:  # a fault of the policy must not end the gateway or lose requests
+        except Exception as error:  # a fault of the policy must not stop the gateway or lose requests
             self._activity.log.error("policy_raised", error=repr(error), events=len(events))
             self._activity.counts["policy_raised"] += 1
             return [FailRequest(event.request_id) for event in events if isinstance(event, RequestReceived)]
@@ -83,17 +83,20 @@
     def _carry_out_safely(self, action: Action) -> None:
         try:
             self._carry_out(action)
-        except Exception as error:  # one bad action must not take the rest with it
+        except Exception as error:  # one failed action must not prevent the others
             self._activity.log.error("action_raised", action=repr(action), error=repr(error))
             self._activity.counts["action_raised"] += 1
 
     def _sockets_read(self) -> None:
-        """The sockets are read between two calls of this."""
+        """Release the requests that were received before the latest pass over the sockets.
+
+        The reactor reads the sockets between two calls of this method.
+        """
         ready = self._awaiting_read
         self._awaiting_read = self._received
         self._received = []
         self._read = self._clock.call_later(0, self._sockets_read) if self._awaiting_read else None
-        # The policy never hears of a request that has ended meanwhile.
+        # Requests that have ended meanwhile never reach the policy.
         self._events += [event for event in ready if event.request_id in self._open_requests]
         self.run()
 
--- a/gaugesail/core/ports.py
+++ b/gaugesail/core/ports.py
@@ -1,4 +1,4 @@
-"""What the engine needs from outside, as small protocols, and the records that pass between them."""
+"""The interfaces that the engine depends on, as protocols, and the records that they exchange."""
 
 from __future__ import annotations
 
@@ -15,115 +15,121 @@
     """A call that has been scheduled and can be cancelled."""
 
     def cancel(self) -> None:
-        """Do not make the call; it must be active."""
+        """Cancel the call, which must be active."""
         ...
 
     def active(self) -> bool:
-        """Whether it has neither been made nor cancelled."""
+        """Whether the call has neither been made nor cancelled."""
         ...
 
 
 class Clock(Protocol):
-    """Monotonic microseconds and one-shot calls; a fake one serves the tests."""
+    """Monotonic time in microseconds, and one-shot delayed calls."""
 
     def now_us(self) -> int:
-        """The present time."""
+        """The current time in microseconds."""
         ...
 
     @property
     def polled_us(self) -> int:
-        """What had come to any socket by this time has been read and handled, except what lies behind it."""
+        """The time up to which input has been handled.
+
+        Data that had arrived at any socket by then has been read, unless more data was queued before it.
+        """
         ...
 
     @property
     def matches_kernel_clock(self) -> bool:
-        """Whether spans that the kernel measures are spans of this clock too."""
+        """Whether durations measured by the kernel are valid for this clock."""
         ...
 
     def call_later(self, delay_us: int, call: Callable[[], None]) -> DelayedCall:
-        """Make a call once, after a delay."""
+        """Make a call once, after ``delay_us`` microseconds."""
         ...
 
 
 class BodySource(Protocol):
-    """Where a message that has begun comes from; ``length`` is None where only its end tells."""
+    """The source of a streamed message; ``length`` is in bytes, or None if it is not known in advance."""
 
     length: int | None
 
     def pause(self) -> None:
-        """Read no more for now."""
+        """Stop reading until ``resume``."""
         ...
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
         ...
 
     def stop(self) -> None:
-        """Nobody takes the rest."""
+        """Abandon the message, as its rest is not needed."""
         ...
 
 
 class BodySink(Protocol):
-    """Where a message that has begun goes, up to ``finish`` or ``fail``, unless the source was stopped."""
+    """The destination of a streamed message.
+
+    ``write`` is followed by either ``finish`` or ``fail``, unless the source was stopped.
+    """
 
     def write(self, data: bytes) -> None:
-        """Pass on the next bytes."""
+        """Write the next bytes of the message."""
         ...
 
     def finish(self) -> None:
-        """The message is complete."""
+        """Mark the message as complete."""
         ...
 
     def fail(self) -> None:
-        """The message broke off and never will be complete."""
+        """Mark the message as broken off."""
         ...
 
 
 class FailureReason(Enum):
-    """Why a request fails; the value is the text that its client gets."""
+    """Why a request failed; the value is the text sent to the client."""
 
     FAILED = "failed"
     OUT_OF_TIME = "out of time"
-    ID_IN_USE = "id in use"  # another request of the same id is open or has an attempt in flight
+    ID_IN_USE = "id in use"  # another request with the same id is open or has an attempt in flight
 
 
 class Reply(Protocol):
-    """Where a request's one final answer goes."""
+    """Delivers a request's single final answer to its client."""
 
     def start_stream(self, source: BodySource) -> BodySink | None:
-        """Begin an answer that is passed on while it comes; None where the client has gone."""
+        """Start an answer that is streamed while it is received; None if the client has disconnected."""
         ...
 
     def send_answer(self, answer: bytes) -> None:
-        """Answer with what the node transport reported for the attempt."""
+        """Send the answer that the node transport reported for the attempt."""
         ...
 
     def reject(self, retry_after_us: int) -> None:
-        """Reject the request; the client may come back after that time, 0: no time is named."""
+        """Reject the request; the client may retry after ``retry_after_us``, 0 if no time is given."""
         ...
 
     def fail(self, reason: FailureReason) -> None:
-        """Answer that the request failed."""
+        """Send a failure."""
         ...
 
     def client_has_disconnected(self) -> bool:
-        """Whether the client has gone, though its end may not have been read yet."""
+        """Whether the client has disconnected, even if that has not been read yet."""
         ...
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request as its wire hands it over; ``payload`` is for the node transport alone."""
+    """A client's request, as decoded from its wire protocol; only the node transport uses ``payload``."""
 
     client_request_id: str  # unique among the open requests
-    settings: Settings  # those it was received under; it is served by them whatever comes later
-    class_index: int  # of its class there
-    timeout_us: int  # from the moment at which the client sent it
+    settings: Settings  # in force when it was received; later changes do not apply to it
+    class_index: int  # of its class in ``settings``
+    timeout_us: int  # since the client sent it
     payload: Any
-    shard: int = -1  # -1: a new object, which any shard may take
+    shard: int = -1  # -1: a new object, which any shard may store
     plan_index: int = 0
     units: float = 1.0
-    key: int = 0  # of idempotency and of ordering; 0: none
+    key: int = 0  # for idempotency and ordering; 0: none
     volume_id: int = 0
     gateways_in_use: float = 1.0
     is_retry: bool = False
@@ -131,7 +137,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at one node.  Whoever ends it first decides; later reports of it are dropped."""
+    """One attempt at one node; its first end determines the result, and later reports are ignored."""
 
     request_id: int
     number: int  # 0 for the first of its request
@@ -142,37 +148,37 @@
     sent_us: int
     deadline_us: int
     ended: bool = False
-    answer_started: bool = False  # its answer is being passed on: it is final whatever happens to the rest
-    start_before_us: int = 0  # its quota was this gateway's until then; 0: it may start at any time
-    request_answered: bool = False  # what is not written yet must not be (rules.deny_first_byte)
-    connection: object | None = None  # the transport's own
-    client_has_disconnected: Callable[[], bool] | None = None  # whether its client has gone
+    answer_started: bool = False  # its answer is being streamed, and is final even if it breaks off
+    start_before_us: int = 0  # its quota or the nodes' deduplication ends then; 0: no limit
+    request_answered: bool = False  # if it has not started, it must not (rules.deny_first_byte)
+    connection: object | None = None  # owned by the node transport
+    client_has_disconnected: Callable[[], bool] | None = None  # see Reply
 
 
 class AttemptListener(Protocol):
-    """How a transport reports.
+    """Receives a node transport's reports.
 
-    An attempt starts at most once, its answer may start before it ends, and it ends once.
+    An attempt starts at most once, its answer may start before it ends, and it ends exactly once.
     """
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Asked right before the first byte leaves; where it may not, the attempt ends as NOT_STARTED."""
+        """Whether the first byte may be sent, checked right before; if not, the attempt ends NOT_STARTED."""
         ...
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """The first byte leaves now."""
+        """Report that the first byte is being sent."""
         ...
 
     def answer_started(self, attempt: Attempt, source: BodySource) -> BodySink | None:
-        """The answer is to be passed on while it comes; None where nobody receives it."""
+        """Start streaming the answer; None if no client receives it."""
         ...
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, answer: bytes = b"") -> None:
-        """The attempt has its result, and its answer where that is complete."""
+        """Report the attempt's result, and its answer if that is complete."""
         ...
 
     def health_check_ended(self, node_id: NodeId, result: AttemptResult, elapsed_us: int) -> None:
-        """A health check has its result."""
+        """Report the result of a health check, which took ``elapsed_us``."""
         ...
 
 
@@ -180,55 +186,58 @@
     """Carries attempts to nodes."""
 
     def send(self, attempt: Attempt, listener: AttemptListener) -> None:
-        """Make an attempt; its end is reported to the listener."""
+        """Start an attempt; its end is reported to the listener."""
         ...
 
     def abort(self, attempt: Attempt) -> bool:
-        """Abort it without a report; whether its last byte had been written, so that it may have run."""
+        """Abort an attempt without a report.
+
+        Returns whether its last byte had been written, so that it may have run.
+        """
         ...
 
     def cancel_unwritten(self, attempt: Attempt) -> bool:
-        """Abort it if its last byte has not been written; whether it was aborted."""
+        """Abort an attempt if its last byte has not been written; returns whether it was aborted."""
         ...
 
     def stage_upload(self, node_id: NodeId, request: ClientRequest, source: BodySource) -> BodySink | None:
-        """Write a large request while it is received, short of its end; None where that cannot be."""
+        """Start writing a large request while it is received, withholding its end; None if not possible."""
         ...
 
     def check_health(self, node_id: NodeId, listener: AttemptListener) -> None:
-        """Ask a node whether it answers; the result is reported to the listener."""
+        """Check whether a node answers; the result is reported to the listener."""
         ...
 
     def close_idle_connections(self, node_id: NodeId) -> None:
-        """Close the idle connections to a node."""
+        """Close all idle connections to a node."""
         ...
 
     def set_maintenance(self, node_id: NodeId, on: bool) -> None:
-        """Take a node out of use whatever the endpoint list says, or put it back."""
+        """Put a node into maintenance, which overrides the endpoint list, or end it."""
         ...
 
 
 class Discovery(Protocol):
-    """Where the endpoint list comes from; news is handed to ``Engine.update_endpoints``."""
+    """The source of endpoint lists, which are passed to ``Engine.update_endpoints``."""
 
     def watch(self, on: bool) -> None:
-        """Follow the list, or no longer."""
+        """Start or stop watching for changes."""
         ...
 
     def poll(self) -> None:
-        """Ask for the list once."""
+        """Request the list once."""
         ...
 
 
 class Logger(Protocol):
-    """The part of a structlog logger that is used."""
+    """The subset of a structlog logger that the gateway uses."""
 
     def info(self, event: str, **fields: Any) -> Any:
-        """Log what belongs to normal operation."""
+        """Log an event of normal operation."""
         ...
 
     def warning(self, event: str, **fields: Any) -> Any:
-        """Log what an operator may have to act on."""
+        """Log an event that may need an operator's action."""
         ...
 
     def error(self, event: str, **fields: Any) -> Any:
@@ -237,18 +246,18 @@
 
 
 class Reactor(Protocol):
-    """The part of a Twisted reactor that is used."""
+    """The subset of a Twisted reactor that the gateway uses."""
 
     def seconds(self) -> float:
-        """The time by which calls are made."""
+        """The reactor's time, in seconds."""
         ...
 
     def callLater(self, delay: float, call: Callable[..., Any], /, *args: Any) -> Any:
-        """Make a call after a delay in seconds."""
+        """Make a call after ``delay`` seconds."""
         ...
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Accept connections at a port."""
+        """Listen on a port."""
         ...
 
     def connectTCP(
@@ -259,5 +268,5 @@
         timeout: float = 30,
         bindAddress: Any = None,  # noqa: N803
     ) -> Any:
-        """Connect to an address; the timeout is in seconds."""
+        """Connect to an address; ``timeout`` is in seconds."""
         ...
--- a/gaugesail/core/request_table.py
+++ b/gaugesail/core/request_table.py
@@ -1,4 +1,4 @@
-"""Requests that are owed an answer, attempts in flight, and the client request ids that either uses."""
+"""Open requests, attempts in flight, and the client request ids that they use."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that is owed its final answer."""
+    """A request that has no final answer yet."""
 
     request_id: int
     request: ClientRequest
     reply: Reply
-    deadline_us: int  # when its client gives up
-    attempts: int = 0  # made so far
+    deadline_us: int  # the client's timeout
+    attempts: int = 0  # so far, counted against the limit
     in_flight: Attempt | None = None
-    latest_result: AttemptResult | None = None  # of its attempts
+    latest_result: AttemptResult | None = None  # of its latest ended attempt
 
 
 class RequestTable:
-    """A client request id stays in use until its request is answered and its attempt has ended."""
+    """Indexes requests and attempts.
+
+    A client request id stays in use until its request is closed and its attempt has ended.
+    """
 
     def __init__(self) -> None:
         self.open: dict[int, OpenRequest] = {}
@@ -31,20 +34,20 @@
         self._ids_in_use: dict[str, int] = {}
 
     def uses_id(self, client_request_id: str) -> bool:
-        """Whether a request of this id is open, or has an attempt in flight."""
+        """Whether a request with this id is open or has an attempt in flight."""
         return client_request_id in self._ids_in_use
 
     def add(self, entry: OpenRequest) -> None:
-        """Enter a request."""
+        """Add an open request."""
         self.open[entry.request_id] = entry
         self._ids_in_use[entry.request.client_request_id] = entry.request_id
 
     def reserve_id(self, client_request_id: str) -> None:
-        """Mark an id as in use for an answer that another process has begun."""
+        """Mark an id as in use for an answer that another process began to stream."""
         self._ids_in_use.setdefault(client_request_id, 0)
 
     def close(self, entry: OpenRequest) -> None:
-        """The request has its final answer, or its client has disconnected: nothing more may be written."""
+        """Close a request that is answered or whose client has disconnected; no more may be sent for it."""
         del self.open[entry.request_id]
         if entry.in_flight is None:
             self.release_id(entry.request.client_request_id)
@@ -52,15 +55,15 @@
             entry.in_flight.request_answered = True
 
     def release_id(self, client_request_id: str) -> None:
-        """Let a client use an id again."""
+        """Allow a client request id to be used again."""
         self._ids_in_use.pop(client_request_id, None)
 
     def add_attempt(self, entry: OpenRequest, attempt: Attempt) -> None:
-        """Enter a request's next attempt."""
+        """Add the next attempt of a request."""
         entry.attempts += 1
         entry.in_flight = attempt
         self.attempts[(attempt.request_id, attempt.number)] = attempt
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """An attempt has ended."""
+        """Remove an attempt that has ended."""
         self.attempts.pop((attempt.request_id, attempt.number), None)
--- a/gaugesail/core/rules.py
+++ b/gaugesail/core/rules.py
@@ -1,7 +1,7 @@
-"""The rules of the wire in one place: what may be sent and started now, and a check of what was.
+"""The rules for sending attempts, and a monitor that detects violations.
 
-``deny_attempt`` is asked as the policy wants an attempt, ``deny_first_byte`` by every transport right before
-an attempt's first byte.  ``RuleMonitor`` looks at what then really happens: a violation is a fault of the
+``deny_attempt`` is checked when the policy starts an attempt, ``deny_first_byte`` by every transport right
+before an attempt's first byte.  ``RuleMonitor`` checks what is really sent: a violation is a fault of the
 gateway, is counted as ``rule_broken_<rule>`` and logged with the steps of its request.
 """
 
@@ -17,37 +17,38 @@
 from .request_table import OpenRequest
 from .trace import Trace
 
-MAX_DRAINING_NODES = 4096  # that are remembered as draining or gone
+MAX_DRAINING_NODES = 4096  # remembered as draining or removed; the oldest is dropped
 
 
 class Denial(Enum):
-    """Why an attempt must not be made, or not begin."""
+    """Why an attempt must not be started, or its first byte not be sent."""
 
-    ANSWERED = "answered"  # its request has its final answer
-    SECOND_COPY = "second_copy"  # another attempt is in flight
+    ANSWERED = "answered"  # the request has its final answer
+    SECOND_COPY = "second_copy"  # another attempt of the request is in flight
     ATTEMPTS_SPENT = "attempts_spent"
     OUT_OF_TIME = "out_of_time"
-    WINDOW_OVER = "window_over"  # of deduplication, or of this gateway's quota
+    WINDOW_OVER = "window_over"  # of deduplication at the nodes, or of this gateway's quota
     CLIENT_LEFT = "client_left"
 
 
 class RuleViolation(Enum):
-    """What must never happen."""
+    """A broken rule; the value is its name in the log."""
 
-    SECOND_COPY = "second_copy"  # an attempt started beside another of its request
+    SECOND_COPY = "second_copy"  # started while another attempt of the request was in flight
     AFTER_ANSWER = "after_answer"
     OUT_OF_TIME = "out_of_time"
     WINDOW_OVER = "window_over"
     DRAINING_NODE = "draining_node"
-    CLOSED_UNANSWERED = "closed_unanswered"  # we closed a client's connection before its request's answer
+    CLOSED_UNANSWERED = "closed_unanswered"  # the gateway closed a client's connection before the answer
 
 
 def deny_attempt(
     entry: OpenRequest | None, deadline_us: int, start_before_us: int, now_us: int
 ) -> Denial | None:
-    """Why no attempt may be made now for a request, which is None once it is answered; None where one may.
+    """Return why no attempt may be started now, or None if one may.
 
-    ``deadline_us`` is that of the attempt.  It must start before ``start_before_us``, where that is not 0.
+    ``entry`` is None if the request is no longer open, ``deadline_us`` is the attempt's deadline, and
+    ``start_before_us`` is the latest start of the attempt; 0 means no limit.
     """
     if entry is None:
         return Denial.ANSWERED
@@ -61,7 +62,7 @@
 
 
 def deny_first_byte(attempt: Attempt, now_us: int) -> Denial | None:
-    """Why the first byte of an attempt may not leave now; None where it may."""
+    """Return why the first byte of an attempt may not be sent now, or None if it may."""
     if attempt.ended or attempt.request_answered:
         return Denial.ANSWERED
     if 0 < attempt.start_before_us <= now_us:
@@ -74,18 +75,18 @@
 
 
 class RuleMonitor:
-    """Watches the attempts that start, whatever allowed them."""
+    """Checks every attempt that starts, independently of the checks that permitted it."""
 
     def __init__(self, drain_grace_us: int, log: Logger, trace: Trace) -> None:
         self.drain_grace_us = drain_grace_us
         self._log = log
         self._trace = trace
         self.violations: Counter[str] = Counter()
-        self._started: dict[str, Attempt] = {}  # by client request id, until they end
-        self._draining: dict[NodeId, int] = {}  # since when we were notified
+        self._started: dict[str, Attempt] = {}  # by client request id, until the attempt ends
+        self._draining: dict[NodeId, int] = {}  # when the gateway was notified
 
     def update_endpoints(self, endpoints: EndpointList, now_us: int) -> None:
-        """Remember which nodes a list names as draining or gone."""
+        """Record which nodes an endpoint list names as draining or removed."""
         if endpoints.kind is EndpointListKind.FULL:
             listed = {endpoint.node_id for endpoint in endpoints.endpoints}
             self._draining = {node: since for node, since in self._draining.items() if node in listed}
@@ -98,7 +99,7 @@
             del self._draining[next(iter(self._draining))]
 
     def attempt_started(self, attempt: Attempt, now_us: int) -> None:
-        """Check an attempt whose first byte leaves."""
+        """Check an attempt whose first byte is being sent."""
         request = attempt.client_request_id
         other = self._started.get(request)
         if other is not None and other is not attempt and not other.ended:
@@ -115,7 +116,7 @@
         self._started[request] = attempt
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """An attempt has its result."""
+        """Forget an attempt that has ended."""
         if self._started.get(attempt.client_request_id) is attempt:
             del self._started[attempt.client_request_id]
 
--- a/gaugesail/core/settings_transition.py
+++ b/gaugesail/core/settings_transition.py
@@ -1,4 +1,4 @@
-"""A change of settings in a running gateway: what is in force while clients use both the old and the new."""
+"""The settings in force during a change, while clients use both the old and the new ones."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from gaugesail.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 TRANSITION_US = 1_500_000  # clients use the new settings 1.2 s after they are notified
-# Each is stricter than the one before.
+# In increasing order of strictness.
 _IDEMPOTENCY_BY_STRICTNESS = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NOT_IDEMPOTENT)
 _SCOPES_BY_STRICTNESS = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.SHARD)
 
 
 def transition_settings(old: Settings, new: Settings) -> Settings:
-    """The new settings, the classes and plans that only the old had, and the stricter of what differs."""
+    """The new settings, plus the classes and plans that only the old ones have, and the stricter values."""
     old_classes = {spec.name: spec for spec in old.classes}
     classes = [_stricter(old_classes.pop(spec.name, spec), spec) for spec in new.classes]
     plan_names = {plan.name for plan in new.plans}
@@ -26,7 +26,7 @@
 
 
 def _stricter(old: RequestClass, new: RequestClass) -> RequestClass:
-    """A class that both have: no deadline is cut short, and nothing is repeated that one of them forbids."""
+    """Merge a class that both settings have: the longer deadline, and no repeat that either one forbids."""
     return replace(
         new,
         deadline_us=max(old.deadline_us, new.deadline_us),
--- a/gaugesail/core/trace.py
+++ b/gaugesail/core/trace.py
@@ -1,7 +1,7 @@
-"""The latest steps of requests and nodes, in memory, for whoever has to find out what happened.
+"""The latest steps of requests and nodes, kept in memory for diagnosis.
 
-Nothing is logged for a single request; this is what answers the question afterwards.  It is read at the
-second address (``GET /trace`` and ``GET /trace/ID``), and a violation of a rule logs its request's steps.
+Single requests are not logged.  The trace is served at the management address (``GET /trace`` and
+``GET /trace/ID``), and a rule violation logs the steps of its request.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class Step(Enum):
-    """What may happen to a request, an attempt or a node; the value is the word that the trace shows."""
+    """A step of a request, an attempt or a node; the value is shown in the trace."""
 
     RECEIVED = "taken"
     NOT_ADMITTED = "turned_away"
-    SENT = "sent"  # handed to the transport
+    SENT = "sent"  # passed to the node transport
     DENIED = "denied"  # not sent, or not started; the detail is the reason
-    STARTED = "started"  # its first byte leaves
-    ENDED = "ended"  # the attempt; the detail is its result
-    STREAMED = "streamed"  # its answer is passed on from its first bytes
+    STARTED = "started"  # its first byte is being sent
+    ENDED = "ended"  # an attempt; the detail is its result
+    STREAMED = "streamed"  # its answer is being streamed
     ANSWERED = "answered"  # the final answer
     CLIENT_LEFT = "client_left"
     LISTED = "listed"  # a node; the detail is its state
 
 
 class TraceEntry(NamedTuple):
-    """One step.  ``at_us`` is the gateway's clock, ``subject`` a client's request id or a node's id."""
+    """One step: ``at_us`` is a time of the gateway's clock, ``subject`` a client request id or a node id."""
 
     at_us: int
     subject: str
@@ -41,19 +41,19 @@
 
 
 class Trace:
-    """A ring of steps."""
+    """A ring buffer of MAX_STEPS steps."""
 
     def __init__(self) -> None:
         self._entries: deque[TraceEntry] = deque(maxlen=MAX_STEPS)
 
     def note(self, now_us: int, subject: str, step: Step, detail: str = "") -> None:
-        """Enter a step; the oldest goes."""
+        """Add a step; when the buffer is full, the oldest is dropped."""
         self._entries.append(TraceEntry(now_us, subject, step, detail))
 
     def steps_of(self, subject: str) -> list[TraceEntry]:
-        """All that is known of one request or node, the oldest first."""
+        """The recorded steps of one request or node, oldest first."""
         return [entry for entry in self._entries if entry.subject == subject]
 
     def latest(self, count: int) -> list[TraceEntry]:
-        """The latest steps, the oldest first."""
+        """The latest ``count`` steps, oldest first."""
         return list(self._entries)[-count:]
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -1,8 +1,8 @@
-"""Replacing a running process: its successor is handed the listening socket of the clients' address.
+"""Replaces a running process by a successor that takes over its listening socket.
 
-The socket itself is passed (SCM_RIGHTS) over a Unix socket in the folder that both processes share, so that
-both have one accept queue and the end of the first resets nothing.  The predecessor says what its successor
-is to know, the successor says when it serves, and both tell each other what operators ask.
+The socket is passed (SCM_RIGHTS) over a Unix socket in the folder that both processes share, so that both use
+one accept queue and the end of the predecessor resets no connection.  The predecessor sends its state, the
+successor reports when it serves, and each forwards operators' calls to the other.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from .net import Connection
 from .state import OperatorCall
 
-REPLY_TIMEOUT_US = 4_000_000  # how long the running process may take to hand over
+REPLY_TIMEOUT_US = 4_000_000  # for the running process to hand over its listening socket
 MAX_LINE_BYTES = 4 * 1024 * 1024
 MAX_SOCKET_PATH_BYTES = 100  # a Unix socket's address holds 108 bytes
 DESCRIPTORS_OF_AN_ANSWER = 2  # its client's and its node's
@@ -48,50 +48,50 @@
 
 @dataclass(slots=True, frozen=True)
 class Takeover:
-    """What the running process hands to its successor."""
+    """What the running process hands over to its successor."""
 
     descriptor: int  # of the listening socket
-    state: dict[str, Any]
+    state: dict[str, Any]  # in the JSON form of the message
 
 
 class Owner(Protocol):
-    """The gateway's process, as its handover sees it."""
+    """The gateway process that a Handover belongs to."""
 
     def offer_takeover(self) -> Takeover | None:
-        """What a successor gets; None where this process has nothing to hand over."""
+        """Return what to hand over to a successor, or None if this process cannot be replaced now."""
         ...
 
     def sibling_process(self, present: bool) -> None:
-        """Another process of this gateway runs beside this one, or no longer."""
+        """Set whether another process of this gateway runs in parallel with this one."""
         ...
 
     def replaced(self, on: bool) -> None:
-        """The successor serves in place of this process, or has died and this one serves again."""
+        """The successor serves in place of this process, or, with ``on`` False, has ended unexpectedly."""
         ...
 
     def follow(self, call: OperatorCall) -> None:
-        """An operator has called the other process."""
+        """Apply an operator's call that the other process received."""
         ...
 
     def predecessor_clients(self, clients: int) -> None:
-        """How many clients the predecessor still holds."""
+        """The predecessor has reported how many client connections it still holds."""
         ...
 
     def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
-        """Go on with a streamed answer of the predecessor."""
+        """Continue a streamed answer of the predecessor."""
         ...
 
 
 @implementer(IFileDescriptorReceiver)
 class HandoverConnection(Connection):
-    """A connection between two processes of one gateway; it lasts as long as both do."""
+    """A connection between two processes of one gateway, open until either of them ends."""
 
     def __init__(self, handover: Handover, is_successor: bool) -> None:
         self._handover = handover
-        self.is_successor = is_successor  # this process is the next one
-        self.successor_serves = False  # the other process has said that it serves
-        self.received_descriptors: deque[int] = deque()  # that nobody has taken yet
-        self.unconfirmed: deque[int] = deque()  # descriptors of ours, until the other process has them
+        self.is_successor = is_successor  # this process is the successor
+        self.successor_serves = False  # reported by the successor
+        self.received_descriptors: deque[int] = deque()  # not yet claimed by a message
+        self.unconfirmed: deque[int] = deque()  # sent descriptors, open until their receipt is confirmed
         self._buffer = bytearray()
 
     def connectionMade(self) -> None:
@@ -99,26 +99,29 @@
         self._handover.connected(self)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        """Twisted: a descriptor has come, ahead of the message that says what it is."""
+        """Twisted: a descriptor has been received, ahead of the message that it belongs to."""
         self.received_descriptors.append(descriptor)
 
-    def take_descriptors(self, count: int) -> list[int]:
-        """Descriptors that came with the latest message.  MalformedMessage where there are too few."""
+    def pop_descriptors(self, count: int) -> list[int]:
+        """Remove and return the next ``count`` received descriptors; raises MalformedMessage if fewer."""
         if len(self.received_descriptors) < count:
-            raise MalformedMessage(f"{count} descriptors are needed, {len(self.received_descriptors)} came")
+            raise MalformedMessage(f"expected {count} descriptors, received {len(self.received_descriptors)}")
         return [self.received_descriptors.popleft() for _ in range(count)]
 
     def hand_over(self, descriptors: Sequence[int], message: HandoverMessage) -> None:
-        """Send descriptors and what they are; ours are closed once the other process has them."""
+        """Send descriptors with their message; they are closed here once their receipt is confirmed."""
         for descriptor in descriptors:
             self.link.sendFileDescriptor(descriptor)
         self.unconfirmed += descriptors
         self.send(message)
 
     def confirm(self, count: int) -> None:
-        """The other process has so many of our descriptors.  MalformedMessage where there are fewer."""
+        """Close the next ``count`` sent descriptors, as the other process has received them.
+
+        Raises MalformedMessage if fewer are unconfirmed.
+        """
         if len(self.unconfirmed) < count:
-            raise MalformedMessage(f"{count} descriptors are confirmed, {len(self.unconfirmed)} were sent")
+            raise MalformedMessage(f"{count} descriptors confirmed, but {len(self.unconfirmed)} unconfirmed")
         for _ in range(count):
             os.close(self.unconfirmed.popleft())
 
@@ -127,7 +130,7 @@
         self.link.write(encode(message))
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes have come; each whole line is a message."""
+        """Twisted: decode the received bytes; each line is a message."""
         self._buffer += data
         while (end := self._buffer.find(b"\n")) >= 0:
             line = bytes(self._buffer[:end])
@@ -135,7 +138,7 @@
             try:
                 self._handover.received(self, decode(line))
             except (ValueError, LookupError, TypeError, AttributeError) as error:
-                # A message may be well-formed and its state not: the owner finds that only as it uses it.
+                # The state in a well-formed message may be malformed, which the owner finds only in use.
                 self._handover.log.error("handover_message_malformed", error=repr(error))
                 self.link.abortConnection()
                 return
@@ -143,7 +146,7 @@
             self.link.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection has ended; descriptors that nobody took are closed."""
+        """Twisted: the connection has ended; close the descriptors that are left."""
         for descriptor in (*self.received_descriptors, *self.unconfirmed):
             os.close(descriptor)
         self.received_descriptors.clear()
@@ -163,7 +166,10 @@
 
 
 class Handover:
-    """The Unix socket of one process, and its connections to its predecessor and its successor."""
+    """The Unix socket of one process, and its connections to its predecessor and its successor.
+
+    Without a ``folder`` nothing is handed over.  ``listen`` is the clients' address, which names the socket.
+    """
 
     def __init__(
         self,
@@ -180,7 +186,7 @@
         self._owner = owner
         self._folder = Path(folder) if folder else None
         self._base_name = f"gaugesail-{listen[0]}-{listen[1]}"
-        # Each process has a socket of its own name, with a link to the latest: an ending one removes its own.
+        # Each process has its own socket, which it removes at its end; a symlink names the latest one.
         self._socket_name = f"{self._base_name}.{os.urandom(6).hex()}.sock"
         self._folder_descriptor: int | None = None
         self._port: Any = None
@@ -194,7 +200,7 @@
         return f"{self._base_name}.sock"
 
     def _path(self, name: str) -> str:
-        """A path of the folder that is short enough for a Unix socket's address."""
+        """The path of a name in the folder, short enough for a Unix socket's address."""
         assert self._folder is not None
         path = str(self._folder / name)
         if len(path.encode()) <= MAX_SOCKET_PATH_BYTES:
@@ -206,7 +212,7 @@
     # ---- as the successor ----
 
     def request_takeover(self) -> Deferred[Takeover | None]:
-        """Ask the running process for its listening socket; None where no process answers."""
+        """Request the running process's listening socket; the result is None if no process answers."""
         if self._folder is None or not os.path.lexists(self._folder / self._link_name):
             return succeed(None)
         requested: Deferred[Takeover | None] = Deferred()
@@ -223,36 +229,36 @@
         return requested
 
     def _no_takeover(self, why: str) -> None:
-        """No process hands its listening socket over; nothing where the request has its answer already."""
-        if (requested := self._take_request()) is None:
+        """Resolve the pending request with None, as no process hands over; no-op if it is resolved."""
+        if (requested := self._pop_request()) is None:
             return
         self.log.info("no_predecessor", why=why)
         for connection in list(self._connections):
             connection.link.abortConnection()
         requested.callback(None)
 
-    def _take_request(self) -> Deferred[Takeover | None] | None:
-        """The request that waits for an answer, which it now gets; None where none waits."""
+    def _pop_request(self) -> Deferred[Takeover | None] | None:
+        """Remove and return the pending request and cancel its timeout; None if there is none."""
         requested, self._requested = self._requested, None
         if requested is not None and self._timeout is not None and self._timeout.active():
             self._timeout.cancel()
         return requested
 
     def announce_serving(self) -> None:
-        """This process serves: its predecessor hears of it, and its successor will find it."""
+        """Notify the predecessor that this process serves, and listen for a successor."""
         for connection in self._connections:
             if connection.is_successor:
                 connection.send(SuccessorServing())
         if self._folder is None or self._closed:
             return
-        # Whatever is wrong with the folder keeps nobody from serving; only a successor can't take over.
+        # A fault of the folder must not stop this process from serving; only a handover becomes impossible.
         try:
             self._listen(self._folder)
-        except Exception as error:  # Twisted raises errors of its own for what the system refuses
+        except Exception as error:  # Twisted wraps system errors in exceptions of its own
             self.log.warning("handover_unavailable", error=repr(error))
 
     def _listen(self, folder: Path) -> None:
-        """Listen at a name of our own, and point the link that successors follow to it."""
+        """Listen on this process's own socket, and point the symlink that successors use to it."""
         factory = _ConnectionFactory(self, False)
         self._port = self._reactor.listenUNIX(self._path(self._socket_name), factory, mode=0o600)
         link = folder / self._link_name
@@ -260,14 +266,14 @@
         fresh.symlink_to(self._socket_name)
         previous = folder / os.readlink(link) if link.is_symlink() else None
         fresh.replace(link)
-        if previous is not None and not self._connections:  # of a process that was killed
+        if previous is not None and not self._connections:  # left behind by a process that was killed
             previous.unlink(missing_ok=True)
 
     # ---- as the predecessor ----
 
     @property
     def successor(self) -> HandoverConnection | None:
-        """The connection to the successor, once that serves."""
+        """The connection to the successor, or None until it serves."""
         for connection in self._connections:
             if connection.successor_serves and not connection.is_successor:
                 return connection
@@ -275,36 +281,36 @@
 
     @property
     def unconfirmed(self) -> bool:
-        """The successor has not yet said that it has all that was handed over."""
+        """Whether the receipt of any sent descriptor is not yet confirmed."""
         return any(connection.unconfirmed for connection in self._connections)
 
     def hand_over_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
-        """Hand a streamed answer over, as the descriptors of its client and its node."""
+        """Hand over a streamed answer, with the descriptors of its client and its node."""
         successor = self.successor
         assert successor is not None
         successor.hand_over(descriptors, AnswerOffer(state))
 
     def report_clients(self, clients: int) -> None:
-        """Tell the successor how many client connections this process still holds."""
+        """Report to the successor how many client connections this process still holds."""
         if (successor := self.successor) is not None:
             successor.send(ClientCount(clients))
 
     def announce_call(self, call: OperatorCall) -> None:
-        """Tell the other process what an operator has asked of this one."""
+        """Forward an operator's call to the other process."""
         for connection in self._connections:
             connection.send(CallMade(call))
 
     # ---- connections ----
 
     def connected(self, connection: HandoverConnection) -> None:
-        """A connection to the other process is open."""
+        """Handle a connection to the other process that has opened."""
         if connection.is_successor:
-            if self._requested is None:  # it came too late: we have begun without it
+            if self._requested is None:  # too late: this process started without a takeover
                 connection.link.abortConnection()
             else:
                 self._connections.append(connection)
             return
-        # One at a time: what is handed to one successor is not handed to another beside it.
+        # One successor at a time: the state must not be handed over to two.
         takeover = None if self._connections or self._closed else self._owner.offer_takeover()
         if takeover is None:
             connection.link.loseConnection()
@@ -315,12 +321,12 @@
         self._owner.sibling_process(True)
 
     def received(self, connection: HandoverConnection, message: HandoverMessage | None) -> None:
-        """Act on a message.  MalformedMessage where it does not fit what came before it."""
+        """Handle a message; raises MalformedMessage if it does not fit the previous ones."""
         match message:
             case TakeoverOffer():
                 self._take_over(connection, message)
             case AnswerOffer():
-                descriptors = connection.take_descriptors(DESCRIPTORS_OF_AN_ANSWER)
+                descriptors = connection.pop_descriptors(DESCRIPTORS_OF_AN_ANSWER)
                 connection.send(DescriptorsTaken(len(descriptors)))
                 self._owner.continue_answer(descriptors, message.state)
             case DescriptorsTaken():
@@ -335,26 +341,29 @@
 
     def _take_over(self, connection: HandoverConnection, offer: TakeoverOffer) -> None:
         if offer.version != VERSION or not connection.received_descriptors or self._requested is None:
-            raise MalformedMessage("not what this version can take over")
+            raise MalformedMessage(
+                f"expected a requested takeover of version {VERSION} with a descriptor,"
+                f" received version {offer.version}"
+            )
         self._owner.sibling_process(True)
         takeover = Takeover(connection.received_descriptors.popleft(), offer.state)
-        if (requested := self._take_request()) is not None:
+        if (requested := self._pop_request()) is not None:
             requested.callback(takeover)
 
     def disconnected(self, connection: HandoverConnection) -> None:
-        """A connection to the other process has ended."""
+        """Handle the end of a connection to the other process."""
         if connection not in self._connections:
             return
         self._connections.remove(connection)
         if self._closed:
             return
-        self._no_takeover("it went away")
+        self._no_takeover("connection closed")
         self._owner.sibling_process(bool(self._connections))
         if connection.successor_serves and not connection.is_successor:
-            self._owner.replaced(False)  # the successor died: this process goes on
+            self._owner.replaced(False)  # the successor ended unexpectedly: this process serves again
 
     def close(self) -> None:
-        """This process ends; the socket's own name goes with it, and the link where it is still ours."""
+        """Close the connections, and remove the socket, and the symlink if it still names this socket."""
         self._closed = True
         for connection in list(self._connections):
             connection.link.loseConnection()
@@ -365,7 +374,7 @@
             link = self._folder / self._link_name
             if link.is_symlink() and os.readlink(link) == self._socket_name:
                 link.unlink()
-        except OSError as error:  # the next process finds a link to nobody, and listens by itself
+        except OSError as error:  # the next process finds a dangling link, and opens its own listening socket
             self.log.warning("handover_socket_not_removed", error=repr(error))
 
     def _not_removed(self, failure: Failure) -> None:
@@ -373,8 +382,8 @@
 
 
 def adopt_port(reactor: Any, descriptor: int, factory: Any) -> Any:
-    """The listening port of a descriptor that was handed over; it does not accept yet."""
+    """Return the listening port of a descriptor that was handed over; it does not accept yet."""
     port = reactor.adoptStreamPort(descriptor, socket.AF_INET, factory)
     port.stopReading()
-    os.close(descriptor)  # the port has its own
+    os.close(descriptor)  # the port has duplicated it
     return port
--- a/gaugesail/handover_messages.py
+++ b/gaugesail/handover_messages.py
@@ -1,7 +1,7 @@
-"""What two processes of one gateway say to each other, a JSON object a line.
+"""The messages between two processes of one gateway, one JSON object per line.
 
-The keys are those that earlier versions know; they are mapped to typed messages here and nowhere else.
-Processes of different versions run beside each other for seconds at every upgrade.
+At every upgrade, processes of different versions run in parallel for seconds, so the keys stay those of
+earlier versions; only this module maps them to typed messages.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class MalformedMessage(ValueError):
-    """A line from the other process cannot be read; the text says why."""
+    """A line from the other process is not a valid message; the text names the fault."""
 
 
 @dataclass(slots=True, frozen=True)
 class TakeoverOffer:
-    """The running process hands its listening socket over; the descriptor comes with this message."""
+    """The running process hands over its listening socket, whose descriptor accompanies this message."""
 
-    state: dict[str, Any]  # what the successor is to know
+    state: dict[str, Any]  # for the successor; see Service.offer_takeover
     version: int = VERSION
 
 
 @dataclass(slots=True, frozen=True)
 class SuccessorServing:
-    """The successor serves from here on."""
+    """The successor serves from now on."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,21 +41,24 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerOffer:
-    """A streamed answer goes on in the successor; descriptors of its client and its node come with this."""
+    """The successor is to continue a streamed answer, whose two descriptors accompany this message.
+
+    They are those of its client's and its node's connection.
+    """
 
     state: dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class DescriptorsTaken:
-    """The other process has so many of the descriptors that were handed over."""
+    """The other process has received the next ``count`` of the descriptors sent to it."""
 
     count: int
 
 
 @dataclass(slots=True, frozen=True)
 class CallMade:
-    """An operator has called the other process; the call binds both."""
+    """The other process received an operator's call, which applies to both."""
 
     call: OperatorCall
 
@@ -64,7 +67,7 @@
 
 
 def encode(message: HandoverMessage) -> bytes:
-    """A message as one line."""
+    """Encode a message as one line."""
     return json.dumps(_to_json(message)).encode() + b"\n"
 
 
@@ -87,9 +90,9 @@
 
 
 def decode(line: bytes) -> HandoverMessage | None:
-    """The message of one line; None for one of a kind that this version does not know.
+    """Decode one line; returns None for a kind of message that this version does not know.
 
-    Raises MalformedMessage where the line is no such object, or a value has the wrong form.
+    Raises MalformedMessage if the line is not a JSON object or a value has the wrong type.
     """
     try:
         return _from_json(json.loads(line))
@@ -97,19 +100,19 @@
         raise MalformedMessage(repr(error)) from None
 
 
-def _from_json(told: Any) -> HandoverMessage | None:
-    if "known" in told:
-        return TakeoverOffer(told["known"], told["version"])
-    if "stream" in told:
-        return AnswerOffer(told["stream"])
-    if "took" in told:
-        return DescriptorsTaken(int(told["took"]))
-    if "serving" in told:
+def _from_json(data: Any) -> HandoverMessage | None:
+    if "known" in data:
+        return TakeoverOffer(data["known"], data["version"])
+    if "stream" in data:
+        return AnswerOffer(data["stream"])
+    if "took" in data:
+        return DescriptorsTaken(int(data["took"]))
+    if "serving" in data:
         return SuccessorServing()
-    if "clients" in told:
-        return ClientCount(int(told["clients"]))
-    if "node" in told:
-        name = told["node"]
+    if "clients" in data:
+        return ClientCount(int(data["clients"]))
+    if "node" in data:
+        name = data["node"]
         node_id = str(name).encode() if name is not None else None
-        return CallMade(OperatorCall(node_id, told["on"] is True))
+        return CallMade(OperatorCall(node_id, data["on"] is True))
     return None
--- a/gaugesail/listening.py
+++ b/gaugesail/listening.py
@@ -1,8 +1,8 @@
 """Listening ports that lose no connection to a shortage of descriptors.
 
-Twisted answers EMFILE at an accept by accepting with a descriptor that it keeps in reserve, and closing what
-it accepted: a request that is already on its way is lost.  Here connections wait in the kernel until there is
-room again, and a port accepts no more at once than its front has places.
+On EMFILE, Twisted accepts the connection with a reserved descriptor and closes it, so that a request already
+sent on it is lost.  Here connections wait in the kernel until descriptors are free again, and a port accepts
+no more connections at once than there are free places.
 """
 
 from __future__ import annotations
@@ -18,92 +18,94 @@
 from .core.ports import Clock, DelayedCall, Logger
 
 SHORTAGES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-ACCEPT_RETRY_US = 20_000  # after a shortage, until the next accept
-# A predecessor that was told to end does so, or is killed, the longest deadline and 0.7 s later; a gateway
-# has 30 s to be ready.
+ACCEPT_RETRY_US = 20_000  # delay of the next accept after a shortage
+# After SIGTERM a predecessor ends, or is killed, within the longest deadline plus 0.7 s; a gateway must be
+# ready within 30 s.
 ADDRESS_TIMEOUT_US = 25_000_000
 ADDRESS_RETRY_US = 50_000
 
 
-class _PatientSocket(socket.socket):
-    """A listening socket on which an accept that finds no descriptor looks like one that finds no caller."""
+class _ShortageAwareSocket(socket.socket):
+    """A listening socket whose accept reports a shortage of descriptors as EAGAIN."""
 
-    short = False  # the latest accept met a shortage
+    shortage = False  # whether the latest accept failed for one
 
     def accept(self) -> tuple[socket.socket, Any]:
-        self.short = False
+        self.shortage = False
         try:
             return super().accept()
         except OSError as error:
             if error.errno not in SHORTAGES:
                 raise
-            self.short = True
+            self.shortage = True
             raise BlockingIOError(errno.EAGAIN, "no descriptor is free") from None
 
 
 class ListeningPort:
-    """What a head does with a Twisted port: it accepts in bounded steps, and waits where descriptors are
-    short.
+    """Makes a Twisted port accept in bounded steps, and pause when descriptors run out.
 
-    ``room`` is how many more connections may come; ``wanted`` whether the port is to accept at all.  In
-    memory, where a port accepts by itself, nothing is short.
+    ``free_places`` returns how many more connections may be accepted, ``accepting`` whether the port is to
+    accept at all.  A port in memory accepts by itself and has no shortage.
     """
 
-    def __init__(self, port: Any, clock: Clock, room: Callable[[], int], wanted: Callable[[], bool]) -> None:
-        self._port, self._clock, self._room, self._wanted = port, clock, room, wanted
-        self._again: DelayedCall | None = None
-        self._socket: _PatientSocket | None = None
+    def __init__(
+        self, port: Any, clock: Clock, free_places: Callable[[], int], accepting: Callable[[], bool]
+    ) -> None:
+        self._port, self._clock, self._free_places, self._accepting = port, clock, free_places, accepting
+        self._resume_call: DelayedCall | None = None
+        self._socket: _ShortageAwareSocket | None = None
         if isinstance(getattr(port, "socket", None), socket.socket):
-            self._socket = port.socket = _PatientSocket(fileno=port.socket.detach())
+            self._socket = port.socket = _ShortageAwareSocket(fileno=port.socket.detach())
             port.fileno = self._socket.fileno
         self._accept = getattr(port, "doRead", None)
         if self._accept is not None:
             port.doRead = self._accept_some
 
     def _accept_some(self) -> None:
-        """Twisted accepts up to 100 in a burst, whatever its factory does meanwhile."""
+        """Accept as many connections as there are free places; Twisted alone accepts up to 100 at once."""
         assert self._accept is not None
-        self._port.numberAccepts = max(1, self._room())
+        self._port.numberAccepts = max(1, self._free_places())
         self._accept()
-        if self.short and self._again is None:
+        if self.shortage and self._resume_call is None:
             self._port.stopReading()
-            self._again = self._clock.call_later(ACCEPT_RETRY_US, self._resume)
+            self._resume_call = self._clock.call_later(ACCEPT_RETRY_US, self._resume)
 
     def _resume(self) -> None:
-        self._again = None
-        if self._wanted() and self._port.connected:
+        self._resume_call = None
+        if self._accepting() and self._port.connected:
             self._port.startReading()
 
     @property
-    def short(self) -> bool:
-        """Connections may wait in the kernel for which there was no descriptor."""
-        return self._socket is not None and self._socket.short
+    def shortage(self) -> bool:
+        """Whether connections may be queued in the kernel for want of a descriptor."""
+        return self._socket is not None and self._socket.shortage
 
     def accept_pending(self) -> None:
-        """Accept what the kernel has accepted for us: closing the port would reset it, and its request."""
+        """Accept the connections queued in the kernel, which closing the port would reset."""
         if self._accept is not None:
             self._accept_some()
 
 
 def retry_while_in_use(clock: Clock, log: Logger, listen: Callable[[], None]) -> Deferred[None]:
-    """Call ``listen`` until its address is free: a predecessor on its way out may have it for a while yet.
+    """Call ``listen`` until its address is free, as a predecessor that is ending may still use it.
 
-    The Deferred fails with what ``listen`` raised; with CannotListenError only after ``ADDRESS_TIMEOUT_US``.
+    The Deferred fails with the exception of ``listen``; CannotListenError is retried for
+    ``ADDRESS_TIMEOUT_US``.
     """
     done: Deferred[None] = Deferred()
-    last_try_at = clock.now_us() + ADDRESS_TIMEOUT_US
-    waits_logged = False
+    last_attempt_us = clock.now_us() + ADDRESS_TIMEOUT_US
+    wait_logged = False
 
     def attempt() -> None:
-        nonlocal waits_logged
+        nonlocal wait_logged
         try:
             listen()
         except CannotListenError as error:
-            if clock.now_us() >= last_try_at:
+            if clock.now_us() >= last_attempt_us:
                 done.errback()
                 return
-            if not waits_logged:
-                waits_logged = True
+            if not wait_logged:
+                wait_logged = True
                 log.warning("address_awaited", error=repr(error))
             clock.call_later(ADDRESS_RETRY_US, attempt)
         except Exception:
--- a/gaugesail/logs.py
+++ b/gaugesail/logs.py
@@ -1,4 +1,4 @@
-"""structlog on standard error, one line of key=value an event; nothing is logged for a single request."""
+"""Logging by structlog to standard error, one logfmt line per event; single requests are not logged."""
 
 from __future__ import annotations
 
@@ -11,47 +11,50 @@
 
 from .core.ports import Logger
 
-MOST_A_SECOND = 5  # lines of one event
+MAX_LINES_PER_SECOND = 5  # of one event
 
 
-class LimitedLogger:
-    """Lets each event through a few times a second: a misbehaving peer must not fill the log."""
+class RateLimitedLogger:
+    """Limits each event to MAX_LINES_PER_SECOND, so that a misbehaving peer cannot flood the log."""
 
     def __init__(self, log: Logger, now_us: Callable[[], int]) -> None:
         self._log, self._now_us = log, now_us
         self._second = 0
-        self._seen: Counter[str] = Counter()
+        self._lines: Counter[str] = Counter()
         self.dropped = 0
 
-    def _may(self, event: str) -> bool:
+    def _within_limit(self, event: str) -> bool:
         second = self._now_us() // 1_000_000
         if second != self._second:
             self._second = second
-            self._seen.clear()
-        self._seen[event] += 1
-        if self._seen[event] > MOST_A_SECOND:
+            self._lines.clear()
+        self._lines[event] += 1
+        if self._lines[event] > MAX_LINES_PER_SECOND:
             self.dropped += 1
             return False
         return True
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log at level info, within the rate."""
-        if self._may(event):
+        """Log at level info, unless the rate limit is reached."""
+        if self._within_limit(event):
             self._log.info(event, **fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log at level warning, within the rate."""
-        if self._may(event):
+        """Log at level warning, unless the rate limit is reached."""
+        if self._within_limit(event):
             self._log.warning(event, **fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Log at level error, within the rate."""
-        if self._may(event):
+        """Log at level error, unless the rate limit is reached."""
+        if self._within_limit(event):
             self._log.error(event, **fields)
 
 
 def make_logger(stream: TextIO | None = None, **bound: Any) -> Logger:
-    """A logger of its own, without touching structlog's global configuration."""
+    """Create a logger that does not use structlog's global configuration.
+
+    It writes to ``stream``, by default standard error, and adds ``bound`` to every line.
+    """
     logger: Logger = structlog.wrap_logger(
         structlog.PrintLogger(stream or sys.stderr),
         processors=[
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -1,4 +1,4 @@
-"""What the wires share of Twisted: a connection with a plain link, and a way to dial."""
+"""Helpers on top of Twisted that all wire protocols share: connections, socket state and dialling."""
 
 from __future__ import annotations
 
@@ -17,34 +17,39 @@
 
 from .core.ports import Clock
 
-LOOK_US = 40_000  # a look at the sockets that is older is taken again, at the one that matters
-WAITED_LEAST_MS = 20  # shorter waits unread are of no account
-WAITED_MOST_MS = 60_000  # beyond that no client waits, and the figure is taken for none
+MAX_POLL_AGE_US = 40_000  # after an older pass over the sockets, the socket in question is polled itself
+MIN_KERNEL_WAIT_MS = 20  # shorter waits are negligible
+MAX_KERNEL_WAIT_MS = 60_000  # no client waits longer: a larger value is ignored
 _TCP_INFO = struct.Struct("=52xI")  # struct tcp_info up to tcpi_last_data_recv, milliseconds
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+POLL_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class Connection(Protocol):
-    """A protocol whose transport is read as ``link``: Twisted's zope interfaces say nothing to mypy."""
+    """A protocol whose transport is available, untyped, as ``link``."""
 
     lost = False
-    last_received_us = 0  # when the latest bytes came, where that is kept
+    last_received_us = 0  # when the latest bytes arrived, in subclasses that record it
 
     @property
     def link(self) -> Any:
-        """The transport, untyped: Twisted's interfaces are not known to mypy."""
+        """The transport, untyped, as mypy does not understand Twisted's zope interfaces."""
         return self.transport
 
     def may_have_unread(self, clock: Clock) -> bool:
-        """What it has sent may lie unread: something came in the latest look itself, so that more may be
-        behind, or that look was long ago, as the loop is busy with others."""
+        """Whether data from the peer may be unread.
+
+        That is so if bytes arrived in the latest pass over the sockets, so that more may follow them, or if
+        that pass is older than MAX_POLL_AGE_US, as the reactor is busy with other connections.
+        """
         polled = clock.polled_us
-        return self.last_received_us >= polled or clock.now_us() - polled > LOOK_US
+        return self.last_received_us >= polled or clock.now_us() - polled > MAX_POLL_AGE_US
+
+    def peer_closed(self, may_have_unread: bool) -> bool:
+        """Whether the peer has closed the connection.
 
-    def peer_closed(self, behind: bool) -> bool:
-        """The other side has gone.  Reading tells so; where its end may lie behind what is not read, the
-        socket is asked."""
-        if not self.lost and behind and hung_up(self.link):
+        Reading detects that; if data may be unread, and the close behind it, the socket is polled as well.
+        """
+        if not self.lost and may_have_unread and hung_up(self.link):
             self.link.abortConnection()
             return True
         return self.lost
@@ -61,29 +66,29 @@
 
 
 def available_descriptors(configured: int) -> int:
-    """How many descriptors this process may have: as configured, but no more than the system gives."""
+    """The number of descriptors of this process: as configured, but at most the system's limit."""
     system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return configured if system == resource.RLIM_INFINITY else min(configured, system)
 
 
 def hung_up(link: Any) -> bool:
-    """Whether the other side has ended its sending, or the connection, though we may not have read so far.
+    """Whether the peer has shut down sending, or closed the connection, even if that has not been read yet.
 
-    Reading tells that only behind all that was sent before, and not at all while it is paused.
+    Reading detects that only after all earlier data, and not at all while it is paused.
     """
-    return bool(_polled(link) & ENDED)
+    return bool(_poll_events(link) & POLL_ENDED)
 
 
 def unread(link: Any) -> bool:
-    """Whether anything has come that was not read yet: bytes, or the connection's end."""
-    return bool(_polled(link) & (ENDED | select.POLLIN))
+    """Whether the socket has unread input: bytes, or the end of the connection."""
+    return bool(_poll_events(link) & (POLL_ENDED | select.POLLIN))
 
 
 def kernel_wait_us(link: Any, clock: Clock) -> int:
-    """For how long the latest bytes that have come lay unread in our kernel, in microseconds, as the kernel
-    counts it (tcp(7), ``TCP_INFO``); 0 where it does not say, or where that is of no account.
+    """How long the latest received bytes have been unread in the kernel, in microseconds.
 
-    A connection may wait to be accepted, and this process may have stood still.
+    The kernel measures it (tcp(7), ``TCP_INFO``); 0 if it is not available, negligible or implausible.  Bytes
+    wait while a connection is not accepted yet, or while this process is suspended.
     """
     connection = getattr(link, "socket", None)
     if not clock.matches_kernel_clock or not isinstance(connection, socket.socket):
@@ -93,29 +98,29 @@
     except OSError:
         return 0
     waited_ms: int = _TCP_INFO.unpack(info)[0] if len(info) == _TCP_INFO.size else 0
-    return waited_ms * 1000 if WAITED_LEAST_MS <= waited_ms <= WAITED_MOST_MS else 0
+    return waited_ms * 1000 if MIN_KERNEL_WAIT_MS <= waited_ms <= MAX_KERNEL_WAIT_MS else 0
 
 
-def _polled(link: Any) -> int:
+def _poll_events(link: Any) -> int:
     connection = getattr(link, "socket", None)
     if not isinstance(connection, socket.socket) or connection.fileno() < 0:
         return 0  # in memory, or closed already
-    look = select.poll()
-    look.register(connection.fileno(), select.POLLIN | select.POLLRDHUP)
-    return next((found for _, found in look.poll(0)), 0)
+    poller = select.poll()
+    poller.register(connection.fileno(), select.POLLIN | select.POLLRDHUP)
+    return next((events for _, events in poller.poll(0)), 0)
 
 
 def send_now(link: Any, data: bytes) -> bool:
-    """Write, and send at once as much as the system takes; whether that is all.
+    """Write data, sending as much as the system accepts in this call; returns whether that is all of it.
 
-    Twisted sends at the end of a turn, which may last: what was looked at before the first byte, that its
-    client is there, say, would be old by then.  Where something has come unread, the other side's end, say,
-    that is read first, as Twisted would.
+    Twisted sends at the end of the reactor turn, which may take long, so that checks made before the first
+    byte, for example that the client is still connected, would be outdated.  If the socket has unread input,
+    for example the peer's close, the data is left to Twisted, which reads first.
     """
     connection = getattr(link, "socket", None)
     plain = isinstance(connection, socket.socket) and not (link.dataBuffer or link._tempDataLen)
     if connection is not None and plain and not unread(link):
-        with suppress(OSError):  # full, or broken: what is left is written the usual way, which tells
+        with suppress(OSError):  # full or broken: the rest is written by Twisted, which reports the error
             data = data[connection.send(data) :]
     if data:
         link.write(data)
@@ -123,15 +128,18 @@
 
 
 def abort(link: Any) -> None:
-    """End a connection in this call: Twisted closes it a turn later, and what is written before that, to
-    another node, say, would be beside what this one carries."""
-    with suppress(AttributeError, OSError):  # in memory, or it has ended already
+    """Abort a connection within this call.
+
+    Twisted closes it one turn later; an attempt written meanwhile, for example to another node, would run in
+    parallel with the one on this connection.
+    """
+    with suppress(AttributeError, OSError):  # in memory, or already closed
         link.socket.shutdown(socket.SHUT_WR)
     link.abortConnection()
 
 
 class DrainNotifier:
-    """A pull producer that calls once, when all that was written has left the transport's buffer."""
+    """A pull producer that makes one call when all written data has left the transport's buffer."""
 
     def __init__(self, link: Any, call: Callable[[], None]) -> None:
         self._link, self._call, self._first = link, call, True
@@ -139,25 +147,27 @@
         link.startWriting()
 
     def resumeProducing(self) -> None:
-        """Twisted: all that was written has left; the first call is the one that registering makes."""
+        """Twisted: the buffer is empty; the first call comes from registering and is ignored."""
         if self._first:
-            self._first = False  # the call that registering makes
+            self._first = False
             return
         self._link.unregisterProducer()
         self._call()
 
     def pauseProducing(self) -> None:
-        """Twisted: nothing to pause."""
+        """Twisted: a pull producer has nothing to pause."""
         pass
 
     def stopProducing(self) -> None:
-        """Twisted: the connection has ended; nobody is called."""
+        """Twisted: the connection has ended; no call is made."""
         pass
 
 
 def detach(link: Any) -> int:
-    """Take a connection's descriptor away from Twisted.  The connection goes on elsewhere: Twisted's own ways
-    to end its part would shut it down, or set it to be reset, for every process that holds it."""
+    """Detach a connection's descriptor from Twisted and return it, so that another process can continue it.
+
+    Closing it through Twisted would shut the connection down, or reset it, for every process that holds it.
+    """
     link.stopReading()
     link.stopWriting()
     descriptor: int = link.socket.detach()
@@ -165,23 +175,26 @@
 
 
 def reset(descriptor: int) -> None:
-    """End a connection that nobody serves so that its other side sees that something is missing."""
+    """Reset a connection, so that its peer does not mistake its end for a regular close."""
     with socket.socket(fileno=descriptor) as broken:
         broken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def attach(reactor: Any, descriptor: int, connection: Connection) -> None:
-    """Serve a connection whose descriptor was handed over; OSError if its other side has gone."""
+    """Serve a connection whose descriptor was handed over; raises OSError if its peer has closed it."""
     try:
         reactor.adoptStreamConnection(descriptor, socket.AF_INET, _Factory(lambda: connection))
     finally:
-        os.close(descriptor)  # the transport has its own
+        os.close(descriptor)  # the transport has duplicated it
 
 
 def dial(
     reactor: Any, address: tuple[str, int], timeout_s: float, build: Callable[[], Connection]
 ) -> Deferred[Any]:
-    """Connect to an address; the Deferred has the connection, and cancelling it ends the dial."""
+    """Connect to an address within ``timeout_s``; the Deferred's result is the connection made by ``build``.
+
+    Cancelling the Deferred aborts the dial.
+    """
     endpoint = TCP4ClientEndpoint(reactor, *address, timeout=timeout_s)
     factory: Any = _Factory(build)
     found: Deferred[Any] = endpoint.connect(factory)
--- a/gaugesail/operations.py
+++ b/gaugesail/operations.py
@@ -1,6 +1,6 @@
-"""What operators ask of a running gateway, on any wire: nodes in maintenance, clients drained.
+"""Operators' calls to a running gateway, on any wire protocol: node maintenance and client draining.
 
-A call is written down for the next process before it is carried out and answered.
+A call is saved for the next process before it is carried out and answered.
 """
 
 from __future__ import annotations
@@ -14,34 +14,39 @@
 from .core.ports import Logger
 from .state import OperatorCall, State, StateError, StateFile, StateUnreadable
 
-TRACE_SHOWN = 500  # steps in one answer
+MAX_TRACE_STEPS = 500  # in one answer
 
 
 class StateNotKnown(Exception):
-    """The process does not know yet what was asked of its predecessor: the call has to come again."""
+    """The state file has not been read yet, so that the call must be repeated later."""
 
 
 class Drain(Protocol):
-    """Whether clients are to leave."""
+    """The draining of clients."""
 
     on: bool
 
-    def set(self, on: bool) -> None: ...
+    def set(self, on: bool) -> None:
+        """Start or stop draining."""
+        ...
 
 
 class DrainableClients(Protocol):
-    """The server of clients, as far as operators' calls concern it."""
+    """The subset of the client server that operators' calls use."""
 
     drain: Drain
 
     @property
-    def serving(self) -> bool: ...
+    def serving(self) -> bool:
+        """Whether requests are served."""
+        ...
 
 
 class Operations:
-    """Carries out what operators ask, and keeps it for the next process.
+    """Carries out operators' calls, and saves the resulting state for the next process.
 
-    A sibling process is told each call by itself: two calls may be made at once, one at either process.
+    ``announce`` forwards each call, not the resulting state, to a sibling process: both processes may receive
+    a call at the same time.
     """
 
     def __init__(
@@ -59,20 +64,20 @@
         self._log = log
         self.stopping = False
         self._restored = False
-        self._unwritten = False  # what is in force is not in the file yet
+        self._unwritten = False  # the file does not hold the state in force yet
 
     @property
     def serving(self) -> bool:
-        """Whether this process serves, as health checks are told."""
+        """Whether this process serves, as reported to health checks."""
         return self._clients.serving and not self.stopping
 
     # ---- the file ----
 
     def restore(self) -> None:
-        """Take up what was asked of an earlier process; before the policy hears its first list."""
+        """Apply the state that an earlier process saved, before the policy gets its first endpoint list."""
         try:
             state = self._file.read()
-        except StateUnreadable as error:  # asked for again by ``sweep``: until then no call may overwrite it
+        except StateUnreadable as error:  # retried by ``sweep``; until then no call may overwrite the file
             self._log.error("state_unreadable", error=str(error))
             return
         except StateError as error:
@@ -85,14 +90,14 @@
             self._carry_out(OperatorCall(None, True))
 
     def sweep(self) -> None:
-        """Make up for what the folder did not allow before."""
+        """Retry reading or writing the file if that failed before."""
         if not self._restored:
             self.restore()
         elif self._unwritten:
             self._write_current()
 
     def _write_current(self) -> None:
-        """Write down what is in force; where that fails it is done later, as it was promised already."""
+        """Save the state in force; a failure is retried by ``sweep``, as its calls were acknowledged."""
         state = State(frozenset(self._engine.in_maintenance), self._clients.drain.on)
         try:
             self._file.write(state)
@@ -105,16 +110,16 @@
     # ---- calls ----
 
     def drain(self, on: bool) -> None:
-        """Drain clients, or take them again.
+        """Start or stop draining clients.
 
-        Raises OSError where the call cannot be kept, StateNotKnown where it comes too early.
+        Raises OSError if the call cannot be saved, StateNotKnown if the state file has not been read yet.
         """
         self._accept(OperatorCall(None, on))
 
     def maintain(self, node_id: NodeId, on: bool) -> bool:
-        """Put a node into maintenance, or back; False for an id that no list has ever named.
+        """Put a node into maintenance, or end it; returns False for an id that no endpoint list has named.
 
-        Raises OSError where the call cannot be kept, StateNotKnown where it comes too early.
+        Raises OSError if the call cannot be saved, StateNotKnown if the state file has not been read yet.
         """
         if self._restored and not self._engine.has_listed(node_id):
             return False
@@ -122,21 +127,21 @@
         return True
 
     def follow(self, call: OperatorCall) -> None:
-        """A sibling process was called: that binds this one too."""
+        """Apply a call that a sibling process received."""
         if self._restored:
             self._carry_out(call)
-            self._write_current()  # the sibling has not kept what was just asked of this process
+            self._write_current()  # the sibling's file lacks the calls that only this process received
 
     def _accept(self, call: OperatorCall) -> None:
         if not self._restored:
             raise StateNotKnown("not serving yet")
-        self._file.write(self._state_with(call))  # first: what cannot be kept is not begun
+        self._file.write(self._state_with(call))  # first: a call that cannot be saved is not carried out
         self._unwritten = False
         self._announce(call)
         self._carry_out(call)
 
     def _state_with(self, call: OperatorCall) -> State:
-        """What is asked for once this call is carried out too."""
+        """The state after this call."""
         in_maintenance = frozenset(self._engine.in_maintenance)
         if call.node_id is None:
             return State(in_maintenance, call.on)
@@ -159,7 +164,7 @@
     # ---- the trace ----
 
     def trace(self, subject: str | None) -> str:
-        """The latest steps, or all that is known of one request or node; a line each."""
+        """The latest steps, or with ``subject`` those of one request or node, one per line."""
         trace = self._engine.trace
-        entries = trace.latest(TRACE_SHOWN) if subject is None else trace.steps_of(subject)
+        entries = trace.latest(MAX_TRACE_STEPS) if subject is None else trace.steps_of(subject)
         return "\n".join(map(str, entries)) or "nothing is known"
--- a/gaugesail/runner.py
+++ b/gaugesail/runner.py
@@ -1,4 +1,4 @@
-"""Runs one gateway in this process: signals, the reactor's clock, the configuration, the exit code."""
+"""Runs one gateway in this process: signal handlers, clock, configuration and exit code."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 EXIT_BAD_CONFIGURATION = 2
 EXIT_CANNOT_START = 1
-TRACE_CHARACTERS = 2000  # of a traceback that is logged
+MAX_TRACE_CHARACTERS = 2000  # the end of a traceback that is logged
 FLEET_OPTION = "--fleet"
 
 
 def run(reactor: Any, log: Logger, arguments: list[str]) -> int:
-    """Run a gateway until SIGTERM: by the platform's environment, or by an operator's file.
+    """Run a gateway until SIGTERM, configured by the platform's environment or by an operator's file.
 
-    ``--fleet FILE`` makes it a member of a fleet; without it nothing of that is imported, opened or started.
-    The exit code is 0, ``EXIT_BAD_CONFIGURATION`` or ``EXIT_CANNOT_START``.
+    ``--fleet FILE`` makes it a member of a fleet; without it no fleet code is imported and no fleet resource
+    is opened.  Returns the exit code: 0, ``EXIT_BAD_CONFIGURATION`` or ``EXIT_CANNOT_START``.
     """
     gateway: Service
     load: Callable[[], Any]
-    # Ours before anything can send one, in place of Twisted's: by default SIGHUP ends the process, and
-    # Twisted's SIGTERM stops at once.  What comes before the reactor runs is carried out when it does.
+    # Installed first, in place of Twisted's: by default SIGHUP ends the process, and Twisted's SIGTERM stops
+    # at once.  Signals that arrive before the reactor runs are handled once it does.
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: gateway.reload_from(load)))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: reactor.callFromThread(lambda: gateway.stop()))
@@ -49,17 +49,17 @@
 
 
 def _split_arguments(arguments: list[str]) -> tuple[list[str], str | None]:
-    """The arguments but ``--fleet FILE``, and that file.  Raises ValueError where the file is missing."""
+    """Split off ``--fleet FILE``; raises ValueError if the option has no file."""
     if FLEET_OPTION not in arguments:
         return arguments, None
     at = arguments.index(FLEET_OPTION)
     if at + 1 == len(arguments):
-        raise ValueError(f"{FLEET_OPTION}: a file is needed")
+        raise ValueError(f"{FLEET_OPTION}: expected a file name, found no argument")
     return arguments[:at] + arguments[at + 2 :], arguments[at + 1]
 
 
 def _loader(files: list[str], in_fleet: bool) -> Callable[[], Any]:
-    """How the configuration is read, at the start and at every SIGHUP."""
+    """Return the function that reads the configuration, at startup and at every SIGHUP."""
     load: Callable[[], Any] = configuration.load
     if files:
         from .iscsi.operator import load_operator
@@ -81,8 +81,8 @@
 def _build(
     reactor: Any, log: Logger, load: Callable[[], Any], files: list[str], fleet_file: str | None
 ) -> Service:
-    """The gateway with its clock.  Raises ValueError where a configuration cannot be used."""
-    # Leases are counted by the clock that goes on while the machine sleeps.
+    """Build the gateway and its clock; raises ValueError if a configuration is invalid."""
+    # Leases expire by a clock that includes suspend time.
     monotonic_ns = boot_ns if fleet_file is not None else time.monotonic_ns
     use_monotonic_time(reactor, monotonic_ns)
     clock = ReactorClock(reactor, monotonic_ns)
@@ -104,12 +104,12 @@
 
 
 def _log_uncaught_errors(log: Logger) -> None:
-    """Log what a callback raises and nobody catches like the rest, on a line of its own."""
+    """Log uncaught exceptions of callbacks to the gateway's log, one line each."""
 
     def observe(event: Any) -> None:
         failure = event.get("log_failure")
         if failure is not None:
-            trace = failure.getTraceback()[-TRACE_CHARACTERS:]
+            trace = failure.getTraceback()[-MAX_TRACE_CHARACTERS:]
             log.error("callback_raised", error=repr(failure.value), trace=trace)
 
     observers: list[Any] = [observe]
@@ -119,7 +119,7 @@
 def _run_until_stopped(reactor: Any, log: Logger, gateway: Service) -> int:
     exit_codes: list[int] = []
 
-    def cannot_start(failure: Any) -> None:  # an address in use, say: there is nothing to serve
+    def cannot_start(failure: Any) -> None:  # for example, the address is in use
         log.error("cannot_start", error=repr(failure.value))
         exit_codes.append(EXIT_CANNOT_START)
         reactor.stop()
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -1,4 +1,4 @@
-"""The life of a gateway on any wire: start, service, a new configuration, an orderly stop."""
+"""The lifecycle of a gateway on any wire protocol: startup, serving, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -21,51 +21,55 @@
 from .handover import Handover, Takeover, adopt_port
 from .http.management import ACCEPTS_PER_TURN, ManagementServer
 from .listening import ACCEPT_RETRY_US, ListeningPort, retry_while_in_use
-from .logs import LimitedLogger
+from .logs import RateLimitedLogger
 from .operations import Operations
 from .state import OperatorCall, StateFile
 
-# Spans after SIGTERM.  SIGKILL follows 0.7 s after the longest deadline, 3.7 s after SIGTERM at the least.
+# Times after SIGTERM.  SIGKILL follows 0.7 s after the longest deadline, and at least 3.7 s after SIGTERM.
 STOP_ACCEPTING_AFTER_US = 450_000  # clients still connect for up to 0.4 s
-STOP_ACCEPTING_BY_US = 1_500_000  # where connections had to wait in the kernel for a place
-CLOSE_IDLE_AFTER_US = 700_000  # until then connections in use are kept
-SHORTEST_KILL_DELAY_US = 3_000_000  # the least that counts as the longest deadline
-ANSWER_THE_REST_AFTER_US = 500_000  # after the longest deadline
+STOP_ACCEPTING_BY_US = 1_500_000  # if connections are queued in the kernel as all places are in use
+CLOSE_IDLE_AFTER_US = 700_000  # keep-alive connections stay open until then
+MIN_LONGEST_DEADLINE_US = 3_000_000  # the longest deadline counts as at least this before SIGKILL
+FAIL_REMAINING_AFTER_US = 500_000  # after the longest deadline
 READ_ANSWERS_US = 150_000  # for clients to read those answers
-CONFIRM_RETRY_US = 20_000  # between two looks whether the successor has all descriptors
-LIST_TIMEOUT_US = 3_000_000  # how long a process waits for a fresh endpoint list before it serves
-LIST_RETRY_US = 20_000
+CONFIRM_RETRY_US = 20_000  # between checks whether the successor has received all descriptors
+LIST_TIMEOUT_US = 3_000_000  # a process serves after that, even without a current endpoint list
+LIST_RETRY_US = 20_000  # between checks for a current endpoint list
 SWEEP_INTERVAL_US = 250_000
 SWEEPS_PER_REPORT = 40
 LISTEN_BACKLOG = 512
 
 
 class FleetMember(Protocol):
-    """This gateway's place among others, where it has one (``--fleet``)."""
+    """This gateway's membership of a fleet (``--fleet``)."""
 
     def start(self, engine: Engine) -> None:
-        """The gateway is about to serve."""
+        """Start the membership; called right before the gateway serves."""
         ...
 
     def change_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Apply new settings."""
         ...
 
     def leave(self) -> None:
-        """The gateway ends in order: what it holds of the fleet goes back."""
+        """Return everything that is leased from the fleet, as the gateway is shutting down."""
         ...
 
     def close(self) -> None:
-        """The process ends."""
+        """Release all resources, as the process is ending."""
         ...
 
     def call(self, method: str, path: list[str]) -> tuple[int, str]:
-        """Carry out an operator's call under /fleet: a status and its text."""
+        """Carry out an operator's call under /fleet; returns the status and the text of the answer."""
         ...
 
 
 class Service:
-    """The life of a gateway on any wire: start, a sweep four times a second, an orderly stop."""
+    """The lifecycle of a gateway, the base of the gateways of all wire protocols.
+
+    Subclasses set ``engine``, ``front`` (the client server), ``transport``, ``discovery`` and ``operations``.
+    ``folder`` is shared by the processes of this gateway; without it there is no handover and no state file.
+    """
 
     def __init__(
         self,
@@ -81,8 +85,8 @@
         self._listen = listen
         self._state = StateFile(folder, listen)
         self.clock = clock
-        self._log = LimitedLogger(log, clock.now_us)
-        # A quarter of the memory for buffers: the interpreter and the policy's records take about 30 MB.
+        self._log = RateLimitedLogger(log, clock.now_us)
+        # Buffers get a quarter of the memory: the interpreter and the policy's records take about 30 MB.
         self._max_buffers = max(64, memory_mb * 1024 * 1024 // 4 // BUFFER_BYTES)
         self.buffers = BufferPool(self._max_buffers)
         self.engine: Engine
@@ -101,30 +105,32 @@
         self._stopping_since_us = 0
         self._serve_by_us = 0
         self._replaced = False
-        self._latest_settings: Settings  # what is in force, or will be when clients have left what was before
+        self._latest_settings: Settings  # in force, or will be at the end of the transition
         self._sweeps = 0
         self._reported: Counter[str] = Counter()
         self.fleet: FleetMember | None = None
-        self.waits_for_list = False  # accept nothing before a fresh list: the cached one may miss drains
+        self.waits_for_list = False  # accept nothing with a cached endpoint list, which may miss drains
 
-    # ---- start ----
+    # ---- startup ----
 
     def start(self) -> Deferred[Any]:
-        """Listen for calls, take over from a running process or listen, start the policy, serve.
+        """Listen for management calls, take over or open the clients' address, and start the policy.
 
-        The Deferred fires when the address is ours, and fails where it cannot be had.
+        The Deferred fires when the clients' address is open, and fails if it cannot be opened.
         """
         if self.management_address is None:
-            return self._handover.request_takeover().addCallback(self._open_address)
+            return self._handover.request_takeover().addCallback(self._open_clients_address)
         host, port = self.management_address
-        free = retry_while_in_use(self.clock, self._log, lambda: self._listen_for_calls(host, port))
-        return free.addCallback(lambda _: self._handover.request_takeover()).addCallback(self._open_address)
+        listening = retry_while_in_use(self.clock, self._log, lambda: self._listen_for_management(host, port))
+        return listening.addCallback(lambda _: self._handover.request_takeover()).addCallback(
+            self._open_clients_address
+        )
 
-    def _open_address(self, takeover: Takeover | None) -> Deferred[Any]:
+    def _open_clients_address(self, takeover: Takeover | None) -> Deferred[Any]:
         return retry_while_in_use(self.clock, self._log, lambda: self._open(takeover))
 
     def _open(self, takeover: Takeover | None) -> None:
-        if self._stopping:  # SIGTERM came meanwhile: nothing was accepted, and nothing will be
+        if self._stopping:  # SIGTERM arrived meanwhile: do not begin to accept
             if takeover is not None:
                 os.close(takeover.descriptor)
             return
@@ -154,7 +160,10 @@
             self._serve_when_listed()
 
     def _serve_when_listed(self) -> None:
-        """What comes waits, or is left to the process before this one, until our list is fresh."""
+        """Serve as soon as the endpoint list is current, or after LIST_TIMEOUT_US.
+
+        Until then connections wait in the kernel, or are accepted by the predecessor process.
+        """
         if self._stopping:
             return
         if self.discovery.up or self.clock.now_us() >= self._serve_by_us:
@@ -166,50 +175,53 @@
         self.front.listening = True
         self.front.accept(True)
         self._handover.announce_serving()
-        second = self.management_address
-        calls = f"{second[0]}:{second[1]}" if second is not None else "none"
-        self._log.info("listening", address=f"{self.address[0]}:{self.address[1]}", management=calls)
+        address = self.management_address
+        management = f"{address[0]}:{address[1]}" if address is not None else "none"
+        self._log.info("listening", address=f"{self.address[0]}:{self.address[1]}", management=management)
 
-    def _listen_for_calls(self, host: str, port: int) -> None:
+    def _listen_for_management(self, host: str, port: int) -> None:
         if self._stopping:
             return
-        self._management = calls = ManagementServer(self.operations, self.clock, self._log)
+        self._management = server = ManagementServer(self.operations, self.clock, self._log)
         if self.fleet is not None:
-            calls.take_fleet_calls(self.fleet.call)
-        listener = self._reactor.listenTCP(port, calls, backlog=LISTEN_BACKLOG, interface=host)
+            server.take_fleet_calls(self.fleet.call)
+        listener = self._reactor.listenTCP(port, server, backlog=LISTEN_BACKLOG, interface=host)
         ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_TURN, lambda: True)
         self.management_address = host, listener.getHost().port
 
     def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
-        """The list to start with; ``handed_over`` is what the predecessor handed over, empty without one."""
+        """The endpoint list to start with.
+
+        ``handed_over`` is the predecessor's state, empty if there is no predecessor.
+        """
         raise NotImplementedError
 
-    # ---- another process of this head ----
+    # ---- another process of this gateway ----
 
     def offer_takeover(self) -> Takeover | None:
-        """What the successor gets: the listening socket and the nodes ever listed."""
+        """Offer the successor the listening socket and the nodes named by endpoint lists."""
         if self._stopping or not self.front.accepting:
             return None
         listed = [node_id.decode(errors="replace") for node_id in self.engine.listed_nodes]
         return Takeover(self._port.fileno(), {"seen": listed})
 
     def sibling_process(self, present: bool) -> None:
-        """Both count as one head: each has half of what is limited."""
+        """Halve this process's limits while another one of this gateway is running."""
         self._log.info("sibling_process_started" if present else "sibling_process_ended")
         self.engine.set_sibling_process(present)
         self.buffers.trim(self._max_buffers // 2 if present else self._max_buffers)
         self.limit(2 if present else 1)
 
     def predecessor_clients(self, clients: int) -> None:
-        """The process before this one still has so many: of the places for clients the rest is ours."""
+        """Use the client places that the predecessor's ``clients`` connections leave free."""
         self.front.reserve_for_predecessor(clients)
 
     def limit(self, processes: int) -> None:
-        """Keep within this process's part of the descriptors."""
+        """Limit the connections to one process's share of the descriptors among ``processes``."""
         raise NotImplementedError
 
     def replaced(self, on: bool) -> None:
-        """The successor serves in place of this process, or has died and this one serves again."""
+        """The successor serves in place of this process, or, with ``on`` False, has ended unexpectedly."""
         self._replaced = on
         if not self._stopping or on:
             self.front.supersede(on)
@@ -218,35 +230,35 @@
         if on:
             self.hand_over_answers()
         elif self._stopping:
-            self._stop_accepting()  # who waits in the kernel for the one that has gone is this one's again
+            self._stop_accepting()  # connections queued for the successor are this process's again
 
     def hand_over_answers(self) -> None:
-        """Hand to the next process what would not end in the time that this one has."""
+        """Hand answers that would not end before this process does to the successor."""
 
     def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
-        """Go on with what the process before this one handed over."""
+        """Continue an answer that the predecessor handed over."""
         for descriptor in descriptors:
             os.close(descriptor)
 
     def follow(self, call: OperatorCall) -> None:
-        """An operator has called the sibling process: that binds this one too."""
+        """Apply an operator's call that the sibling process received."""
         self.operations.follow(call)
 
-    # ---- a new configuration ----
+    # ---- reload ----
 
     def reload_from(self, load: Callable[[], Any]) -> None:
-        """SIGHUP: read the configuration again; whatever is wrong with it, the one in force stays."""
+        """Handle SIGHUP: reload the configuration; if it is invalid, the current one stays in force."""
         try:
             self.apply_configuration(load())
         except ValueError as error:
             self._log.error("bad_configuration", error=str(error))
 
     def apply_configuration(self, config: Any) -> None:
-        """Take what may change while the head runs from its configuration, read again."""
+        """Apply those entries of a reloaded configuration that may change at run time."""
         raise NotImplementedError
 
     def change_settings(self, settings: Settings) -> None:
-        """Other settings.  Clients use both for a while: what either forbids is not done until then."""
+        """Change to new settings; during the transition the stricter of old and new values apply."""
         if settings == self._latest_settings:
             return
         self._latest_settings = settings
@@ -263,15 +275,15 @@
             self.fleet.change_settings(settings)
 
     def _warn_of_restart(self, old: Any, new: Any, live: set[str]) -> None:
-        """Log which entries of a configuration differ and wait for a restart."""
+        """Log which entries of a configuration have changed and need a restart; ``live`` need none."""
         names = [item.name for item in fields(old) if getattr(old, item.name) != getattr(new, item.name)]
-        if waiting := sorted(set(names) - live):
-            self._log.warning("reload_needs_restart", entries=",".join(waiting))
+        if pending := sorted(set(names) - live):
+            self._log.warning("reload_needs_restart", entries=",".join(pending))
 
-    # ---- stop ----
+    # ---- shutdown ----
 
     def stop(self) -> Deferred[None]:
-        """Finish in order: accept a while, serve a while, close what is idle, finish what was taken."""
+        """Shut down gracefully: stop accepting, close idle connections, and answer all open requests."""
         if not self._stopping:
             self._stopping = True
             self._stopping_since_us = self.clock.now_us()
@@ -279,52 +291,54 @@
             self._log.info("stopping", open=self.engine.open_requests, clients=self.front.connections)
             self.clock.call_later(STOP_ACCEPTING_AFTER_US, self._stop_accepting)
             self.clock.call_later(CLOSE_IDLE_AFTER_US, self._close_idle)
-            self.clock.call_later(
-                self.longest_deadline_us() + ANSWER_THE_REST_AFTER_US, self._answer_the_rest
-            )
+            self.clock.call_later(self.longest_deadline_us() + FAIL_REMAINING_AFTER_US, self._fail_remaining)
         return self.stopped
 
-    def _answer_the_rest(self) -> None:
+    def _fail_remaining(self) -> None:
         self.front.end()
         self.engine.fail_all()
         self.clock.call_later(READ_ANSWERS_US, self._finish_when_read)
 
     def _finish_when_read(self) -> None:
-        """Connections may linger, as that of a client that sends on behind its answer: it is not served."""
+        """Finish once no answer is being streamed.
+
+        Other connections may still be open, for example of a client that sends more after its answer; what it
+        sends is not served.
+        """
         if self.has_streams:
-            self.clock.call_later(READ_ANSWERS_US, self._finish_when_read)  # for as long as nobody kills it
+            self.clock.call_later(READ_ANSWERS_US, self._finish_when_read)  # until SIGKILL
         else:
             self._finished()
 
     @property
     def has_streams(self) -> bool:
-        """An answer is on its way to its client."""
+        """Whether any answer is being streamed to its client."""
         return False
 
     def longest_deadline_us(self) -> int:
-        """The longest deadline, as the platform counts it before it kills."""
-        return max(SHORTEST_KILL_DELAY_US, *(spec.deadline_us for spec in self.engine.settings.classes))
+        """The longest deadline, as the platform counts it before SIGKILL."""
+        return max(MIN_LONGEST_DEADLINE_US, *(spec.deadline_us for spec in self.engine.settings.classes))
 
     def _stop_accepting(self) -> None:
         if self._replaced or self._port is None:
-            return  # the next process accepts
-        # What came in time but waits in the kernel, as all places were in use, must not be reset.
+            return  # the successor accepts
+        # Connections that arrived in time but are queued in the kernel, as all places are in use, must not be
+        # reset.
         if self.front.held and self.clock.now_us() < self._stopping_since_us + STOP_ACCEPTING_BY_US:
             self.clock.call_later(ACCEPT_RETRY_US, self._stop_accepting)
             return
         self._listener.accept_pending()
-        waits = self.front.held or self._listener.short
-        if waits and self.clock.now_us() < self._stopping_since_us + STOP_ACCEPTING_BY_US:
-            self.clock.call_later(
-                ACCEPT_RETRY_US, self._stop_accepting
-            )  # more may wait than there were places
+        connections_wait = self.front.held or self._listener.shortage
+        if connections_wait and self.clock.now_us() < self._stopping_since_us + STOP_ACCEPTING_BY_US:
+            # More connections may be queued than there were places.
+            self.clock.call_later(ACCEPT_RETRY_US, self._stop_accepting)
             return
         self.front.listening = self.front.accepting = False
         self._port.stopListening()
         self._port = None
 
     def _close_idle(self) -> None:
-        # Clients of a process that is replaced are in no hurry: each request that crosses a close costs one.
+        # Clients of a replaced process can migrate gradually: a request that crosses a close is lost.
         if self._replaced and self.clock.now_us() < self._stopping_since_us + MIGRATION_ENDS_US:
             self.clock.call_later(SWEEP_INTERVAL_US, self._close_idle)
             if self.front.connections:
@@ -338,17 +352,17 @@
             self._handover.unconfirmed
             and self.clock.now_us() < self._stopping_since_us + self.longest_deadline_us()
         ):
-            self.clock.call_later(CONFIRM_RETRY_US, self._finished)  # what was handed over must have arrived
+            self.clock.call_later(CONFIRM_RETRY_US, self._finished)  # until the successor has the descriptors
             return
         if self.stopped.called:
             return
-        closed = [self.discovery.close, self.transport.close, self._handover.close]
+        closers = [self.discovery.close, self.transport.close, self._handover.close]
         if self.fleet is not None:
-            closed.append(self.fleet.close)
-        for close in closed:
+            closers.append(self.fleet.close)
+        for close in closers:
             try:
                 close()
-            except Exception as error:  # all has its answer: nothing may keep the process from ending
+            except Exception as error:  # all requests are answered: no fault may prevent the end
                 self._log.error("close_raised", error=repr(error))
         self._log.info("stopped", open=self.engine.open_requests)
         self.stopped.callback(None)
@@ -368,7 +382,7 @@
             self._report_counts()
 
     def _report_counts(self) -> None:
-        """Log the state of now, and what was counted since the last report."""
+        """Log the current state, and the counters that changed since the last report."""
         counts = self.engine.counts + self.engine.rejections + self.engine.rules.violations
         fresh = dict(counts - self._reported)
         self._reported = Counter(counts)
--- a/gaugesail/state.py
+++ b/gaugesail/state.py
@@ -1,6 +1,6 @@
-"""What operators have asked for, in a small file that the next process of the same gateway finds.
+"""The state that operators have set, in a small file for the next process of the same gateway.
 
-The keys of the file are those that earlier versions write and read.
+The keys of the file stay those that earlier versions read and write.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class StateError(Exception):
-    """The file is there and holds no state."""
+    """The file exists but does not hold a valid state."""
 
 
 class StateUnreadable(StateError):
-    """The system gave an error as it was read: it may be read later."""
+    """The system reported an error on reading the file, which may be readable later."""
 
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """Nodes in maintenance, and whether clients are drained."""
+    """The nodes in maintenance, and whether clients are being drained."""
 
     in_maintenance: frozenset[NodeId] = field(default_factory=frozenset)
     drained: bool = False
@@ -34,23 +34,24 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorCall:
-    """One thing asked: a node put into maintenance or back, or, without a node, clients drained or taken."""
+    """An operator's call: maintenance of a node on or off, or with no ``node_id`` draining of clients."""
 
     node_id: NodeId | None
     on: bool
 
 
 class StateFile:
-    """One file for each gateway, in the folder that its processes share; without a folder nothing is kept."""
+    """The state file of one gateway, in the folder that its processes share; no folder, no file."""
 
     def __init__(self, folder: str | None, listen: tuple[str, int]) -> None:
-        # Named for where clients connect: two heads may share a folder, and both processes of one do.
+        # Named after the clients' address: both processes of one gateway use one file, and two gateways may
+        # share a folder.
         self.path = Path(folder) / f"gaugesail-{listen[0]}-{listen[1]}.json" if folder else None
 
     def read(self) -> State:
-        """The state that was written last; nothing asked for where there is no file.
+        """Return the state that was written last; the default state if there is no file.
 
-        Raises StateUnreadable where the system gives an error, StateError where the file holds no state.
+        Raises StateUnreadable if the system reports an error, StateError if the content is not valid.
         """
         if self.path is None:
             return State()
@@ -66,9 +67,10 @@
             raise StateError(f"{self.path}: {error!r}") from None
 
     def write(self, state: State) -> None:
-        """Replace the file whole: no reader and no kill of this process meets half of it.
+        """Replace the file atomically; it is on disk when this returns.
 
-        It is on the disk when this returns.  Raises OSError where the file is as it was.
+        Neither a reader nor a kill of this process leaves it half written.  Raises OSError if the file is
+        unchanged.
         """
         if self.path is None:
             return
@@ -84,7 +86,7 @@
             with suppress(OSError):
                 fresh.unlink(missing_ok=True)
             raise
-        with suppress(OSError):  # the new name alone: the file's contents are on the disk already
+        with suppress(OSError):  # only the rename is not synced yet; the contents are on disk
             self._sync_folder()
 
     def _sync_folder(self) -> None:
