--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -14,7 +14,7 @@
 from gaugesail.simulator.settings_text import parse_settings
 
 from .http.endpoint_reader import BadList, split_address
-from .http.management import MAX_CONNECTIONS as MAX_CALLS
+from .http.management import MAX_CONNECTIONS as MAX_MANAGEMENT_CONNECTIONS
 from .net import available_descriptors
 
 # For standard streams, the reactor, listeners, discovery, and connections being closed or opened.
@@ -174,7 +174,7 @@
             limits=Limits(
                 int(limits.get("memory_mb", 192)),
                 available_descriptors(int(limits.get("sockets", 1024))),
-                MAX_CALLS if management else 0,
+                MAX_MANAGEMENT_CONNECTIONS if management else 0,
             ),
             # On this wire the agent that pushes endpoint lists is watched like discovery itself.
             settings=replace(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Property tests play the same examples every time: the same verdict always.  KNOWN-RED.txt is held to."""
+"""Property tests run the same examples in every run, and KNOWN-RED.txt is enforced."""
 
 from pathlib import Path
 
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -1,4 +1,4 @@
-"""What the engine holds whatever the module, a front or a transport does; on a clock of its own."""
+"""The engine's guarantees, whatever the policy, a reply or the node transport does; in virtual time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Rig:
-    """An engine with a module that does what it is told, and a transport that only takes notes."""
+    """An engine with a scripted policy, and a node transport and replies that only record their calls."""
 
     def __init__(self) -> None:
         self.reactor = MemoryReactor()
@@ -39,7 +39,7 @@
         self.events: list[Event] = []
         self.answers: list[tuple[str, Any]] = []
         self.script: dict[type, list[Action]] = {}
-        self.gone = self.unwritten = False
+        self.disconnected = self.unwritten = False
         transport: Any = self
         self.engine = Engine(SETTINGS, 1, self.clock, transport, transport, make_logger(io.StringIO()), 4)
         gateway: Any = self
@@ -50,7 +50,7 @@
         self.events += events
         actions = [action for event in events for action in self.script.pop(type(event), [])]
         if any(isinstance(action, WriteLog) for action in actions):
-            raise RuntimeError("told to")
+            raise RuntimeError("scripted")
         return actions
 
     def send(self, attempt: Attempt, sink: Any) -> None:
@@ -76,28 +76,28 @@
         self.answers.append(("failed", reason.value))
 
     def client_has_disconnected(self) -> bool:
-        return self.gone
+        return self.disconnected
 
-    def take(self, *actions: Action, name: str = "a") -> int:
+    def submit(self, *actions: Action, name: str = "a") -> int:
         self.script[RequestReceived] = list(actions)
-        ticket = self.engine.submit(ClientRequest(name, SETTINGS, 0, 1_000_000, "payload"), self)
+        request_id = self.engine.submit(ClientRequest(name, SETTINGS, 0, 1_000_000, "payload"), self)
         self.reactor.advance(0)
-        return ticket
+        return request_id
 
     def outcomes(self) -> list[AttemptResult]:
         return [event.result for event in self.events if isinstance(event, AttemptEnded)]
 
 
-def test_a_second_attempt_beside_one_that_is_out_is_not_sent() -> None:
+def test_a_second_attempt_is_not_sent_while_one_is_in_flight() -> None:
     rig = Rig()
-    rig.take(StartAttempt(1, NODE), StartAttempt(1, NODE))
+    rig.submit(StartAttempt(1, NODE), StartAttempt(1, NODE))
     rig.reactor.advance(0)
     assert len(rig.sent) == 1 and rig.outcomes() == [AttemptResult.NOT_STARTED]
 
 
-def test_attempts_past_the_cap_are_not_sent() -> None:
+def test_attempts_beyond_the_limit_are_not_sent() -> None:
     rig = Rig()
-    rig.take(StartAttempt(1, NODE))
+    rig.submit(StartAttempt(1, NODE))
     for _ in range(2):
         rig.script[AttemptEnded] = [StartAttempt(1, NODE)]
         rig.engine.attempts.attempt_ended(rig.sent[-1], AttemptResult.ERROR)
@@ -107,16 +107,16 @@
     assert rig.outcomes() == [AttemptResult.ERROR, AttemptResult.ERROR, AttemptResult.NOT_STARTED]
 
 
-def test_nothing_is_sent_after_the_end() -> None:
+def test_nothing_is_sent_after_the_final_answer() -> None:
     rig = Rig()
-    rig.take(RejectRequest(1, 5), StartAttempt(1, NODE))
+    rig.submit(RejectRequest(1, 5), StartAttempt(1, NODE))
     rig.reactor.advance(0)
     assert not rig.sent and rig.answers == [("refused", 5)] and rig.outcomes() == [AttemptResult.NOT_STARTED]
 
 
-def test_one_final_answer_whatever_is_told_later() -> None:
+def test_a_request_has_one_final_answer_whatever_is_reported_later() -> None:
     rig = Rig()
-    rig.take(StartAttempt(1, NODE))
+    rig.submit(StartAttempt(1, NODE))
     rig.script[AttemptEnded] = [FailRequest(1), RejectRequest(1)]
     rig.engine.attempts.attempt_ended(rig.sent[0], AttemptResult.SERVED, b"x")
     rig.engine.attempts.attempt_ended(rig.sent[0], AttemptResult.RESET)
@@ -124,84 +124,84 @@
     assert rig.answers == [("served", b"x")] and rig.outcomes() == [AttemptResult.SERVED]
 
 
-def test_a_silent_module_still_answers_before_the_client_leaves() -> None:
+def test_a_request_that_the_policy_ignores_is_failed_before_the_clients_timeout() -> None:
     rig = Rig()
-    rig.take()
+    rig.submit()
     rig.reactor.advance(0.9)
     assert not rig.answers
     rig.reactor.advance(0.0999)
     assert rig.answers == [("failed", "out of time")]
 
 
-def test_an_attempt_is_aborted_at_its_deadline_before_the_module_hears() -> None:
+def test_an_attempt_is_aborted_at_its_deadline_before_the_policy_is_notified() -> None:
     rig = Rig()
-    rig.take(StartAttempt(1, NODE, 200_000))
+    rig.submit(StartAttempt(1, NODE, 200_000))
     rig.reactor.advance(0.1999)
     assert not rig.aborted
     rig.reactor.advance(0.0002)
     assert rig.aborted == rig.sent and rig.outcomes() == [AttemptResult.TIMEOUT]
 
 
-def test_cancelled_is_aborted_and_told_once() -> None:
+def test_a_cancelled_attempt_is_aborted_and_reported_once() -> None:
     rig = Rig()
-    rig.take(StartAttempt(1, NODE), CancelAttempt(1, 0), CancelAttempt(1, 0))
+    rig.submit(StartAttempt(1, NODE), CancelAttempt(1, 0), CancelAttempt(1, 0))
     rig.reactor.advance(0)
     assert rig.aborted == rig.sent and rig.outcomes() == [AttemptResult.CANCELLED]
 
 
 @pytest.mark.parametrize("unwritten", [True, False])
-def test_what_its_client_has_left_ends_if_it_is_not_written_and_goes_on_if_it_is(unwritten: bool) -> None:
+def test_after_a_disconnect_an_unwritten_attempt_ends_and_a_written_one_continues(unwritten: bool) -> None:
     rig = Rig()
-    ticket = rig.take(StartAttempt(1, NODE))
+    request_id = rig.submit(StartAttempt(1, NODE))
     rig.unwritten = unwritten
-    rig.engine.client_disconnected(ticket)
+    rig.engine.client_disconnected(request_id)
     rig.reactor.advance(0)
     assert rig.outcomes() == ([AttemptResult.NOT_STARTED] if unwritten else [])
     assert rig.engine.attempts_in_flight == (0 if unwritten else 1)
 
 
-def test_a_request_that_ends_before_the_module_has_it_is_never_told() -> None:
+def test_a_request_that_ends_before_its_tick_never_reaches_the_policy() -> None:
     rig = Rig()
     rig.script[RequestReceived] = [StartAttempt(1, NODE)]
-    ticket = rig.engine.submit(ClientRequest("a", SETTINGS, 0, 1_000_000, "payload"), rig)
-    rig.engine.client_disconnected(ticket)
+    request_id = rig.engine.submit(ClientRequest("a", SETTINGS, 0, 1_000_000, "payload"), rig)
+    rig.engine.client_disconnected(request_id)
     rig.reactor.advance(0.01)
     assert not rig.sent and not any(isinstance(event, RequestReceived) for event in rig.events)
 
 
-def test_a_module_that_raises_loses_no_request_and_not_the_head() -> None:
+def test_an_exception_in_the_policy_fails_its_requests_and_nothing_else() -> None:
     rig = Rig()
-    rig.take(WriteLog("raise"))
+    rig.submit(WriteLog("raise"))
     assert rig.answers == [("failed", "failed")] and rig.engine.counts["policy_raised"] == 1
-    rig.take(RejectRequest(2), name="b")
+    rig.submit(RejectRequest(2), name="b")
     assert rig.answers[-1] == ("refused", 0)
 
 
 def test_a_transport_that_raises_ends_the_attempt() -> None:
     rig = Rig()
     rig.send = None  # type: ignore[method-assign, assignment]
-    rig.take(StartAttempt(1, NODE))
+    rig.submit(StartAttempt(1, NODE))
     rig.reactor.advance(0)
     assert rig.outcomes() == [AttemptResult.RESET]
 
 
-def test_a_front_that_raises_harms_nobody_else() -> None:
+def test_an_exception_in_a_reply_does_not_affect_other_requests() -> None:
     rig = Rig()
     rig.reject = None  # type: ignore[method-assign, assignment]
-    rig.take(RejectRequest(1))
-    rig.take(FailRequest(2), name="b")
+    rig.submit(RejectRequest(1))
+    rig.submit(FailRequest(2), name="b")
     assert rig.answers == [("failed", "failed")] and rig.engine.idle
 
 
-def test_more_than_the_most_open_are_refused_at_the_door() -> None:
+def test_requests_beyond_the_open_limit_are_rejected() -> None:
     rig = Rig()
     for n in range(5):
-        rig.take(name=str(n))
+        rig.submit(name=str(n))
     rig.reactor.advance(0)
     assert rig.engine.open_requests == 4 and [how for how, _ in rig.answers] == ["refused"]
 
 
-def test_events_of_one_tick_come_together() -> None:
+def test_events_of_one_tick_are_passed_together() -> None:
     rig = Rig()
     before = len(rig.events)
     seen: list[int] = []
@@ -212,10 +212,10 @@
     assert seen == [3] and len(rig.events) == before
 
 
-@pytest.mark.parametrize("left", [0, 3_000])
-def test_a_request_without_time_is_answered_and_not_sent(left: int) -> None:
+@pytest.mark.parametrize("timeout_us", [0, 3_000])
+def test_a_request_without_time_is_answered_and_not_sent(timeout_us: int) -> None:
     rig = Rig()
     rig.script[RequestReceived] = [StartAttempt(1, NODE)]
-    rig.engine.submit(ClientRequest("a", SETTINGS, 0, left, None), rig)
+    rig.engine.submit(ClientRequest("a", SETTINGS, 0, timeout_us, None), rig)
     rig.reactor.advance(0.01)
     assert not rig.sent and rig.answers == [("failed", "out of time")]
--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -1,4 +1,4 @@
-"""The rules in one place: what is denied, what the monitor finds without a guard, and the trace."""
+"""The rules for attempts: what is denied, what the monitor detects without those checks, and the trace."""
 
 from __future__ import annotations
 
@@ -56,61 +56,68 @@
 
 
 def test_each_reason_to_deny_a_first_byte() -> None:
-    over, left = attempt(), attempt()
-    over.request_answered, left.client_has_disconnected = True, lambda: True
+    answered, disconnected = attempt(), attempt()
+    answered.request_answered, disconnected.client_has_disconnected = True, lambda: True
     assert deny_first_byte(attempt(), NOW) is None
-    assert deny_first_byte(over, NOW) is Denial.ANSWERED
+    assert deny_first_byte(answered, NOW) is Denial.ANSWERED
     assert deny_first_byte(attempt(deadline_us=NOW), NOW) is Denial.OUT_OF_TIME
     assert deny_first_byte(attempt(before_us=NOW), NOW) is Denial.WINDOW_OVER
-    assert deny_first_byte(left, NOW) is Denial.CLIENT_LEFT
+    assert deny_first_byte(disconnected, NOW) is Denial.CLIENT_LEFT
 
 
-def found(*begun: Attempt, told: int | None = None) -> list[str]:
-    """The breaches that the monitor finds as these attempts begin."""
+def violations_of(*attempts: Attempt, notified_us: int | None = None) -> list[str]:
+    """The violations that the monitor reports when these attempts start."""
     log, trace = Log(), Trace()
     monitor = RuleMonitor(GRACE_US, log, trace)
     trace.note(NOW, "r", Step.RECEIVED)
-    if told is not None:
+    if notified_us is not None:
         line = Endpoint(b"n", 0, EndpointState.DRAINING)
-        monitor.update_endpoints(EndpointList(EndpointListKind.CHANGES, (line,)), told)
-    for one in begun:
-        monitor.attempt_started(one, NOW)
+        monitor.update_endpoints(EndpointList(EndpointListKind.CHANGES, (line,)), notified_us)
+    for started in attempts:
+        monitor.attempt_started(started, NOW)
     assert all("taken" in line["steps"] for line in log.lines)
     assert sum(monitor.violations.values()) == len(log.lines)
     return [line["rule"] for line in log.lines]
 
 
-def test_the_monitor_finds_each_breach() -> None:
-    over, ended = attempt(), attempt()
-    over.request_answered, ended.ended = True, True
-    assert found(attempt()) == found(ended, attempt(1)) == found(attempt(), told=NOW - GRACE_US) == []
-    assert found(attempt(), attempt(1)) == [RuleViolation.SECOND_COPY.value]
-    assert found(over) == [RuleViolation.AFTER_ANSWER.value]
-    assert found(attempt(deadline_us=NOW)) == [RuleViolation.OUT_OF_TIME.value]
-    assert found(attempt(before_us=NOW)) == [RuleViolation.WINDOW_OVER.value]
-    assert found(attempt(), told=NOW - GRACE_US - 1) == [RuleViolation.DRAINING_NODE.value]
+def test_the_monitor_detects_each_violation() -> None:
+    answered, ended = attempt(), attempt()
+    answered.request_answered, ended.ended = True, True
+    assert (
+        violations_of(attempt())
+        == violations_of(ended, attempt(1))
+        == violations_of(attempt(), notified_us=NOW - GRACE_US)
+        == []
+    )
+    assert violations_of(attempt(), attempt(1)) == [RuleViolation.SECOND_COPY.value]
+    assert violations_of(answered) == [RuleViolation.AFTER_ANSWER.value]
+    assert violations_of(attempt(deadline_us=NOW)) == [RuleViolation.OUT_OF_TIME.value]
+    assert violations_of(attempt(before_us=NOW)) == [RuleViolation.WINDOW_OVER.value]
+    assert violations_of(attempt(), notified_us=NOW - GRACE_US - 1) == [RuleViolation.DRAINING_NODE.value]
 
 
 def test_a_node_that_is_ready_again_or_no_longer_listed_is_forgotten() -> None:
     log = Log()
     monitor = RuleMonitor(GRACE_US, log, Trace())
-    for mode in (EndpointState.DRAINING, EndpointState.READY):
-        news = EndpointList(EndpointListKind.CHANGES, (Endpoint(b"n", 0, mode),))
-        monitor.update_endpoints(news, NOW - 10 * GRACE_US)
+    for state in (EndpointState.DRAINING, EndpointState.READY):
+        endpoints = EndpointList(EndpointListKind.CHANGES, (Endpoint(b"n", 0, state),))
+        monitor.update_endpoints(endpoints, NOW - 10 * GRACE_US)
     monitor.attempt_started(attempt(), NOW)
     assert not log.lines
 
 
-def test_nodes_that_come_and_go_by_the_thousand_are_forgotten() -> None:
+def test_the_record_of_draining_nodes_is_bounded() -> None:
     monitor = RuleMonitor(GRACE_US, Log(), Trace())
     for number in range(MAX_DRAINING_NODES + 10):
-        line = Endpoint(b"%d" % number, 0, EndpointState.GONE)
-        monitor.update_endpoints(EndpointList(EndpointListKind.CHANGES, (line,)), NOW)
+        endpoint = Endpoint(b"%d" % number, 0, EndpointState.GONE)
+        monitor.update_endpoints(EndpointList(EndpointListKind.CHANGES, (endpoint,)), NOW)
     assert len(monitor._draining) == MAX_DRAINING_NODES
 
 
-def test_a_guard_that_is_taken_away_is_found_by_the_monitor(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node that drains is sent to all the same: by the policy, and by a pool that does not look."""
+def test_the_monitor_detects_attempts_to_a_draining_node_without_the_checks(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An attempt goes to a draining node, as the checks of the policy and the node pool are disabled."""
     with turned() as rig:
         node_table = rig.head.engine.policy.gateway.node_table
         monkeypatch.setattr(node_table, "_set_unready", lambda node: None)
@@ -124,7 +131,7 @@
         assert "rule_broken" in rig.log.getvalue() and "late started" in rig.log.getvalue()
 
 
-def test_a_connection_closed_with_its_request_in_hand_is_found() -> None:
+def test_a_connection_closed_before_its_answer_is_detected() -> None:
     with turned() as rig:
         rig.client().send(rig.ask("held"))
         rig.bricks[0].request("held")
@@ -132,7 +139,7 @@
         assert rig.head.engine.rules.violations == {"rule_broken_closed_unanswered": 1}
 
 
-def test_the_trace_tells_a_request_from_its_arrival_to_its_answer() -> None:
+def test_the_trace_shows_a_request_from_its_arrival_to_its_answer() -> None:
     with turned() as rig:
         client = rig.client()
         client.send(rig.ask("one"))
--- a/tests/http/test_kernel_wait.py
+++ b/tests/http/test_kernel_wait.py
@@ -19,7 +19,7 @@
 
 def told_ms(node: HangingNode) -> int:
     """What the node was told of the time left by the latest request that came."""
-    text = b"".join(node._text.values())
+    text = b"".join(node._received.values())
     return int(re.findall(rb"Request-Timeout-Ms: (\d+)", text)[-1])
 
 
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -1,4 +1,4 @@
-"""The program as it is started: a head on loopback, the rehearsal's exit codes, bad configurations."""
+"""The command lines: a gateway on loopback, the rehearsal's exit codes, and bad configurations."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 
 
 def test_scenarios_pass_against_a_process_on_loopback() -> None:
-    done = run("gaugesail.rehearsal", "tests/loopback/served.txt")
-    assert (done.returncode, done.stdout.count(": passed")) == (0, 3), done.stdout + done.stderr
+    result = run("gaugesail.rehearsal", "tests/loopback/served.txt")
+    assert (result.returncode, result.stdout.count(": passed")) == (0, 3), result.stdout + result.stderr
 
 
 def test_a_scenario_that_fails_names_its_line_and_exits_1(tmp_path: Path) -> None:
     path = tmp_path / "fails.txt"
     path.write_text("client c1\nsend c1 get /_health\nexpect c1 404\n")
-    done = run("gaugesail.rehearsal", str(path))
-    assert done.returncode == 1 and "line 3: c1 saw ['200', 'ok'], not ['404']" in done.stdout
+    result = run("gaugesail.rehearsal", str(path))
+    assert result.returncode == 1 and "line 3: c1 saw ['200', 'ok'], not ['404']" in result.stdout
 
 
 def test_a_file_that_is_no_scenario_exits_2(tmp_path: Path) -> None:
     path = tmp_path / "bad.txt"
     path.write_text("jump\n")
-    done = run("gaugesail.rehearsal", str(path))
-    assert done.returncode == 2 and "line 1: unknown word 'jump'" in done.stderr
+    result = run("gaugesail.rehearsal", str(path))
+    assert result.returncode == 2 and "line 1: unknown word 'jump'" in result.stderr
 
 
 def test_a_bad_configuration_is_named_and_exits_2(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text('[[class]]\nname = "read"\naim_ms = 0\n')
-    done = run("gaugesail", str(path))
-    assert done.returncode == 2 and "[[class]] 1: aim_ms: 0 is not from 1" in done.stderr
-    done = run("gaugesail", BALANCER_CONFIG=str(tmp_path / "none.json"))
-    assert done.returncode == 2 and "none.json" in done.stderr
+    result = run("gaugesail", str(path))
+    assert result.returncode == 2 and "[[class]] 1: aim_ms: 0 is not from 1" in result.stderr
+    result = run("gaugesail", BALANCER_CONFIG=str(tmp_path / "none.json"))
+    assert result.returncode == 2 and "none.json" in result.stderr
 
 
-def test_the_example_of_an_operators_file_is_taken() -> None:
+def test_the_example_operator_file_is_valid() -> None:
     operator = load_operator(str(ROOT / "deploy" / "operator.example.toml"))
     assert len(operator.nodes) == 2 and operator.units[0].extent(2_097_152, 8) == operator.units[0].extents[1]
     assert operator.units[0].extent(2_097_151, 2) is None
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -1,4 +1,4 @@
-"""What operators ask for outlives the process that was asked."""
+"""Operators' calls outlive the process that received them; reload and handover between processes."""
 
 from __future__ import annotations
 
@@ -25,29 +25,32 @@
 
 from ..support.scenario_runner import play
 
-OUT = "brick b1\ncaller o1\nclient c1\nsend o1 call POST /bricks/b1/maint\nexpect o1 200\n"
+MAINTENANCE = "brick b1\ncaller o1\nclient c1\nsend o1 call POST /bricks/b1/maint\nexpect o1 200\n"
 
 
-def test_a_later_process_knows_what_is_in_maintenance_and_whether_it_is_drained(tmp_path: Path) -> None:
+def test_a_later_process_restores_maintenance_and_drain(tmp_path: Path) -> None:
     folder, listen = {"TMPDIR": str(tmp_path)}, "daemon http listen=127.0.0.1:9000\n"
-    play(listen + OUT + "expect o1 closed\nsend o1 call POST /healthcheck/fail\nexpect o1 200", **folder)
-    assert len(list(tmp_path.glob("*json*"))) == 1, "one file, and nothing beside it"
-    asks = "send c1 get /_health\nexpect c1 503\nexpect c1 closed\n"
-    asks += "send c1 request a\nexpect c1 503 refused* within 0.05\n"
+    play(
+        listen + MAINTENANCE + "expect o1 closed\nsend o1 call POST /healthcheck/fail\nexpect o1 200",
+        **folder,
+    )
+    assert len(list(tmp_path.glob("*json*"))) == 1, "one file and no other"
+    rejected = "send c1 get /_health\nexpect c1 503\nexpect c1 closed\n"
+    rejected += "send c1 request a\nexpect c1 503 refused* within 0.05\n"
     back = "expect o1 closed\nsend o1 call POST /bricks/b1/ready\nexpect o1 200\nwait 0.6\n"
     served = "send c1 request b\nexpect b1 request b\nsend b1 answer b 200 hello\nexpect c1 200 hello"
-    play(listen + OUT + asks + back + "expect c1 closed\n" + served, **folder)
+    play(listen + MAINTENANCE + rejected + back + "expect c1 closed\n" + served, **folder)
     other = "daemon http listen=127.0.0.1:9001\nbrick b1\nclient c1\nsend c1 get /_health\nexpect c1 200"
     play(other, **folder)
 
 
-def test_what_cannot_be_written_down_is_told_no_and_not_done() -> None:
-    asks = OUT.replace("200", "503 *down*")
+def test_a_call_that_cannot_be_saved_is_rejected_and_not_carried_out() -> None:
+    rejected = MAINTENANCE.replace("200", "503 *down*")
     serves = "send c1 request a\nexpect b1 request a\nsend b1 answer a 200 hello\nexpect c1 200 hello"
-    assert not play(asks + serves, TMPDIR="/nowhere").head.engine.in_maintenance
+    assert not play(rejected + serves, TMPDIR="/nowhere").head.engine.in_maintenance
 
 
-def test_a_file_that_cannot_be_read_is_said_and_keeps_no_head_from_starting(tmp_path: Path) -> None:
+def test_an_invalid_state_file_does_not_prevent_a_start(tmp_path: Path) -> None:
     file = StateFile(str(tmp_path), ("127.0.0.1", 9000))
     assert file.read() == State()
     assert file.path is not None
@@ -62,7 +65,7 @@
     assert [path.name for path in tmp_path.glob("*json*")] == [file.path.name]
 
 
-def test_ids_ever_listed_are_known_and_bounded() -> None:
+def test_listed_nodes_are_remembered_up_to_a_bound() -> None:
     engine = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head.engine
     for n in range(MAX_LISTED_NODES + 10):
         engine.update_endpoints(
@@ -78,7 +81,7 @@
 REPLACED = "brick b1\nclient c1\nclient c2\nsend c1 get /_health\nexpect c1 200\nsend daemon replace\n"
 
 
-def test_when_the_next_process_dies_the_one_before_accepts_again() -> None:
+def test_when_the_successor_dies_the_predecessor_accepts_again() -> None:
     old, new = play(REPLACED + "wait 0.1\nexpect c1 nothing").heads
     reactor = old._reactor
     assert not old.front.accepting and new.front.accepting and old.front.migration.on
@@ -90,7 +93,7 @@
     assert old.buffers.limit == old._max_buffers and len(reactor.ports[old._port.getHost()]) == 1
 
 
-def test_a_next_process_that_dies_before_it_serves_changes_nothing(tmp_path: Path) -> None:
+def test_a_successor_that_dies_before_it_serves_changes_nothing(tmp_path: Path) -> None:
     world = play("client c1\nsend c1 get /_health\nexpect c1 200\nsend list mute", TMPDIR=str(tmp_path))
     old = world.head
     link = HandoverConnection(Handover(world.reactor, old.clock, old._log, None, ("", 0), old), True)
@@ -103,8 +106,8 @@
     assert old.front.accepting and not old.front.leaving and old.buffers.limit == old._max_buffers
 
 
-def test_a_dead_peer_a_silent_one_and_noise_keep_no_process_from_starting(tmp_path: Path) -> None:
-    for peer in (None, Factory.forProtocol(Protocol), Factory.forProtocol(Noise)):
+def test_a_dead_a_silent_or_an_invalid_predecessor_does_not_prevent_a_start(tmp_path: Path) -> None:
+    for peer in (None, Factory.forProtocol(Protocol), Factory.forProtocol(InvalidMessages)):
         world = MemoryWorld(TMPDIR=str(tmp_path))
         (tmp_path / "gaugesail-127.0.0.1-0.sock").unlink(missing_ok=True)
         (tmp_path / "gaugesail-127.0.0.1-0.sock").symlink_to("gone.sock")
@@ -114,12 +117,12 @@
         assert (tmp_path / "gaugesail-127.0.0.1-0.sock").readlink().name != "gone.sock"
 
 
-class Noise(Protocol):
+class InvalidMessages(Protocol):
     def connectionMade(self) -> None:
         cast(Any, self.transport).write(b'{}\n[]\n{"known": {}, "version": 99}\n\xff\n')
 
 
-def test_a_folder_whose_path_is_too_long_for_a_socket_is_named_another_way(tmp_path: Path) -> None:
+def test_a_folder_path_too_long_for_a_socket_address_is_shortened(tmp_path: Path) -> None:
     folder = tmp_path / ("f" * 120)
     folder.mkdir()
     handover = Handover(MemoryReactor(), Mock(), Mock(), str(folder), ("127.0.0.1", 9000), Mock())
@@ -127,7 +130,7 @@
     assert len(str(path)) < 100 and path.parent.samefile(folder)
 
 
-def test_a_process_that_ends_takes_its_name_along_but_not_the_next_ones(tmp_path: Path) -> None:
+def test_an_ending_process_removes_its_own_link_but_not_its_successors(tmp_path: Path) -> None:
     play(REPLACED + "close daemon\nexpect c1 closed\nexpect daemon exit 0\nwait 1", TMPDIR=str(tmp_path))
     assert (tmp_path / "gaugesail-127.0.0.1-9000.sock").is_symlink()
     ends = "close daemon\nexpect daemon exit 0\n"
@@ -137,27 +140,29 @@
     assert not (tmp_path / "gaugesail-127.0.0.1-9000.sock").is_symlink()
 
 
-def test_a_broken_file_is_not_taken_and_a_start_without_some_keys_is(tmp_path: Path) -> None:
-    head = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head
-    file, good, wanted = tmp_path / "config.json", json.dumps(head._config.raw), head._latest_settings
+def test_an_invalid_configuration_is_not_applied_on_reload(tmp_path: Path) -> None:
+    gateway = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head
+    file, good, wanted = tmp_path / "config.json", json.dumps(gateway._config.raw), gateway._latest_settings
     noise = good.replace('"read"', '"reads"')
     reads = noise.replace('"worth"', '"gain"')
     renamed = noise.replace('"give_up_us"', '"give_up"', 1)
     for text in ("", "{", "[]", "null", noise[: len(noise) // 2], renamed):
         file.write_text(text)
-        head.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
-        assert head.engine.settings is wanted and "level=error event=bad_configuration" in last_line(head)
+        gateway.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
+        assert gateway.engine.settings is wanted and "level=error event=bad_configuration" in last_line(
+            gateway
+        )
     file.write_text(reads)
-    head.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
-    assert head.engine.settings.classes[0].name == "reads" and "event=reloaded" in last_line(head)
+    gateway.reload_from(lambda: config.load({"BALANCER_CONFIG": str(file)}))
+    assert gateway.engine.settings.classes[0].name == "reads" and "event=reloaded" in last_line(gateway)
 
 
-def last_line(head: Any) -> str:
-    text: str = head._log._log._logger._file.getvalue()
+def last_line(gateway: Any) -> str:
+    text: str = gateway._log._log._logger._file.getvalue()
     return text.splitlines()[-1]
 
 
-def test_what_is_optional_may_go_and_what_is_there_keeps_its_form() -> None:
+def test_a_reloaded_file_may_lack_only_optional_keys_and_keeps_types() -> None:
     old = {"a": {"keep_order": True, "b": 1}, "rows": [{"x": 1, "y": 2}, {"x": 1}], "n": None, "s": "t"}
     config.check_shape(old, {"a": {"b": 2.5}, "rows": [{"x": 2}], "n": 3, "s": "", "more": 1})
     config.check_shape(old, {"a": {"b": 2}, "rows": [], "n": None, "s": "u"})
@@ -169,7 +174,7 @@
             config.check_shape(old, old | change)
 
 
-def test_between_two_settings_the_stricter_holds() -> None:
+def test_during_a_transition_the_stricter_settings_apply() -> None:
     read, write = (
         RequestClass("read", 5, 50),
         RequestClass("write", 5, 50, idempotency=Idempotency.NOT_IDEMPOTENT),
@@ -187,7 +192,7 @@
     assert both.plans == (Plan("b", 7.0), Plan("a")) and both.max_attempts == 2
 
 
-def test_calls_at_both_processes_at_once_bind_both_and_are_kept(tmp_path: Path) -> None:
+def test_simultaneous_calls_to_both_processes_apply_to_both_and_are_saved(tmp_path: Path) -> None:
     text = "brick b2 shard=1\n" + REPLACED + "wait 0.1\nexpect c1 nothing"
     old, new = play(text, TMPDIR=str(tmp_path)).heads
     assert old.operations.maintain(b"b1", True) and new.operations.maintain(b"b2", True)
@@ -199,7 +204,7 @@
     assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b2"}
 
 
-def test_before_it_knows_what_was_asked_a_process_takes_no_call(tmp_path: Path) -> None:
+def test_calls_are_rejected_before_the_state_file_was_read(tmp_path: Path) -> None:
     engine, front = Mock(in_maintenance=set()), Mock()
     operations = Operations(engine, front, StateFile(str(tmp_path), ("", 1)), Mock(), Mock())
     for call in (lambda: operations.drain(True), lambda: operations.maintain(b"b1", True)):
@@ -208,13 +213,15 @@
     assert not list(tmp_path.iterdir()) and not engine.mock_calls
 
 
-def test_the_next_process_has_the_places_that_the_one_before_does_not_hold() -> None:
+def test_the_successor_gets_the_client_places_that_the_predecessor_leaves_free() -> None:
     flood = "".join(f"client s{n}\n" for n in range(12))
-    asks = "".join(f"send s{n} {'connect' if n < 9 else 'get /_health'}\n" for n in range(12))
-    text = f"daemon http limits.sockets=116\n{flood}client c1\n{asks}wait 0.3\nexpect s11 200\n"
+    requests = "".join(f"send s{n} {'connect' if n < 9 else 'get /_health'}\n" for n in range(12))
+    text = f"daemon http limits.sockets=116\n{flood}client c1\n{requests}wait 0.3\nexpect s11 200\n"
     old, new = play(text + "send daemon replace\nwait 0.3\nexpect c1 nothing").heads
     part = old._config.limits.of(2).client_connections
-    assert part == 11 and old.front.connections == 3, "silent ones go at once, as more are here than its part"
+    assert part == 11 and old.front.connections == 3, (
+        "silent clients are closed at once, as there are more than its share"
+    )
     assert new.front._max_connections == 2 * part - 3
     old._handover._connections[0].link.abortConnection()
     old._reactor.run_until(lambda: False, 0.1)
--- a/tests/process/test_persistent_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -1,4 +1,4 @@
-"""The folder that a head's processes share fails for a while: what was taken on is still owed."""
+"""Temporary faults of the folder that a gateway's processes share: acknowledged calls stay in force."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def call(port: int, path: str) -> int:
-    """An operator's call: its status."""
+    """Make an operator's call and return its status."""
     try:
         with urlopen(Request(f"http://{HOST}:{port}/{path}", method="POST"), timeout=2.0) as answer:
             return int(answer.status)
@@ -29,60 +29,62 @@
         return error.code
 
 
-def in_use(head: FaultyGateway, name: str) -> bool:
-    """Whether the node is sent a request now."""
-    answer = head.ask(name, 0, 1000)
+def in_use(gateway: FaultyGateway, name: str) -> bool:
+    """Whether the node is used for requests now."""
+    answer = gateway.ask(name, 0, 1000)
     wait_until(lambda: answer.status != 0, 1.5)
     return answer.status == 200
 
 
 @pytest.mark.parametrize("fails", [Call.WRITE, Call.SYNC, Call.RENAME, Call.OPEN], ids=lambda one: one.name)
-def test_a_call_that_cannot_be_kept_is_told_no_and_changes_nothing(
+def test_a_call_that_cannot_be_saved_is_rejected_and_changes_nothing(
     fails: Call, tmp_path: Path, library: Path
 ) -> None:
     port = free_ports(1)[0]
-    with faulty(tmp_path, library, [ServingNode(0)], management=f"{HOST}:{port}") as head:
-        head.faults.fail(fails, errno.ENOSPC, 100)
+    with faulty(tmp_path, library, [ServingNode(0)], management=f"{HOST}:{port}") as gateway:
+        gateway.faults.fail(fails, errno.ENOSPC, 100)
         assert call(port, f"bricks/{NODE}/maint") == 503
-        head.faults.clear()
-        assert in_use(head, "first")
+        gateway.faults.clear()
+        assert in_use(gateway, "first")
         assert call(port, f"bricks/{NODE}/maint") == 200
-        assert not in_use(head, "second")
+        assert not in_use(gateway, "second")
         kept = [json.loads(path.read_text()) for path in tmp_path.glob("gaugesail-*.json")]
         assert kept == [{"away": [NODE], "drained": False}]
-        assert not [path for path in tmp_path.glob("gaugesail-*") if path.suffix == f".{head.process.pid}"]
+        assert not [path for path in tmp_path.glob("gaugesail-*") if path.suffix == f".{gateway.process.pid}"]
 
 
 @pytest.mark.parametrize("fails", [Call.WRITE, Call.SYNC, Call.RENAME, Call.OPEN, Call.UNLINK],
                          ids=lambda one: one.name)  # fmt: skip
-def test_a_head_ends_in_order_though_its_folder_fails(fails: Call, tmp_path: Path, library: Path) -> None:
-    with faulty(tmp_path, library, [ServingNode(0)]) as head:
-        assert in_use(head, "first")
-        head.faults.fail(fails, errno.EIO, 1000)
-        head.term()
-        assert wait_until(lambda: head.process.poll() is not None, 4.0), "it runs on, up to the kill"
-        assert head.process.returncode == 0
-
-
-def test_what_was_asked_is_carried_out_once_its_file_can_be_read(tmp_path: Path, library: Path) -> None:
-    """At the start the file gives an error of the system; what it holds is another process's promise."""
+def test_a_gateway_shuts_down_although_its_folder_fails(fails: Call, tmp_path: Path, library: Path) -> None:
+    with faulty(tmp_path, library, [ServingNode(0)]) as gateway:
+        assert in_use(gateway, "first")
+        gateway.faults.fail(fails, errno.EIO, 1000)
+        gateway.term()
+        assert wait_until(lambda: gateway.process.poll() is not None, 4.0), (
+            "the process has not ended before SIGKILL"
+        )
+        assert gateway.process.returncode == 0
+
+
+def test_the_saved_state_is_applied_once_the_file_can_be_read(tmp_path: Path, library: Path) -> None:
+    """At startup the state file cannot be read; another process has acknowledged what it holds."""
     port = free_ports(1)[0]
     listen = free_ports(1)[0]
     file = tmp_path / f"gaugesail-{HOST}-{listen}.json"
-    file.mkdir()  # reading it fails as the system says
-    head = FaultyGateway(tmp_path, library, [ServingNode(0)], management=f"{HOST}:{port}")
+    file.mkdir()  # reading it fails with EISDIR
+    gateway = FaultyGateway(tmp_path, library, [ServingNode(0)], management=f"{HOST}:{port}")
     config = json.loads((tmp_path / "config").read_text()) | {"listen": f"{HOST}:{listen}"}
     (tmp_path / "config").write_text(json.dumps(config))
     try:
-        head.start()
-        assert call(port, "healthcheck/fail") == 503, "what was asked before is not known yet"
+        gateway.start()
+        assert call(port, "healthcheck/fail") == 503, "the saved state is not known yet"
         file.rmdir()
         (fresh := tmp_path / "fresh").write_text(json.dumps({"away": [NODE], "drained": False}))
         os.replace(fresh, file)
-        assert wait_until(lambda: "event=maintenance_begins" in head.text, 2.0), head.text
-        assert not in_use(head, "first")
+        assert wait_until(lambda: "event=maintenance_begins" in gateway.text, 2.0), gateway.text
+        assert not in_use(gateway, "first")
     finally:
-        head.close()
+        gateway.close()
 
 
 REPLACED = """brick b1 shard=0
@@ -95,18 +97,18 @@
 """
 
 
-def test_a_file_that_cannot_be_written_does_not_part_two_processes(
+def test_a_file_that_cannot_be_written_does_not_disconnect_two_processes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The next process follows a call of the first; its own write of it fails, and is made up for."""
+    """The successor applies a call of the predecessor; its own write fails and is retried later."""
     world = play(REPLACED, TMPDIR=str(tmp_path))
     first, second = world.heads
-    plain, failing = second._state.write, [True]
+    write_state, write_fails = second._state.write, [True]
 
     def write(state: State) -> None:
-        if failing[0]:
+        if write_fails[0]:
             raise OSError(errno.ENOSPC, "no space")
-        plain(state)
+        write_state(state)
 
     second._state.path = second._state.path.with_name("of-the-second.json")
     monkeypatch.setattr(second._state, "write", write)
@@ -116,5 +118,5 @@
     assert world.until(lambda: b"b1" in second.engine.in_maintenance, 1.0)
     world.until(lambda: False, 0.5)
     assert (len(first._handover._connections), len(second._handover._connections)) == links
-    failing[0] = False
+    write_fails[0] = False
     assert world.until(lambda: b"b1" in second._state.read().in_maintenance, 2.0)
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -1,4 +1,4 @@
-"""A process as it is started: ready within 10 s, whatever discovery and its address do meanwhile."""
+"""A started process is ready within 10 s, whatever the state of discovery and of its own address."""
 
 from __future__ import annotations
 
@@ -26,55 +26,58 @@
 
 
 class Discovery:
-    """Takes connections, one thread each, and does with them what the test says."""
+    """A discovery service on one thread that passes each accepted connection to ``serve``.
+
+    With ``serve`` None nothing listens at its address.
+    """
 
     def __init__(self, serve: Server | None) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.calls = 0
-        self._kept: list[socket.socket] = []
+        self._accepted: list[socket.socket] = []
         if serve is None:
-            self.listener.close()  # nothing is there
+            self.listener.close()  # connections are refused
         else:
             threading.Thread(target=self._accept, args=[serve], daemon=True).start()
 
     def _accept(self, serve: Server) -> None:
         with suppress(OSError):
             while True:
-                one, _ = self.listener.accept()
-                self._kept.append(one)
+                connection, _ = self.listener.accept()
+                self._accepted.append(connection)
                 self.calls += 1
-                serve(one, self.calls)
+                serve(connection, self.calls)
 
     def close(self) -> None:
         self.listener.close()
-        for one in self._kept:
-            one.close()
+        for connection in self._accepted:
+            connection.close()
 
 
-def waits(one: socket.socket, call: int) -> None:
-    """It is accepted, and never answered."""
+def never_answer(connection: socket.socket, call: int) -> None:
+    """Keep the connection open without an answer."""
 
 
-def reset(one: socket.socket) -> None:
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    one.close()
+def reset(connection: socket.socket) -> None:
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    connection.close()
 
 
-def overbooked(one: socket.socket, call: int) -> None:
-    """503, a reset, a call that waits and is never answered, in turn."""
+def overload(connection: socket.socket, call: int) -> None:
+    """Answer 503, reset, or keep the connection open without an answer, in turn."""
     if call % 3 == 0:
         return
     if call % 3 == 1:
-        one.recv(4096)
-        one.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        one.close()
+        connection.recv(4096)
+        connection.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        connection.close()
     else:
-        reset(one)
+        reset(connection)
 
 
-class Started:
-    """One process of a head."""
+class GatewayProcess:
+    """One gateway process."""
 
     def __init__(self, folder: Path, discovery: str, listen: str, **changes: str) -> None:
         config: dict[str, Any] = {
@@ -88,47 +91,47 @@
         self.port = int(port)
         file = folder / f"config-{time.monotonic_ns()}.json"
         file.write_text(json.dumps(config))
-        (kept := folder / file.stem).mkdir()
+        (folder_of_process := folder / file.stem).mkdir()
         self.began = time.monotonic()
         self.log = (folder / f"{file.stem}.log").open("w+")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "gaugesail"], cwd=ROOT, stderr=self.log,
-            env=os.environ | {"BALANCER_CONFIG": str(file), "TMPDIR": str(kept)},
+            env=os.environ | {"BALANCER_CONFIG": str(file), "TMPDIR": str(folder_of_process)},
         )  # fmt: skip
 
     def health(self) -> str:
-        """The status of GET /_health, or why there is none."""
+        """The status line of GET /_health, or the error."""
         try:
-            with socket.create_connection((self.host, self.port), 1.0) as one:
-                one.settimeout(1.0)
-                one.sendall(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
-                return one.recv(100).partition(b"\r\n")[0].decode()
+            with socket.create_connection((self.host, self.port), 1.0) as connection:
+                connection.settimeout(1.0)
+                connection.sendall(b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+                return connection.recv(100).partition(b"\r\n")[0].decode()
         except OSError as error:
             return repr(error)
 
     def ready_after(self) -> float:
-        """Seconds from its start until it says that it is ready."""
-        said = ""
+        """Seconds from the start until the health check succeeds."""
+        health = ""
         while time.monotonic() < self.began + READY_S + 5.0:
-            assert self.process.poll() is None, f"it refused to start: {Path(self.log.name).read_text()}"
-            said = self.health()
-            if said == "HTTP/1.1 200 OK":
+            assert self.process.poll() is None, f"the process has ended: {Path(self.log.name).read_text()}"
+            health = self.health()
+            if health == "HTTP/1.1 200 OK":
                 return time.monotonic() - self.began
             time.sleep(0.02)
-        raise AssertionError(f"not ready: {said}")
+        raise AssertionError(f"not ready: {health}")
 
-    def refuses_in_order(self) -> bool:
-        """It takes a request; with no brick in its list it says so."""
-        with socket.create_connection((self.host, self.port), 1.0) as one:
-            one.settimeout(5.0)
-            one.sendall(
+    def rejects_requests(self) -> bool:
+        """Whether a request is rejected with 503, as no node is listed."""
+        with socket.create_connection((self.host, self.port), 1.0) as connection:
+            connection.settimeout(5.0)
+            connection.sendall(
                 b"GET /api HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nRequest-Class: read\r\nX-Plan: basic\r\n"
                 b"X-IO: volume=1,units=1,shard=0,hosts=1\r\nRequest-Timeout-Ms: 3000\r\n\r\n"
             )
-            return one.recv(100).startswith(b"HTTP/1.1 503 ")
+            return connection.recv(100).startswith(b"HTTP/1.1 503 ")
 
     def end(self) -> None:
-        """SIGKILL, where it is still there."""
+        """Kill the process if it is still running."""
         self.process.kill()
         self.process.wait()
         self.log.close()
@@ -142,91 +145,91 @@
 
 @contextmanager
 def discovery(serve: Server | None) -> Iterator[Discovery]:
-    made = Discovery(serve)
+    service = Discovery(serve)
     try:
-        yield made
+        yield service
     finally:
-        made.close()
+        service.close()
 
 
 @pytest.mark.parametrize("lists", ["ask", "push"])
-@pytest.mark.parametrize("serve", [None, waits, overbooked], ids=["dead", "waits", "overbooked"])
-def test_it_is_ready_whatever_discovery_does(serve: Server | None, lists: str, tmp_path: Path) -> None:
-    with discovery(serve) as there:
-        head = Started(tmp_path, there.address, free_address(), settings__discovery=lists)
+@pytest.mark.parametrize("serve", [None, never_answer, overload], ids=["dead", "never_answer", "overload"])
+def test_a_gateway_is_ready_whatever_discovery_does(serve: Server | None, lists: str, tmp_path: Path) -> None:
+    with discovery(serve) as service:
+        gateway = GatewayProcess(tmp_path, service.address, free_address(), settings__discovery=lists)
         try:
-            assert head.ready_after() <= READY_S
-            assert head.refuses_in_order()
-            assert serve is None or there.calls
+            assert gateway.ready_after() <= READY_S
+            assert gateway.rejects_requests()
+            assert serve is None or service.calls
         finally:
-            head.end()
+            gateway.end()
 
 
-def test_heads_that_start_all_at_once_with_discovery_overbooked_are_ready(tmp_path: Path) -> None:
-    with discovery(overbooked) as there:
-        heads = [Started(tmp_path, there.address, free_address()) for _ in range(6)]
+def test_gateways_that_start_together_with_overloaded_discovery_are_ready(tmp_path: Path) -> None:
+    with discovery(overload) as service:
+        gateways = [GatewayProcess(tmp_path, service.address, free_address()) for _ in range(6)]
         try:
-            assert max(head.ready_after() for head in heads) <= READY_S
+            assert max(gateway.ready_after() for gateway in gateways) <= READY_S
         finally:
-            for head in heads:
-                head.end()
+            for gateway in gateways:
+                gateway.end()
 
 
-def test_it_is_ready_though_its_address_is_free_only_after_seconds(tmp_path: Path) -> None:
-    """Something else holds it for as long as a process that is killed 3.7 s after its signal."""
-    with discovery(None) as there, socket.create_server(("127.0.0.1", 0)) as before:
-        head = Started(tmp_path, there.address, f"127.0.0.1:{before.getsockname()[1]}")
+def test_a_gateway_is_ready_although_its_address_is_in_use_for_seconds(tmp_path: Path) -> None:
+    """The address is in use for as long as by a process that is killed 3.7 s after SIGTERM."""
+    with discovery(None) as service, socket.create_server(("127.0.0.1", 0)) as listener:
+        gateway = GatewayProcess(tmp_path, service.address, f"127.0.0.1:{listener.getsockname()[1]}")
         try:
-            threading.Timer(3.7, before.close).start()
-            assert 3.7 <= head.ready_after() <= READY_S
+            threading.Timer(3.7, listener.close).start()
+            assert 3.7 <= gateway.ready_after() <= READY_S
         finally:
-            head.end()
+            gateway.end()
 
 
 @pytest.mark.parametrize("held", [False, True], ids=["idle", "held"])
-def test_it_is_ready_beside_the_process_before_that_is_told_to_end(held: bool, tmp_path: Path) -> None:
-    """Each with a folder of its own, as on the platform: nothing is handed over."""
-    with discovery(waits) as there:
-        before = Started(tmp_path, there.address, free_address())
-        head = None
+def test_a_gateway_is_ready_beside_a_predecessor_that_received_sigterm(held: bool, tmp_path: Path) -> None:
+    """Each process has its own folder, as on the platform: nothing is handed over."""
+    with discovery(never_answer) as service:
+        predecessor = GatewayProcess(tmp_path, service.address, free_address())
+        gateway = None
         try:
-            before.ready_after()
-            with socket.create_connection((before.host, before.port)) as client:
-                if held:  # a request that never comes whole
+            predecessor.ready_after()
+            with socket.create_connection((predecessor.host, predecessor.port)) as client:
+                if held:  # a request that is never complete
                     client.sendall(b"GET /api HTTP/1.1\r\nHost: h\r\n")
                     time.sleep(0.1)
-                before.process.send_signal(signal.SIGTERM)
-                head = Started(tmp_path, there.address, f"{before.host}:{before.port}")
+                predecessor.process.send_signal(signal.SIGTERM)
+                gateway = GatewayProcess(tmp_path, service.address, f"{predecessor.host}:{predecessor.port}")
                 time.sleep(3.7)
-                assert head.process.poll() is None
-                before.process.kill()
-                assert head.ready_after() <= READY_S
+                assert gateway.process.poll() is None
+                predecessor.process.kill()
+                assert gateway.ready_after() <= READY_S
         finally:
-            before.end()
-            if head is not None:
-                head.end()
+            predecessor.end()
+            if gateway is not None:
+                gateway.end()
 
 
-def test_a_head_that_is_killed_right_after_an_accept_is_ready_again(tmp_path: Path) -> None:
-    """Who was let in is reset, with a request or without; the next process has the address at once."""
-    with discovery(waits) as there:
-        before = Started(tmp_path, there.address, free_address())
-        head = None
+def test_a_gateway_killed_right_after_an_accept_is_ready_again(tmp_path: Path) -> None:
+    """Accepted connections are reset, with or without a request; the address is free at once."""
+    with discovery(never_answer) as service:
+        predecessor = GatewayProcess(tmp_path, service.address, free_address())
+        gateway = None
         try:
-            before.ready_after()
+            predecessor.ready_after()
             with (
-                socket.create_connection((before.host, before.port)) as silent,
-                socket.create_connection((before.host, before.port)) as asks,
+                socket.create_connection((predecessor.host, predecessor.port)) as silent,
+                socket.create_connection((predecessor.host, predecessor.port)) as sending,
             ):
-                asks.sendall(b"GET /_health HTTP/1.1\r\n")
-                before.end()
-                head = Started(tmp_path, there.address, f"{before.host}:{before.port}")
-                for one in (silent, asks):
-                    one.settimeout(5.0)
+                sending.sendall(b"GET /_health HTTP/1.1\r\n")
+                predecessor.end()
+                gateway = GatewayProcess(tmp_path, service.address, f"{predecessor.host}:{predecessor.port}")
+                for connection in (silent, sending):
+                    connection.settimeout(5.0)
                     with suppress(ConnectionError):
-                        assert one.recv(100) == b""
-            assert head.ready_after() <= READY_S
+                        assert connection.recv(100) == b""
+            assert gateway.ready_after() <= READY_S
         finally:
-            before.end()
-            if head is not None:
-                head.end()
+            predecessor.end()
+            if gateway is not None:
+                gateway.end()
--- a/tests/support/faulty_process.py
+++ b/tests/support/faulty_process.py
@@ -1,6 +1,6 @@
-"""A head as it is started, under the fault shim, among plain sockets that a test steers.
+"""A gateway process under the fault shim, with nodes, discovery and clients on plain sockets.
 
-Everything runs in real time: a wall clock can only be stepped under a real process.
+Everything runs in real time, as the wall clock can be stepped only under a real process.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 ROOT = Path(__file__).parents[2]
 READY_S = 20.0
-BEAT_S = 1.0  # between empty lines of a watch
+HEARTBEAT_S = 1.0  # between empty lines of a watch
 HOST = "127.0.0.1"
 Row = TypeVar("Row")
-Found = TypeVar("Found")
+Result = TypeVar("Result")
 
 
 def wait_until(done: Callable[[], bool], seconds: float) -> bool:
-    """Whether it came true within so many seconds."""
+    """Wait until ``done`` returns true; returns False after ``seconds``."""
     end = time.monotonic() + seconds
     while not done():
         if time.monotonic() > end:
@@ -41,29 +41,29 @@
 
 
 def folder_of(base: Path, name: object) -> Path:
-    """A folder of its own for one of several heads of a test."""
+    """Create a folder for one of several gateways of a test."""
     (made := base / str(name)).mkdir()
     return made
 
 
-def at_once(rows: Iterable[Row], call: Callable[[Row], Found]) -> dict[Row, Found]:
-    """What a call finds for each row; the rows are played beside each other."""
+def at_once(rows: Iterable[Row], call: Callable[[Row], Result]) -> dict[Row, Result]:
+    """The results of ``call`` by row; all rows run in parallel."""
     rows = list(rows)
     with ThreadPoolExecutor(len(rows)) as pool:
         return dict(zip(rows, pool.map(call, rows), strict=True))
 
 
 class HangingNode:
-    """A node that accepts connections and requests, and never answers."""
+    """A node that accepts connections and requests but never answers."""
 
     def __init__(self, shard: int) -> None:
         self.shard, self.started_ms, self.phase = shard, 0, "Ready"
         self.listener = socket.create_server((HOST, 0), backlog=128)
         self.listener.setblocking(False)
         self._accepted: list[socket.socket] = []
-        self._text: dict[socket.socket, bytes] = {}
+        self._received: dict[socket.socket, bytes] = {}
 
-    def line(self) -> dict[str, Any]:
+    def endpoint(self) -> dict[str, Any]:
         port = self.listener.getsockname()[1]
         return {"id": f"b{self.shard}", "host_port": f"{HOST}:{port}", "locality": "", "flavor": "",
                 "cell": self.shard, "phase": self.phase, "size": 1.0,
@@ -71,7 +71,7 @@
 
     @property
     def requests(self) -> int:
-        """How many have come so far."""
+        """The number of requests received so far."""
         with suppress(BlockingIOError):
             while True:
                 accepted = self.listener.accept()[0]
@@ -79,12 +79,12 @@
                 self._accepted.append(accepted)
         for accepted in self._accepted:
             with suppress(OSError):
-                self._text[accepted] = self._text.get(accepted, b"") + accepted.recv(1 << 16)
-        return sum(text.count(b"Request-Id: ") for text in self._text.values())
+                self._received[accepted] = self._received.get(accepted, b"") + accepted.recv(1 << 16)
+        return sum(text.count(b"Request-Id: ") for text in self._received.values())
 
     def close(self) -> None:
-        for one in (self.listener, *self._accepted):
-            one.close()
+        for open_socket in (self.listener, *self._accepted):
+            open_socket.close()
 
 
 class ServingNode(HangingNode):
@@ -92,32 +92,32 @@
 
     def __init__(self, shard: int) -> None:
         super().__init__(shard)
-        self._done: dict[socket.socket, int] = {}  # answers by connection
-        self._ended = False
+        self._answered: dict[socket.socket, int] = {}  # answers by connection
+        self._closed = False
         self.serving = True
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self) -> None:
-        while not self._ended:
+        while not self._closed:
             time.sleep(0.002)
             with suppress(OSError):  # it is being closed
                 if self.requests and self.serving:
                     self._answer()
 
     def _answer(self) -> None:
-        for accepted, text in list(self._text.items()):
-            while text.count(b"\r\n\r\n") > self._done.get(accepted, 0):
-                self._done[accepted] = self._done.get(accepted, 0) + 1
+        for accepted, text in list(self._received.items()):
+            while text.count(b"\r\n\r\n") > self._answered.get(accepted, 0):
+                self._answered[accepted] = self._answered.get(accepted, 0) + 1
                 with suppress(OSError):
                     accepted.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
     def close(self) -> None:
-        self._ended = True
+        self._closed = True
         super().close()
 
 
 class ListService:
-    """Discovery: each watch gets the whole list, what changes, and an empty line each second."""
+    """Discovery: each watch gets the complete list, changes, and an empty line every HEARTBEAT_S."""
 
     def __init__(self, nodes: list[HangingNode]) -> None:
         self.nodes, self.revision = nodes, 1
@@ -125,13 +125,17 @@
         self.address = f"{HOST}:{self._listener.getsockname()[1]}"
         self._watches: list[socket.socket] = []
         self._silent: list[socket.socket] = []
-        self._ended = False
+        self._closed = False
         self.calls = 0
         threading.Thread(target=self._accept, daemon=True).start()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
-    def listing(self, full: bool = True) -> dict[str, Any]:
-        return {"revision": self.revision, "complete": full, "members": [node.line() for node in self.nodes]}
+    def endpoint_list(self, full: bool = True) -> dict[str, Any]:
+        return {
+            "revision": self.revision,
+            "complete": full,
+            "members": [node.endpoint() for node in self.nodes],
+        }
 
     def _accept(self) -> None:
         with suppress(OSError):
@@ -140,15 +144,15 @@
                 watch.recv(4096)
                 self.calls += 1
                 watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                self._send(watch, json.dumps(self.listing()))
+                self._send(watch, json.dumps(self.endpoint_list()))
                 self._watches.append(watch)
 
-    def _beat(self) -> None:
-        while not self._ended:
-            time.sleep(BEAT_S)
-            self._tell("")
+    def _send_heartbeats(self) -> None:
+        while not self._closed:
+            time.sleep(HEARTBEAT_S)
+            self._send_to_watches("")
 
-    def _tell(self, text: str) -> None:
+    def _send_to_watches(self, text: str) -> None:
         for watch in list(self._watches):
             with suppress(OSError):
                 self._send(watch, text)
@@ -159,32 +163,32 @@
         watch.sendall(b"%x\r\n%b\r\n" % (len(data), data))
 
     def fall_silent(self) -> None:
-        """The watches that are open stay open and hear nothing more."""
+        """Keep the present watches open, but send them nothing more."""
         self._silent += self._watches
         self._watches = []
 
     def changed(self) -> None:
-        """Tell all watches the list as it is now."""
+        """Send the current list to all watches as a change."""
         self.revision += 1
-        self._tell(json.dumps(self.listing(False)))
+        self._send_to_watches(json.dumps(self.endpoint_list(False)))
 
     def close(self) -> None:
-        self._ended = True
-        for one in (self._listener, *self._watches, *self._silent):
-            one.close()
+        self._closed = True
+        for open_socket in (self._listener, *self._watches, *self._silent):
+            open_socket.close()
 
 
 class Answer:
-    """A request on a connection of its own, and what came of it."""
+    """A request on its own connection, and its answer."""
 
-    def __init__(self, head: FaultyGateway, name: str, shard: int, timeout_ms: int, units: int) -> None:
+    def __init__(self, gateway: FaultyGateway, name: str, shard: int, timeout_ms: int, units: int) -> None:
         self.due_s = timeout_ms / 1000
-        self._socket = socket.create_connection((HOST, head.port), 5.0)
+        self._socket = socket.create_connection((HOST, gateway.port), 5.0)
         self._socket.settimeout(0.0)
-        self._text = b""
+        self._received = b""
         self.took_s: float | None = None
         self.began = time.monotonic()
-        block = hash(name) & 0xFFFF_FFFF  # of its own, so that none is taken for another's repeat
+        block = hash(name) & 0xFFFF_FFFF  # unique, so that no request counts as a repeat of another
         text = (
             f"GET /api HTTP/1.1\r\nHost: h\r\nRequest-Id: {name}\r\nRequest-Class: read\r\nX-Plan: basic\r\n"
             f"Cookie: block={block:x}\r\n"
@@ -194,7 +198,7 @@
 
     @property
     def status(self) -> int:
-        """0 while there is none, -1 where the connection ended without one."""
+        """The status; 0 while there is no answer, -1 if the connection ended without one."""
         if self.took_s is None:
             try:
                 data = self._socket.recv(4096)
@@ -202,19 +206,19 @@
                 return 0
             except ConnectionError:
                 data = b""
-            self._text += data
-            if b"\r\n\r\n" in self._text or not data:
+            self._received += data
+            if b"\r\n\r\n" in self._received or not data:
                 self.took_s = time.monotonic() - self.began
         if self.took_s is None:
             return 0
-        return int(self._text[9:12]) if self._text.startswith(b"HTTP/1.1 ") else -1
+        return int(self._received[9:12]) if self._received.startswith(b"HTTP/1.1 ") else -1
 
     def close(self) -> None:
         self._socket.close()
 
 
 class FaultyGateway:
-    """One process of a head whose system calls and wall clock are the test's."""
+    """A gateway process whose system calls and wall clock are controlled by the test."""
 
     def __init__(
         self, folder: Path, library: Path, nodes: list[HangingNode], arguments: tuple[str, ...] = (),
@@ -261,7 +265,7 @@
         return answer
 
     def ask_all(self, timeout_ms: int = 1000) -> list[Answer]:
-        """One request for each node."""
+        """Send one request for each node."""
         now = time.monotonic_ns()
         return [self.ask(f"r{node.shard}-{now}", node.shard, timeout_ms) for node in self.nodes]
 
@@ -285,17 +289,17 @@
     folder: Path, library: Path, nodes: list[HangingNode], *arguments: str, ahead_s: float = 0.0,
     management: str = "", seed: str = "7", **changes: str,
 ) -> Iterator[FaultyGateway]:  # fmt: skip
-    """A head that has started, with its wall clock so far ahead, and is ended whatever comes."""
-    head = FaultyGateway(folder, library, nodes, arguments, management, seed, **changes)
-    head.faults.step_wall_clock(ahead_s)
+    """Start a gateway, with its wall clock ``ahead_s`` ahead, and kill it at the end."""
+    gateway = FaultyGateway(folder, library, nodes, arguments, management, seed, **changes)
+    gateway.faults.step_wall_clock(ahead_s)
     try:
-        yield head.start()
+        yield gateway.start()
     finally:
-        head.close()
+        gateway.close()
 
 
 def answered_late(answers: list[Answer], slack_s: float = 0.25) -> list[str]:
-    """What is wrong with answers that were due, once the time of the last is well over."""
+    """Wait until the last answer is due, and describe the missing and late answers."""
     latest = max(answer.began + answer.due_s for answer in answers) + slack_s
     wait_until(lambda: all(answer.status for answer in answers), latest - time.monotonic() + 1.0)
     return [
