--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -21,7 +21,7 @@
 RESERVED_DESCRIPTORS = 24
 MIN_USABLE_DESCRIPTORS = 4
 # Shares of the usable descriptors.  A node has at most four attempts in flight (the largest congestion
-# window), so that 14 nodes use 56; a few more connections are idle, or hang while a new one is tried.
+# window), so that 14 nodes use 56; a few more connections are idle, or hang next to a test attempt.
 CLIENT_PERCENT = 65
 CLIENT_OVERFLOW_PERCENT = 5  # for clients whose connections are closed after their answer
 NODE_PERCENT = 30
@@ -93,8 +93,8 @@
 def check_shape(old: Any, new: Any, path: str = "") -> None:
     """Check that a new configuration has all keys of the old one, with values of the same JSON types.
 
-    Reading replaces missing keys by defaults, so that a truncated file would be accepted without this check.
-    ``path`` is the prefix of the entries' names.  Raises ConfigError, which names the entry.
+    Reading replaces missing keys by defaults, so that without this check a file that lost a key would be
+    accepted.  ``path`` is the prefix of the entries' names.  Raises ConfigError, which names the entry.
     """
     if isinstance(old, dict) and isinstance(new, dict):
         for key, value in old.items():
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -319,9 +319,9 @@
             case CancelAttempt():
                 self.attempts.cancel(action)
             case _:
-                self._carry_out_besides(action)
+                self._carry_out_other(action)
 
-    def _carry_out_besides(self, action: Action) -> None:
+    def _carry_out_other(self, action: Action) -> None:
         """Carry out an action that does not concern a request."""
         match action:
             case WatchEndpoints():
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -262,10 +262,10 @@
         factory = _ConnectionFactory(self, False)
         self._port = self._reactor.listenUNIX(self._path(self._socket_name), factory, mode=0o600)
         link = folder / self._link_name
-        fresh = folder / f"{self._socket_name}.link"
-        fresh.symlink_to(self._socket_name)
+        new_link = folder / f"{self._socket_name}.link"
+        new_link.symlink_to(self._socket_name)
         previous = folder / os.readlink(link) if link.is_symlink() else None
-        fresh.replace(link)
+        new_link.replace(link)
         if previous is not None and not self._connections:  # left behind by a process that was killed
             previous.unlink(missing_ok=True)
 
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -233,7 +233,7 @@
             self._stop_accepting()  # connections queued for the successor are this process's again
 
     def hand_over_answers(self) -> None:
-        """Hand answers that would not end before this process does to the successor."""
+        """Hand over to the successor the answers that would outlast this process."""
 
     def continue_answer(self, descriptors: list[int], state: dict[str, Any]) -> None:
         """Continue an answer that the predecessor handed over."""
@@ -384,7 +384,7 @@
     def _report_counts(self) -> None:
         """Log the current state, and the counters that changed since the last report."""
         counts = self.engine.counts + self.engine.rejections + self.engine.rules.violations
-        fresh = dict(counts - self._reported)
+        changes = dict(counts - self._reported)
         self._reported = Counter(counts)
         self._log.info(
             "counts",
@@ -395,5 +395,5 @@
             buffers=self.buffers.out,
             maintenance=len(self.engine.in_maintenance),
             lines_dropped=self._log.dropped,
-            **fresh,
+            **changes,
         )
--- a/gaugesail/state.py
+++ b/gaugesail/state.py
@@ -74,17 +74,17 @@
         """
         if self.path is None:
             return
-        fresh = self.path.with_suffix(f".{os.getpid()}")
+        temporary = self.path.with_suffix(f".{os.getpid()}")
         names = sorted(name.decode(errors="replace") for name in state.in_maintenance)
         try:
-            with fresh.open("w") as file:
+            with temporary.open("w") as file:
                 file.write(json.dumps({"away": names, "drained": state.drained}))
                 file.flush()
                 os.fsync(file.fileno())
-            fresh.replace(self.path)
+            temporary.replace(self.path)
         except OSError:
             with suppress(OSError):
-                fresh.unlink(missing_ok=True)
+                temporary.unlink(missing_ok=True)
             raise
         with suppress(OSError):  # only the rename is not synced yet; the contents are on disk
             self._sync_folder()
--- a/tests/compatibility/test_handover.py
+++ b/tests/compatibility/test_handover.py
@@ -97,7 +97,7 @@
         assert head.port == listener.getsockname()[1]
         assert wait_until(lambda: bool(linked) and linked[0].has("serving"), READY_S)
         assert said_by(NEXT, "serving") in linked[0].data
-        answer = head.ask("a")
+        answer = head.send_request("a")
         assert wait_until(lambda: answer.status == 200, WAIT_S), (answer.status, head.text)
         linked[0].stream.sendall(said_by(RUNNING, "clients") + said_by(NEXT, "node"))
         assert wait_until(lambda: "maintenance_begins" in head.text, WAIT_S), head.text
--- a/tests/http/test_kernel_wait.py
+++ b/tests/http/test_kernel_wait.py
@@ -33,7 +33,7 @@
     node = HangingNode(0)
     with faulty(tmp_path, library, [node], categories__0__aim_us=AIM_US) as head:
         head.faults.fail(Call.ACCEPT, errno.EMFILE, 1000)
-        head.ask("waits", 0, TIMEOUT_MS)
+        head.send_request("waits", 0, TIMEOUT_MS)
         time.sleep(0.5)
         head.faults.clear()
         assert too_much_ms(head, node, 0.5) < SLACK_MS
@@ -43,7 +43,7 @@
     node = HangingNode(0)
     with faulty(tmp_path, library, [node], categories__0__aim_us=AIM_US) as head:
         head.process.send_signal(signal.SIGSTOP)
-        head.ask("waits", 0, TIMEOUT_MS)
+        head.send_request("waits", 0, TIMEOUT_MS)
         time.sleep(0.5)
         head.process.send_signal(signal.SIGCONT)
         assert too_much_ms(head, node, 0.5) < SLACK_MS
@@ -54,7 +54,7 @@
     with faulty(tmp_path, library, [node], limits__sockets="40", categories__0__aim_us=AIM_US) as head:
         others = [socket.create_connection((HOST, head.port)) for _ in range(40)]
         time.sleep(0.02)
-        head.ask("waits", 0, TIMEOUT_MS)
+        head.send_request("waits", 0, TIMEOUT_MS)
         began = time.monotonic()
         time.sleep(0.5)
         for one in others:
--- a/tests/policy/test_node_starts.py
+++ b/tests/policy/test_node_starts.py
@@ -32,7 +32,7 @@
     """How many of several requests a node that hangs is sent before it has answered any."""
     before = node.requests
     for number in range(ASKED):
-        head.ask(f"a{time.monotonic_ns()}-{number}", node.shard, 2500, units)
+        head.send_request(f"a{time.monotonic_ns()}-{number}", node.shard, 2500, units)
     wait_until(lambda: node.requests - before >= ASKED, SETTLED_S)
     return node.requests - before
 
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -23,7 +23,7 @@
             for number in range(HEADS)
         ]
         for number, head in enumerate(heads):
-            head.ask(f"new{number}", -1, 2000)
+            head.send_request(f"new{number}", -1, 2000)
         assert wait_until(lambda: sum(node.requests for node in nodes) == HEADS, 2.0)
         assert max(node.requests for node in nodes) <= HEADS // 2, [node.requests for node in nodes]
 
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -80,9 +80,9 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             "known": self.endpoint_list(2), "settings": defaults.settings(),
         }  # fmt: skip
-        path = folder / "head.json"
+        path = folder / "gateway.json"
         path.write_text(json.dumps(self.config))
-        self.log = folder / "head.log"
+        self.log = folder / "gateway.log"
         self.clients: list[socket.socket] = []
         environ = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
         with self.log.open("wb") as log:
@@ -110,12 +110,12 @@
         self.clients.append(client)
         return client
 
-    def fill(self, clients: int, ask: bytes) -> None:
-        """Connect ``clients`` that send ``ask``, stay connected and do not read."""
+    def fill(self, clients: int, data: bytes) -> None:
+        """Connect ``clients`` that send ``data``, stay connected and do not read."""
         for _ in range(clients):
             client = self.client()
             with suppress(OSError):
-                client.sendall(ask)
+                client.sendall(data)
 
     @property
     def descriptors(self) -> int:
@@ -145,10 +145,10 @@
         gateway.close()
 
 
-@pytest.mark.parametrize("ask", [b"", HEALTH, HEALTH[:20]], ids=["silent", "asked", "half"])
+@pytest.mark.parametrize("data", [b"", HEALTH, HEALTH[:20]], ids=["silent", "request", "half"])
 @pytest.mark.parametrize("sockets", [96, 1024])
 def test_discovery_is_polled_again_by_a_gateway_full_of_clients(
-    tmp_path: Path, sockets: int, ask: bytes
+    tmp_path: Path, sockets: int, data: bytes
 ) -> None:
     """The system's limit is 96 descriptors, whatever the configuration says."""
     with running_gateway(tmp_path, sockets, 96) as gateway:
@@ -156,9 +156,9 @@
         for client in kept * 2:
             client.sendall(HEALTH)
             assert read_to(client, b"ok").endswith(b"ok")
-        gateway.fill(200, ask)
+        gateway.fill(200, data)
         wait_until(lambda: gateway.descriptors >= 90, 1.0)
-        gateway.fill(60, ask)
+        gateway.fill(60, data)
         time.sleep(0.5)
         assert b"200 OK" in gateway.management_call("/healthcheck")
         gateway.phases[0] = "Terminating"
--- a/tests/process/test_failing_calls.py
+++ b/tests/process/test_failing_calls.py
@@ -27,7 +27,9 @@
                 continue
             for times in TIMES:
                 gateway.faults.fail(call, error, times)
-                answers = [gateway.ask(f"{call}-{error}-{times}-{number}", 0, 1500) for number in range(4)]
+                answers = [
+                    gateway.send_request(f"{call}-{error}-{times}-{number}", 0, 1500) for number in range(4)
+                ]
                 if late := answered_late(answers):
                     late_answers[f"{'short' if error == SHORT else errno.errorcode[error]} x {times}"] = late
                 gateway.faults.clear()
--- a/tests/process/test_persistent_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -31,12 +31,12 @@
 
 def in_use(gateway: FaultyGateway, name: str) -> bool:
     """Whether the node is used for requests now."""
-    answer = gateway.ask(name, 0, 1000)
+    answer = gateway.send_request(name, 0, 1000)
     wait_until(lambda: answer.status != 0, 1.5)
     return answer.status == 200
 
 
-@pytest.mark.parametrize("fails", [Call.WRITE, Call.SYNC, Call.RENAME, Call.OPEN], ids=lambda one: one.name)
+@pytest.mark.parametrize("fails", [Call.WRITE, Call.SYNC, Call.RENAME, Call.OPEN], ids=lambda call: call.name)
 def test_a_call_that_cannot_be_saved_is_rejected_and_changes_nothing(
     fails: Call, tmp_path: Path, library: Path
 ) -> None:
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("fails", [Call.WRITE, Call.SYNC, Call.RENAME, Call.OPEN, Call.UNLINK],
-                         ids=lambda one: one.name)  # fmt: skip
+                         ids=lambda call: call.name)  # fmt: skip
 def test_a_gateway_shuts_down_although_its_folder_fails(fails: Call, tmp_path: Path, library: Path) -> None:
     with faulty(tmp_path, library, [ServingNode(0)]) as gateway:
         assert in_use(gateway, "first")
--- a/tests/process/test_wall_clock.py
+++ b/tests/process/test_wall_clock.py
@@ -28,7 +28,7 @@
     def late(step: float) -> list[str]:
         with faulty(folder_of(tmp_path, step), library, hanging_nodes()) as gateway:
             gateway.faults.step_wall_clock(step)
-            return answered_late(gateway.ask_all(1000))
+            return answered_late(gateway.send_requests(1000))
 
     found = at_once(STEPS_S, late)
     assert not any(found.values()), found
@@ -37,7 +37,7 @@
 def test_requests_in_flight_are_answered_in_time_through_steps(tmp_path: Path, library: Path) -> None:
     def late(step: float) -> list[str]:
         with faulty(folder_of(tmp_path, step), library, hanging_nodes()) as gateway:
-            answers = gateway.ask_all(1500)
+            answers = gateway.send_requests(1500)
             time.sleep(0.3)
             gateway.faults.step_wall_clock(step)
             time.sleep(0.3)
@@ -51,7 +51,7 @@
 def test_a_shutdown_ends_in_time_through_steps(tmp_path: Path, library: Path) -> None:
     def late(step: float) -> list[str]:
         with faulty(folder_of(tmp_path, step), library, hanging_nodes()) as gateway:
-            answers = gateway.ask_all(1500)
+            answers = gateway.send_requests(1500)
             time.sleep(0.1)
             gateway.term()
             time.sleep(0.2)
@@ -65,7 +65,7 @@
 
 
 def served(gateway: FaultyGateway, name: str) -> int:
-    answer = gateway.ask(name, 0, 2000)
+    answer = gateway.send_request(name, 0, 2000)
     wait_until(lambda: answer.status != 0, 2.5)
     return answer.status
 
@@ -79,7 +79,7 @@
             gateway.discovery.changed()
             time.sleep(0.4)
             before = gateway.nodes[0].requests
-            gateway.ask("after", 0, 1000)
+            gateway.send_request("after", 0, 1000)
             time.sleep(0.3)
             return gateway.nodes[0].requests - before
 
--- a/tests/support/faulty_process.py
+++ b/tests/support/faulty_process.py
@@ -260,14 +260,14 @@
     def text(self) -> str:
         return self.log.read_text(errors="replace")
 
-    def ask(self, name: str, shard: int = 0, timeout_ms: int = 1000, units: int = 1) -> Answer:
+    def send_request(self, name: str, shard: int = 0, timeout_ms: int = 1000, units: int = 1) -> Answer:
         self._answers.append(answer := Answer(self, name, shard, timeout_ms, units))
         return answer
 
-    def ask_all(self, timeout_ms: int = 1000) -> list[Answer]:
+    def send_requests(self, timeout_ms: int = 1000) -> list[Answer]:
         """Send one request for each node."""
         now = time.monotonic_ns()
-        return [self.ask(f"r{node.shard}-{now}", node.shard, timeout_ms) for node in self.nodes]
+        return [self.send_request(f"r{node.shard}-{now}", node.shard, timeout_ms) for node in self.nodes]
 
     def term(self) -> None:
         self.process.send_signal(signal.SIGTERM)
