--- a/tests/policy/test_node_starts.py
+++ b/tests/policy/test_node_starts.py
@@ -17,7 +17,7 @@
     TimerFired,
 )
 from gaugesail.policy.settings import Plan, RequestClass, Settings
-from tests.support.faulty_process import FaultyHead, HangingNode, at_once, faulty, folder_of, wait_until
+from tests.support.faulty_process import FaultyGateway, HangingNode, at_once, faulty, folder_of, wait_until
 
 HOUR_S = 3600.0
 REQUESTS = 8
@@ -28,11 +28,11 @@
     return time.time_ns() // 1_000_000
 
 
-def sent_at_once(process: FaultyHead, node: HangingNode, units: int = 1) -> int:
+def sent_at_once(process: FaultyGateway, node: HangingNode, units: int = 1) -> int:
     """Send several requests; return how many of them a hanging node gets before it has answered any."""
     before = node.requests
     for number in range(REQUESTS):
-        process.ask(f"a{time.monotonic_ns()}-{number}", node.shard, 2500, units)
+        process.send_request(f"a{time.monotonic_ns()}-{number}", node.shard, 2500, units)
     wait_until(lambda: node.requests - before >= REQUESTS, SETTLED_S)
     return node.requests - before
 
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -23,7 +23,7 @@
             for number in range(GATEWAYS)
         ]
         for number, process in enumerate(processes):
-            process.ask(f"new{number}", -1, 2000)
+            process.send_request(f"new{number}", -1, 2000)
         assert wait_until(lambda: sum(node.requests for node in nodes) == GATEWAYS, 2.0)
         assert max(node.requests for node in nodes) <= GATEWAYS // 2, [node.requests for node in nodes]
 
