--- a/gaugesail/app.py
+++ b/gaugesail/app.py
@@ -13,7 +13,7 @@
 from .core.ports import Clock, Logger, Reactor
 from .handover import Takeover
 from .http.client_connection import ClientConnection
-from .http.client_server import ClientPlaces, ClientServer
+from .http.client_server import ClientCapacity, ClientServer
 from .http.discovery import DiscoveryClient, DiscoverySettings
 from .http.node_connection import NodeConnection
 from .http.node_pool import NodePool
@@ -59,7 +59,7 @@
             self.clock,
             self.buffers,
             log,
-            ClientPlaces(limits.client_connections, limits.client_overflow),
+            ClientCapacity(limits.client_connections, limits.client_overflow),
             self._finished,
         )
         self.operations = Operations(self.engine, self.front, self._state, self._handover.announce_call, log)
@@ -138,7 +138,7 @@
     def limit(self, processes: int) -> None:
         """Keep within the descriptors of one of so many processes."""
         limits = self._config.limits.of(processes)
-        self.front.limit(ClientPlaces(limits.client_connections, limits.client_overflow))
+        self.front.limit(ClientCapacity(limits.client_connections, limits.client_overflow))
         self.transport.limit(limits.node_connections)
 
     def apply_configuration(self, config: configuration.Config) -> None:
--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -44,7 +44,7 @@
         self._answered_early = False  # before its request was complete: the rest is read and thrown away
         self._discarded = 0  # bytes
         self.body_bytes = 0
-        self.heard_us = 0  # when the latest byte came
+        self.last_byte_us = 0  # when the latest byte came
         self.stuck_since_us = 0  # when the client stopped reading, or we began to close
         self.lingering = False
         self.closing = False
@@ -99,8 +99,8 @@
             return
         if self.input.cut:
             return
-        self.heard_us = self.owner.clock.now_us()
-        self.input.feed(data, self.link, self.heard_us)
+        self.last_byte_us = self.owner.clock.now_us()
+        self.input.feed(data, self.link, self.last_byte_us)
         if self._request_id is None:
             self._read()
         self.input.bound(not (self.closing or self.lost))
@@ -238,7 +238,7 @@
     def resume(self) -> None:
         """Read on."""
         if self.input.paused and not self.lost:
-            self.heard_us = self.input.resume(self.link)
+            self.last_byte_us = self.input.resume(self.link)
 
     def stop(self) -> None:
         """The body can go nowhere: it is rejected at once, and what still comes of it is thrown away."""
--- a/gaugesail/http/client_limits.py
+++ b/gaugesail/http/client_limits.py
@@ -22,12 +22,12 @@
     return since_us + HEAD_TIMEOUT_US
 
 
-def body_due_us(since_us: int, heard_us: int, received: int) -> int:
+def body_due_us(since_us: int, last_byte_us: int, received: int) -> int:
     """Until when more of a body must come, of which ``received`` bytes have come since ``since_us``.
 
     Slowly is well, and so is a pause; silence is not.
     """
-    return min(heard_us, since_us + received * 1_000_000 // BODY_BYTES_PER_S) + BODY_TIMEOUT_US
+    return min(last_byte_us, since_us + received * 1_000_000 // BODY_BYTES_PER_S) + BODY_TIMEOUT_US
 
 
 def closing_priority(rested_us: int, requests_received: int) -> int:
--- a/gaugesail/http/client_server.py
+++ b/gaugesail/http/client_server.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClientPlaces:
+class ClientCapacity:
     """How many clients may be here, and how many more until one of them has been sent away."""
 
     connections: int
@@ -42,7 +42,7 @@
         clock: Clock,
         pool: BufferPool,
         log: Logger,
-        places: ClientPlaces,
+        places: ClientCapacity,
         on_idle: Callable[[], None],
     ) -> None:
         super().__init__(engine, clock, on_idle)
@@ -61,7 +61,7 @@
 
     # ---- places ----
 
-    def limit(self, places: ClientPlaces) -> None:
+    def limit(self, places: ClientCapacity) -> None:
         """Set how many clients may be here."""
         self._own_places = places.connections
         self._overflow = places.overflow
@@ -76,11 +76,11 @@
     def _set_places(self, connections: int) -> None:
         self._max_connections = connections
         self._max_with_overflow = connections + self._overflow
-        if self.held and self.room > 0:
+        if self.held and self.capacity_left > 0:
             self.hold(False)
 
     @property
-    def room(self) -> int:
+    def capacity_left(self) -> int:
         """How many more clients may be accepted."""
         return self._max_with_overflow - len(self._open)
 
--- a/gaugesail/http/client_sweep.py
+++ b/gaugesail/http/client_sweep.py
@@ -52,7 +52,7 @@
     """Until when more of the request that is arriving must come."""
     since_us = connection.input.since_us
     if connection.head is not None:
-        return body_due_us(since_us, connection.heard_us, connection.body_bytes)
+        return body_due_us(since_us, connection.last_byte_us, connection.body_bytes)
     # A first request that trickles in is owed its error by the time that a silent one is.
     return head_due_us(since_us if connection.requests_received else connection.opened_at_us)
 
--- a/gaugesail/http/discovery_call.py
+++ b/gaugesail/http/discovery_call.py
@@ -109,12 +109,12 @@
         self.ended = False
         self._answered = False
         self.begun_us = owner.now()
-        self.heard_us = self.begun_us  # the last complete object or empty line, or the beginning
+        self.last_message_us = self.begun_us  # the last complete object or empty line, or the beginning
 
     @property
     def due_us(self) -> int:
         """When it counts as silent.  Pieces of a line or an object say nothing: they may trickle for ever."""
-        return self.heard_us + (SILENCE_US if self._answered else self._owner.answer_timeout_us)
+        return self.last_message_us + (SILENCE_US if self._answered else self._owner.answer_timeout_us)
 
     def connectionMade(self) -> None:
         """Send the request."""
@@ -165,7 +165,7 @@
         if self.ended:
             return
         for text in self._lines.objects():
-            self.heard_us = self._owner.now()
+            self.last_message_us = self._owner.now()
             if text:
                 self.since = self._owner.receive(json.loads(text), self.since)
             if self.ended:
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -103,7 +103,7 @@
         self.log = log
         self._open: OrderedDict[CallConnection, None] = OrderedDict()
 
-    def take_fleet_calls(self, call: FleetCall) -> None:
+    def set_fleet_handler(self, call: FleetCall) -> None:
         """Calls under /fleet go to the gateway's place in its fleet."""
         self.calls.fleet = call
 
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -94,7 +94,7 @@
         self._first_pull = False
         self._interim_answers = 0
         self._first_byte_us = 0  # of the answer
-        self._heard_us = 0  # when its latest byte came
+        self._last_byte_us = 0  # when its latest byte came
         self._started_us = 0  # when a request last took this connection
         self._idled_us = 0  # for how long it was idle before that
         self._used = False
@@ -141,7 +141,7 @@
         self.written = False
         self._interim_answers = 0
         self._first_byte_us = 0
-        self._heard_us = 0
+        self._last_byte_us = 0
         self._started_us = self._pool.clock.now_us()
         self._idled_us = self._started_us - self.idle_since_us
         if request.attempt is not None:
@@ -180,8 +180,8 @@
             # request has not run.
             self._end_with(AttemptResult.NO_CONNECTION)
             return
-        self._heard_us = self._pool.clock.now_us()
-        self._first_byte_us = self._first_byte_us or self._heard_us
+        self._last_byte_us = self._pool.clock.now_us()
+        self._first_byte_us = self._first_byte_us or self._last_byte_us
         self._parser.feed(data)
         try:
             self._read()
@@ -225,7 +225,7 @@
             self._body = Body(self._pool.buffers)
         self._body.append(data)
         # Small answers come within 20 ms, whatever their framing; what is larger is timed by its first bytes.
-        slow = self._heard_us - self._first_byte_us > SLOW_US and self._body.length >= SLOW_BYTES
+        slow = self._last_byte_us - self._first_byte_us > SLOW_US and self._body.length >= SLOW_BYTES
         if (head.length or self._body.length) > MAX_BUFFERED_BODY or (head.length is None and slow):
             self._start_stream(head, self._body)
 
@@ -270,7 +270,7 @@
     def stalled(self, now_us: int) -> bool:
         """Whether an answer has started and will not become complete."""
         timeout_us = STALL_US if self._sink is None else STREAM_STALL_US
-        return self._request is not None and not self._paused and 0 < self._heard_us < now_us - timeout_us
+        return self._request is not None and not self._paused and 0 < self._last_byte_us < now_us - timeout_us
 
     def end_stalled(self) -> None:
         """Give up an answer that has stalled."""
@@ -288,7 +288,7 @@
         """Read on."""
         if self._paused and not self.lost:
             self._paused = False
-            self._heard_us = self._pool.clock.now_us()
+            self._last_byte_us = self._pool.clock.now_us()
             self.link.resumeProducing()
 
     def stop(self) -> None:
@@ -322,7 +322,7 @@
         self._request = NodeRequest(listener, attempt.node_id, now_us, now_us, attempt)
         attempt.connection = self
         self.written = True
-        self._heard_us = now_us
+        self._last_byte_us = now_us
         self.length = state.length
         self._head = Head("", "", 200, {}, state.keep_alive, state.length, until_close=state.until_close)
         self._parser.restore_state(state.parser)
@@ -330,7 +330,7 @@
     def stream_to(self, sink: BodySink) -> None:
         """Pass on what comes from now on."""
         self._sink = sink
-        self._heard_us = self._pool.clock.now_us()
+        self._last_byte_us = self._pool.clock.now_us()
         self.dataReceived(b"")  # what was left unread may be complete
 
     # ---- ends ----
@@ -350,7 +350,7 @@
             sink.fail()
         if request is None:
             return
-        if self._used and not self._heard_us:
+        if self._used and not self._last_byte_us:
             stale = self._pool.clock.now_us() - self._started_us < STALE_US
             self._pool.idle_times.record(self._idled_us, stale)
         self._pool.finish(request, AttemptResult.RESET if self.written else AttemptResult.NO_CONNECTION)
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -140,7 +140,7 @@
         self.front.port = self._port
         front = self.front
         self._listener = ListeningPort(
-            self._port, self.clock, lambda: front.room, lambda: front.accepting and not front.held
+            self._port, self.clock, lambda: front.capacity_left, lambda: front.accepting and not front.held
         )
         self.operations.restore()
         self.engine.start(self.initial_endpoints(takeover.state if takeover is not None else {}))
@@ -175,7 +175,7 @@
             return
         self._management = calls = ManagementServer(self.operations, self.clock, self._log)
         if self.fleet is not None:
-            calls.take_fleet_calls(self.fleet.call)
+            calls.set_fleet_handler(self.fleet.call)
         listener = self._reactor.listenTCP(port, calls, backlog=LISTEN_BACKLOG, interface=host)
         ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_TURN, lambda: True)
         self.management_address = host, listener.getHost().port
