--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -21,7 +21,7 @@
 from gaugesail.http.node_pool import NodePool
 from gaugesail.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from gaugesail.policy.settings import Plan, RequestClass, Settings
-from tests.support.live_head import turned
+from tests.support.live_head import gateway_rig
 
 NOW, GRACE_US = 10_000_000, 250_000
 
@@ -111,38 +111,38 @@
 
 def test_a_guard_that_is_taken_away_is_found_by_the_monitor(monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that drains is sent to all the same: by the policy, and by a pool that does not look."""
-    with turned() as rig:
-        node_table = rig.head.engine.policy.gateway.node_table
+    with gateway_rig() as rig:
+        node_table = rig.gateway.engine.policy.gateway.node_table
         monkeypatch.setattr(node_table, "_set_unready", lambda node: None)
         monkeypatch.setattr(NodePool, "_usable_address", lambda self, node: self._addresses.get(node))
         monkeypatch.setattr(NodePool, "_stop_waiting", lambda self, node: None)
-        rig.watch.send(rig.drain(rig.bricks[0], 2))
+        rig.watch.send(rig.drain(rig.nodes[0], 2))
         rig.pass_time(0.4)
-        rig.client().send(rig.ask("late"))
-        rig.bricks[0].request("late")
-        assert rig.head.engine.rules.violations == {"rule_broken_draining_node": 1}
+        rig.client().send(rig.request("late"))
+        rig.nodes[0].wait_for("late")
+        assert rig.gateway.engine.rules.violations == {"rule_broken_draining_node": 1}
         assert "rule_broken" in rig.log.getvalue() and "late started" in rig.log.getvalue()
 
 
 def test_a_connection_closed_with_its_request_in_hand_is_found() -> None:
-    with turned() as rig:
-        rig.client().send(rig.ask("held"))
-        rig.bricks[0].request("held")
-        next(iter(rig.head.front._open)).close()
-        assert rig.head.engine.rules.violations == {"rule_broken_closed_unanswered": 1}
+    with gateway_rig() as rig:
+        rig.client().send(rig.request("held"))
+        rig.nodes[0].wait_for("held")
+        next(iter(rig.gateway.front._open)).close()
+        assert rig.gateway.engine.rules.violations == {"rule_broken_closed_unanswered": 1}
 
 
 def test_the_trace_tells_a_request_from_its_arrival_to_its_answer() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         client = rig.client()
-        client.send(rig.ask("one"))
-        rig.bricks[0].answer("one")
-        client.take(b"\r\n\r\nok")
-        lines = rig.head.operations.trace("one").splitlines()
+        client.send(rig.request("one"))
+        rig.nodes[0].answer("one")
+        client.read_until(b"\r\n\r\nok")
+        lines = rig.gateway.operations.trace("one").splitlines()
         assert [line.split()[2] for line in lines] == ["taken", "sent", "started", "ended", "answered"]
-        assert rig.head.operations.trace("b0").endswith("listed ready")
-        assert rig.head.operations.trace(None).count("\n") >= 5
-        assert rig.head.operations.trace("none") == "nothing is known"
+        assert rig.gateway.operations.trace("b0").endswith("listed ready")
+        assert rig.gateway.operations.trace(None).count("\n") >= 5
+        assert rig.gateway.operations.trace("none") == "nothing is known"
 
 
 def test_the_trace_is_bounded() -> None:
--- a/tests/http/test_connection_edges.py
+++ b/tests/http/test_connection_edges.py
@@ -10,33 +10,33 @@
 
 from gaugesail import config as configuration
 
-from ..support.live_head import End, Place, Turned, turned
+from ..support.live_head import GatewayRig, Listener, PeerSocket, gateway_rig
 
 KILL_S = 5.7  # after SIGTERM
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-def at_once(end: End) -> End:
+def at_once(end: PeerSocket) -> PeerSocket:
     """Its small writes are sent when they are made."""
     end.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return end
 
 
-def reset(end: End) -> bool:
+def reset(end: PeerSocket) -> bool:
     """Behind an end in order a reset is seen by asking alone."""
     return end.was_reset or bool(end.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
 
 
-def ends_with(end: End, tail: bytes) -> bool:
+def ends_with(end: PeerSocket, tail: bytes) -> bool:
     return end.read().endswith(tail)
 
 
-def served(rig: Turned, name: str = "first") -> End:
+def served(rig: GatewayRig, name: str = "first") -> PeerSocket:
     """A client whose connection rests after one request."""
     client = rig.client()
-    client.send(rig.ask(name))
-    rig.bricks[0].answer(name)
-    client.take(b"\r\n\r\nok")
+    client.send(rig.request(name))
+    rig.nodes[0].answer(name)
+    client.read_until(b"\r\n\r\nok")
     rig.pass_time(0.02)
     return client
 
@@ -46,64 +46,64 @@
 
 def test_a_request_that_comes_as_its_idle_connection_is_shut_is_neither_sent_on_nor_reset() -> None:
     """It was looked at and nothing lay unread; the request comes before the system hears of the end."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         client = served(rig)
-        (connection,) = rig.head.front._open
+        (connection,) = rig.gateway.front._open
         connection.close_unless_unread()
-        client.send(rig.ask("late"))
-        assert rig.until(client.gone, 3.0)
+        client.send(rig.request("late"))
+        assert rig.until(client.closed, 3.0)
         rig.pass_time(0.5)
-        assert not reset(client) and not rig.bricks[0].saw("late")
+        assert not reset(client) and not rig.nodes[0].received("late")
 
 
 @pytest.mark.parametrize("after", [0.05, 1.0, 3.0])
 def test_bytes_behind_the_last_answer_do_not_reset_it(after: float) -> None:
     """An answer ends its connection; its client reads slowly and has sent on meanwhile.  What of the answer
     is still in our kernel must reach it."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(rig.head.address)
-        client, body = End(rig, sock), b"b" * 60_000
-        client.send(rig.ask("a"))
-        rig.bricks[0].request("a")
-        rig.head.front.closing = True
-        rig.bricks[0].answer("a", body)
-        (connection,) = rig.head.front._open
+        sock.connect(rig.gateway.address)
+        client, body = PeerSocket(rig, sock), b"b" * 60_000
+        client.send(rig.request("a"))
+        rig.nodes[0].wait_for("a")
+        rig.gateway.front.closing = True
+        rig.nodes[0].answer("a", body)
+        (connection,) = rig.gateway.front._open
         assert rig.until(lambda: connection.closing)
-        client.cram(b"\r\n" + rig.ask("b"))
+        client.send_available(b"\r\n" + rig.request("b"))
         rig.pass_time(after)
-        client.cram(b"\r\n")
-        client.take(b"\r\n\r\n" + body)
-        assert rig.until(client.gone, 3.0) and not client.was_reset and not rig.bricks[0].saw("b")
+        client.send_available(b"\r\n")
+        client.read_until(b"\r\n\r\n" + body)
+        assert rig.until(client.closed, 3.0) and not client.was_reset and not rig.nodes[0].received("b")
 
 
 def test_a_request_that_is_read_after_the_shutdown_is_not_sent_on() -> None:
     """Its client was told of an error, and sends on."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         client = rig.client()
         client.send(b"NOISE\r\n\r\n")
-        client.take(b"HTTP/1.1 400 ")
-        client.cram(rig.ask("after"))
+        client.read_until(b"HTTP/1.1 400 ")
+        client.send_available(rig.request("after"))
         rig.pass_time(0.5)
-        assert client.gone() and not client.was_reset and not rig.bricks[0].saw("after")
+        assert client.closed() and not client.was_reset and not rig.nodes[0].received("after")
 
 
 def test_a_connection_that_was_shut_ends_though_its_client_never_closes() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         client = served(rig)
-        rig.head.stop()
+        rig.gateway.stop()
         assert rig.until(lambda: bool(rig.stopped), 2.5)
-        assert client.gone() and not client.was_reset
+        assert client.closed() and not client.was_reset
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.003, 0.05])
 def test_clients_send_on_every_connection_that_stays_open_up_to_the_kill(gap: float) -> None:
     """One request at a time: each has its answer, or its connection ended in order before it was read."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         clients = [served(rig, f"first{n}") for n in range(4)]
-        asked, answered = dict[End, int](), 0
-        rig.head.stop()
+        asked, answered = dict[PeerSocket, int](), 0
+        rig.gateway.stop()
         began, number = rig.now, 0
         while rig.now - began < KILL_S and not rig.stopped:
             for client in clients:
@@ -114,14 +114,14 @@
                 if client not in asked and not client.ended:
                     # Without a look at what has come: its end may be on the way.
                     try:
-                        client.sock.send(rig.ask(f"n{number}"))
+                        client.sock.send(rig.request(f"n{number}"))
                     except OSError:
                         client.ended = True
                         continue
                     asked[client], number = number, number + 1
             for n in list(asked.values()):
-                if rig.bricks[0].saw(f"n{n}"):
-                    rig.bricks[0].answer(f"n{n}")
+                if rig.nodes[0].received(f"n{n}"):
+                    rig.nodes[0].answer(f"n{n}")
             rig.turn(2)
             rig.pass_time(gap)
             rig.now += 0.002
@@ -130,18 +130,18 @@
         for client, n in asked.items():
             text = client.read()
             assert b"\r\n\r\nok" in text or (client.ended and not client.was_reset), (n, text)
-            assert b"\r\n\r\nok" in text or not rig.bricks[0].saw(f"n{n}")
+            assert b"\r\n\r\nok" in text or not rig.nodes[0].received(f"n{n}")
 
 
 # ---- TCP_NODELAY ----
 
 
 def test_no_connection_holds_small_writes_back() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         client = served(rig)
-        (ours,) = rig.head.front._open
-        (brick,) = rig.head.transport._nodes.values()
-        links = [ours.link, brick.idle[0].link, *(call.link for call in rig.head.discovery._calls)]
+        (ours,) = rig.gateway.front._open
+        (node,) = rig.gateway.transport._nodes.values()
+        links = [ours.link, node.idle[0].link, *(call.link for call in rig.gateway.discovery._calls)]
         assert len(links) == 3 and not client.ended
         for link in links:
             assert link.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY), link
@@ -150,9 +150,9 @@
 def test_a_connection_that_was_handed_over_holds_no_small_writes_back() -> None:
     from gaugesail.net import attach
 
-    with turned() as rig:
-        place = Place(rig)
-        for made in (rig.head.front.buildProtocol(None),):
+    with gateway_rig() as rig:
+        place = Listener(rig)
+        for made in (rig.gateway.front.buildProtocol(None),):
             far = socket.create_connection(place.listener.getsockname())
             near = place.accept()
             attach(rig.reactor, near.sock.detach(), made)
@@ -166,55 +166,55 @@
 @pytest.mark.parametrize("old", [b"0", b"1"])
 @pytest.mark.parametrize("body", [b"", b"looks whole"])
 def test_an_answer_with_no_length_that_is_reset_is_never_served(old: bytes, body: bytes) -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.send(b"HTTP/1.%b 200 OK\r\n\r\n%b" % (old, body))
         rig.turn(2)
-        brick.ends.remove(end)
+        node.connections.remove(end)
         end.rst()
-        brick.answer("a", b"again")
-        assert body not in client.take(b"\r\n\r\nagain") or not body
-        client.send(rig.ask("b"))
-        brick.answer("b")
-        client.take(b"\r\n\r\nok")
+        node.answer("a", b"again")
+        assert body not in client.read_until(b"\r\n\r\nagain") or not body
+        client.send(rig.request("b"))
+        node.answer("b")
+        client.read_until(b"\r\n\r\nok")
 
 
 @pytest.mark.parametrize("unread", [True, False])
 def test_its_bytes_and_the_reset_found_in_one_turn_are_no_answer(unread: bool) -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
-        brick.ends.remove(end)
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
+        node.connections.remove(end)
         end.send(b"HTTP/1.1 200 OK\r\n\r\nlooks whole")
         if not unread:
             rig.reactor.doIteration(0)
         end.rst()
-        brick.answer("a", b"again")
-        assert b"whole" not in client.take(b"\r\n\r\nagain")
+        node.answer("a", b"again")
+        assert b"whole" not in client.read_until(b"\r\n\r\nagain")
 
 
 def test_an_answer_with_no_length_is_served_at_its_end_in_order() -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.send(b"HTTP/1.1 200 OK\r\n\r\nwhole")
         rig.pass_time(0.1)
         assert not client.read()
         end.fin()
-        assert b"Content-Length: 5\r\n" in client.take(b"\r\n\r\nwhole")
+        assert b"Content-Length: 5\r\n" in client.read_until(b"\r\n\r\nwhole")
 
 
 @pytest.mark.parametrize("way", ["fin", "rst"])
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
 def test_a_large_one_that_is_passed_on_ends_for_its_client_as_it_ended(way: str, version: bytes) -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a").replace(b"HTTP/1.1", b"HTTP/" + version, 1))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a").replace(b"HTTP/1.1", b"HTTP/" + version, 1))
+        end = node.wait_for("a")
         end.send(b"HTTP/1.1 200 OK\r\n\r\n" + b"p" * 100_000)
         assert rig.until(lambda: client.read().count(b"p") >= 90_000)
         getattr(end, way)()
@@ -229,23 +229,23 @@
 @pytest.mark.parametrize("way", ["fin", "rst"])
 def test_its_end_while_the_client_reads_nothing(way: str) -> None:
     """Reading it is paused: a reset is found by its end alone, an end in order behind all its bytes."""
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.send(b"HTTP/1.1 200 OK\r\n\r\n" + b"p" * 70_000)
         rig.pass_time(0.05)
-        (ours,) = rig.head.front._open
+        (ours,) = rig.gateway.front._open
         sent = 70_000
         for _ in range(4000):
-            sent += end.cram(b"p" * 100_000)
+            sent += end.send_available(b"p" * 100_000)
             rig.turn(4)
             if ours.stream.source._paused:
                 break
         assert ours.stream.source._paused
         getattr(end, way)()
         rig.pass_time(0.3)
-        rig.until(lambda: client.gone() or client.text.endswith(b"\r\n0\r\n\r\n"), 20.0)
+        rig.until(lambda: client.closed() or client.text.endswith(b"\r\n0\r\n\r\n"), 20.0)
         whole = client.text.endswith(b"\r\n0\r\n\r\n") and client.text.count(b"p") == sent
         assert whole == (way == "fin") and client.was_reset == (way == "rst")
 
@@ -285,36 +285,36 @@
 
 @pytest.mark.parametrize("form", sorted(REQUESTS))
 def test_a_request_in_pieces_of_one_byte(form: str) -> None:
-    with turned() as rig:
-        client, brick = at_once(rig.client()), rig.bricks[0]
+    with gateway_rig() as rig:
+        client, node = at_once(rig.client()), rig.nodes[0]
         for name in ("a", "b"):  # and the next one on the same connection
             for byte in REQUESTS[form] % name.encode():
                 client.send(bytes([byte]))
                 rig.turn()
-            end = brick.request(name)
+            end = node.wait_for(name)
             if b"PUT" in REQUESTS[form]:
                 size = 0 if form == "no body" else 4
                 assert b"content-length: %d\r\n" % size in end.text.lower()
                 tail = b"\r\n\r\n" + b"body"[:size]
                 assert rig.until(partial(ends_with, end, tail))
-            brick.answer(name, b"<%b>" % name.encode())
-            client.take(b"\r\n\r\n<%b>" % name.encode())
+            node.answer(name, b"<%b>" % name.encode())
+            client.read_until(b"\r\n\r\n<%b>" % name.encode())
 
 
 @pytest.mark.parametrize("form", sorted(ANSWERS))
 def test_an_answer_in_pieces_of_one_byte(form: str) -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
         for name in ("a", "b"):
-            client.send(rig.ask(name))
-            end = at_once(brick.request(name))
+            client.send(rig.request(name))
+            end = at_once(node.wait_for(name))
             end.text = b""
             for byte in ANSWERS[form]:
                 assert not client.read()
                 end.send(bytes([byte]))
                 rig.turn()
-            client.take(b"\r\n\r\nwhole")
-            assert not client.read() and rig.head.engine.counts["sent"] == (1 if name == "a" else 2)
+            client.read_until(b"\r\n\r\nwhole")
+            assert not client.read() and rig.gateway.engine.counts["sent"] == (1 if name == "a" else 2)
             rig.pass_time(0.02)
 
 
@@ -324,33 +324,35 @@
 @pytest.mark.parametrize("half", [0, 20])
 def test_an_answer_long_after_reaches_nobody(half: int) -> None:
     """Its request was answered long ago; part of it may have come before."""
-    with turned(settings__categories__0__effect="fragile") as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig(settings__categories__0__effect="fragile") as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.text = b""
         end.send(OK[:half])
-        client.take(b"HTTP/1.1 5")
+        client.read_until(b"HTTP/1.1 5")
         rig.pass_time(4.0)
         before = client.read()
-        assert end.gone(), "the attempt is still out"
-        client.send(rig.ask("b"))
-        assert brick.request("b") is not end
-        brick.answer("b", b"b!")
-        assert client.take(b"\r\n\r\nb!")[len(before) :].count(b"HTTP/1.1 ") == 1
+        assert end.closed(), "the attempt is still out"
+        client.send(rig.request("b"))
+        assert node.wait_for("b") is not end
+        node.answer("b", b"b!")
+        assert client.read_until(b"\r\n\r\nb!")[len(before) :].count(b"HTTP/1.1 ") == 1
 
 
 def test_a_reload_followed_by_a_drain() -> None:
     """The new discovery tells a drain with its first list, and another one right behind it."""
-    with turned() as rig:
-        client, brick, place = rig.client(), rig.bricks[0], Place(rig)
+    with gateway_rig() as rig:
+        client, node, place = rig.client(), rig.nodes[0], Listener(rig)
         config: dict[str, Any] = rig.config | {"discovery": place.address}
-        rig.head.reload_from(lambda: configuration.read(config, {}))
-        rig.watch = rig.watched(place)
-        rig.watch.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + rig.told(True, [brick], 1))
-        rig.watch.send(rig.drain(brick, 2))
+        rig.gateway.reload_from(lambda: configuration.read(config, {}))
+        rig.watch = rig.accept_watch(place)
+        rig.watch.send(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + rig.list_chunk(True, [node], 1)
+        )
+        rig.watch.send(rig.drain(node, 2))
         rig.turn(3)
-        client.send(rig.ask("a"))
-        client.take(b"HTTP/1.1 503 ")
+        client.send(rig.request("a"))
+        client.read_until(b"HTTP/1.1 503 ")
         rig.pass_time(0.5)
-        assert not brick.saw("a")
+        assert not node.received("a")
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -28,7 +28,7 @@
 from gaugesail.rehearsal.memory import MemoryReactor
 
 from ..support.gateway_driver import settings as driver_settings
-from ..support.live_head import HEAD, End, Place, Turned, chunk, served, turned
+from ..support.live_head import HEAD, GatewayRig, Listener, PeerSocket, chunk, gateway_rig, served
 
 TOLD_S = 6.0
 ANSWER_S = 2.0  # that a call may wait until its answer begins
@@ -44,35 +44,35 @@
         return 1 - 1e-9
 
 
-def latest(rig: Turned) -> Turned:
-    rig.head.engine.policy.gateway.state.random = LatestDraw()
+def latest(rig: GatewayRig) -> GatewayRig:
+    rig.gateway.engine.policy.gateway.state.random = LatestDraw()
     return rig
 
 
-def failing(rig: Turned, times: int = 6) -> None:
+def failing(rig: GatewayRig, times: int = 6) -> None:
     """So many calls in a row are turned away at once; the watch that was open is reset."""
     rig.watch.rst()
     for _ in range(times):
-        rig.watched().send(UNAVAILABLE)
+        rig.accept_watch().send(UNAVAILABLE)
 
 
-def wait(rig: Turned, seconds: float, done: Callable[[], bool] = lambda: False) -> bool:
+def wait(rig: GatewayRig, seconds: float, done: Callable[[], bool] = lambda: False) -> bool:
     """Nobody says anything for so long, or until then."""
     return rig.until(done, seconds)
 
 
-def told_by(rig: Turned, again: End, reachable: float, answer: float) -> None:
+def told_by(rig: GatewayRig, again: PeerSocket, reachable: float, answer: float) -> None:
     """The call is answered after so long, with a drain, and that is in time."""
     wait(rig, answer)
-    again.send(HEAD + rig.drain(rig.bricks[0], 2))
+    again.send(HEAD + rig.drain(rig.nodes[0], 2))
     rig.turn(3)
     assert rig.now - reachable < TOLD_S
     assert not served(rig, "after")
 
 
-def reload(rig: Turned, address: str) -> None:
+def reload(rig: GatewayRig, address: str) -> None:
     fresh = rig.config | {"discovery": address}
-    rig.head.reload_from(lambda: configuration.read(fresh, {}))
+    rig.gateway.reload_from(lambda: configuration.read(fresh, {}))
 
 
 # ---- the sum of what a head waits ----
@@ -80,78 +80,78 @@
 
 def test_a_call_that_hangs_after_many_failures() -> None:
     """Discovery can be reached from the moment in which a call has just hung itself up."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         failing(latest(rig))
-        rig.watched()  # never answered
+        rig.accept_watch()  # never answered
         reachable = rig.now
-        told_by(rig, rig.watched(), reachable, ANSWER_S - 0.1)
+        told_by(rig, rig.accept_watch(), reachable, ANSWER_S - 0.1)
 
 
 def test_many_refusals_at_once_and_then_a_call_that_waits_for_its_answer() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         failing(latest(rig))
         reachable = rig.now
-        told_by(rig, rig.watched(), reachable, ANSWER_S - 0.1)
+        told_by(rig, rig.accept_watch(), reachable, ANSWER_S - 0.1)
 
 
 def test_a_dial_that_hangs_after_many_failures() -> None:
     """The queue of the listening port is full, so that the system answers no SYN."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         failing(latest(rig), 5)
-        rig.list.listener.listen(0)
-        filler = socket.create_connection(("127.0.0.1", rig.list.listener.getsockname()[1]))
+        rig.discovery.listener.listen(0)
+        filler = socket.create_connection(("127.0.0.1", rig.discovery.listener.getsockname()[1]))
         assert wait(rig, 10.0, lambda: "TimeoutError" in rig.log.getvalue())
         reachable = rig.now - 1.0  # just too late for the SYN
-        rig.list.accept()
-        rig.list.listener.listen(64)
-        again = rig.watched()
+        rig.discovery.accept()
+        rig.discovery.listener.listen(64)
+        again = rig.accept_watch()
         filler.close()
         told_by(rig, again, reachable, ANSWER_S - 0.1)
 
 
 def test_a_watch_that_falls_silent_after_calls_had_failed_and_nothing_had_changed() -> None:
     """A watch that says only that nothing has changed is a good one: the failures before it are past."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         failing(latest(rig))
-        watch = rig.watched()
+        watch = rig.accept_watch()
         watch.send(HEAD)
         watch.send(chunk(b"\n"))
         rig.turn(3)
         silent = rig.now
-        again = rig.watched()
-        assert watch.gone()
+        again = rig.accept_watch()
+        assert watch.closed()
         told_by(rig, again, silent, SOON_S)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_watch_that_only_says_that_nothing_has_changed_stays(pushed: bool) -> None:
-    with turned(**PUSHED if pushed else {}) as rig:
+    with gateway_rig(**PUSHED if pushed else {}) as rig:
         rig.pass_time(30.0)
-        assert not rig.watch.gone() and rig.list.accept_now() is None
-        rig.watch.send(rig.drain(rig.bricks[0], 2))
+        assert not rig.watch.closed() and rig.discovery.accept_now() is None
+        rig.watch.send(rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         assert not served(rig, "after")
 
 
 def test_a_watch_on_which_changes_come_and_no_empty_line_stays() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         for revision in range(2, 8):
-            rig.watch.send(rig.told(False, rig.bricks, revision))
+            rig.watch.send(rig.list_chunk(False, rig.nodes, revision))
             wait(rig, 2.0)
-        assert not rig.watch.gone() and rig.list.accept_now() is None
+        assert not rig.watch.closed() and rig.discovery.accept_now() is None
 
 
 # ---- what comes in pieces ----
 
 
-def trickle(rig: Turned, end: End, data: bytes, gap: float) -> float:
+def trickle(rig: GatewayRig, end: PeerSocket, data: bytes, gap: float) -> float:
     """A byte at a time until the head gives the connection up; how long that took."""
     began = rig.now
     for at in range(len(data)):
-        if end.gone():
+        if end.closed():
             return rig.now - began
         end.send(data[at : at + 1])
-        wait(rig, gap, end.gone)
+        wait(rig, gap, end.closed)
     raise AssertionError("it was not given up")
 
 
@@ -170,26 +170,26 @@
     ],
 )
 def test_an_answer_that_trickles(data: bytes, gap: float) -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         failing(latest(rig))
-        watch = rig.watched()
+        watch = rig.accept_watch()
         reachable = rig.now
         trickle(rig, watch, data, gap)
-        told_by(rig, rig.watched(), reachable, SOON_S)
+        told_by(rig, rig.accept_watch(), reachable, SOON_S)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_change_that_trickles_on_a_good_watch(pushed: bool) -> None:
-    with turned(**PUSHED if pushed else {}) as rig:
+    with gateway_rig(**PUSHED if pushed else {}) as rig:
         latest(rig)
         rig.pass_time(3.0)
         rig.watch.send(chunk(b"\n"))
         rig.turn(2)
         changed = rig.now
         trickle(rig, rig.watch, chunk(TEXT), 1.0)
-        again = rig.watched()
+        again = rig.accept_watch()
         if pushed:  # one that was not answered at once has been given up, and another follows
-            again.send(HEAD + rig.drain(rig.bricks[0], 2))
+            again.send(HEAD + rig.drain(rig.nodes[0], 2))
             rig.turn(3)
             assert rig.now - changed < TOLD_S - SOON_S and not served(rig, "after")
         else:
@@ -198,151 +198,153 @@
 
 @pytest.mark.parametrize("line", [b"\n", b" \r\n", b'"x",\n'])
 def test_lines_that_come_while_an_object_is_never_closed(line: bytes) -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         latest(rig)
         rig.watch.send(chunk(b'{"revision": 2, "complete": false, "members": [\n'))
         changed = rig.now
         for _ in range(200):
-            if rig.watch.gone():
+            if rig.watch.closed():
                 break
             rig.watch.send(chunk(line))
-            wait(rig, 0.5, rig.watch.gone)
-        told_by(rig, rig.watched(), changed, SOON_S)
+            wait(rig, 0.5, rig.watch.closed)
+        told_by(rig, rig.accept_watch(), changed, SOON_S)
 
 
 def test_a_list_in_pieces_that_comes_whole_in_time_is_no_silence() -> None:
-    with turned() as rig:
-        rig.bricks[0].phase = "Terminating"
-        news = rig.told(False, rig.bricks, 2)
+    with gateway_rig() as rig:
+        rig.nodes[0].phase = "Terminating"
+        news = rig.list_chunk(False, rig.nodes, 2)
         for at in range(0, len(news), 1 + len(news) // 8):
             rig.watch.send(news[at : at + 1 + len(news) // 8])
             wait(rig, 0.5)
         rig.turn(3)
-        assert not rig.watch.gone() and not served(rig, "after")
+        assert not rig.watch.closed() and not served(rig, "after")
 
 
 def test_an_indented_list_whose_last_line_has_no_end() -> None:
-    with turned() as rig:
-        rig.bricks[0].phase = "Terminating"
-        text = json.dumps(rig.listing(rig.bricks, 2, False), indent=1).encode()
+    with gateway_rig() as rig:
+        rig.nodes[0].phase = "Terminating"
+        text = json.dumps(rig.endpoint_list(rig.nodes, 2, False), indent=1).encode()
         rig.watch.send(chunk(text) + b"0\r\n\r\n")
         rig.turn(3)
-        assert rig.watch.gone() and not served(rig, "after")
+        assert rig.watch.closed() and not served(rig, "after")
 
 
 # ---- another address, a discovery that counts anew, calls beside the watch ----
 
 
 def test_to_a_dead_address_and_back() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         latest(rig)
-        dead = Place(rig)
+        dead = Listener(rig)
         dead.listener.close()
         reload(rig, dead.address)
         assert wait(rig, 10.0, lambda: rig.log.getvalue().count("discovery_failed") >= 6)
         back = rig.now
-        reload(rig, rig.list.address)
-        again = rig.watched()
+        reload(rig, rig.discovery.address)
+        again = rig.accept_watch()
         assert rig.now - back < 0.1
         told_by(rig, again, back, 0.0)
         wait(rig, 2.0)  # the wait that had begun before is over
-        assert rig.list.accept_now() is None, "a second watch"
+        assert rig.discovery.accept_now() is None, "a second watch"
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_another_address_while_calls_to_the_old_one_hang(pushed: bool) -> None:
     """Where lists are pushed, what the new agent has counts 4 s after the signal."""
-    with turned(**PUSHED if pushed else {}) as rig:
+    with gateway_rig(**PUSHED if pushed else {}) as rig:
         failing(latest(rig), 2)
-        rig.watched()
-        new = Place(rig)
+        rig.accept_watch()
+        new = Listener(rig)
         moved = rig.now
         reload(rig, new.address)
         again = new.accept()
-        assert b"since=0" in again.take(b"\r\n\r\n"), "another service may count otherwise"
-        again.send(HEAD + rig.drain(rig.bricks[0], 2))
+        assert b"since=0" in again.read_until(b"\r\n\r\n"), "another service may count otherwise"
+        again.send(HEAD + rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         assert rig.now - moved < 0.1 and not served(rig, "after")
 
 
 def test_a_new_address_that_cannot_be_reached_at_first() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         latest(rig)
-        new = Place(rig)
+        new = Listener(rig)
         host, port = new.address.split(":")
         new.listener.close()
         reload(rig, new.address)
         assert wait(rig, 10.0, lambda: rig.log.getvalue().count("discovery_failed") >= 6)
         back = rig.now
-        told_by(rig, rig.watched(Place(rig, (host, int(port)))), back, ANSWER_S - 0.1)
+        told_by(rig, rig.accept_watch(Listener(rig, (host, int(port)))), back, ANSWER_S - 0.1)
 
 
 def test_changes_of_a_discovery_that_counts_anew() -> None:
     """It has lost its revisions, gives no full list by itself, and drains a node at its revision 2."""
-    with turned() as rig:
-        rig.watch.send(rig.told(True, rig.bricks, 40))
+    with gateway_rig() as rig:
+        rig.watch.send(rig.list_chunk(True, rig.nodes, 40))
         rig.turn(2)
         rig.watch.rst()
-        again = rig.list.accept()
-        assert b"since=40" in again.take(b"\r\n\r\n")
+        again = rig.discovery.accept()
+        assert b"since=40" in again.read_until(b"\r\n\r\n")
         again.send(HEAD + chunk(b"\n"))
         rig.turn(2)
-        again.send(rig.drain(rig.bricks[0], 2))
+        again.send(rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         told = rig.now
         assert not served(rig, "after")
-        assert b"since=0" in rig.list.accept().take(b"\r\n\r\n"), "what changed before is not known"
-        assert again.gone() and rig.now - told < 1.5
+        assert b"since=0" in rig.discovery.accept().read_until(b"\r\n\r\n"), (
+            "what changed before is not known"
+        )
+        assert again.closed() and rig.now - told < 1.5
 
 
 def test_a_full_list_of_a_discovery_that_counts_anew() -> None:
-    with turned() as rig:
-        rig.watch.send(rig.told(True, rig.bricks, 40))
+    with gateway_rig() as rig:
+        rig.watch.send(rig.list_chunk(True, rig.nodes, 40))
         rig.turn(2)
         rig.watch.rst()
-        again = rig.watched()
-        again.send(HEAD + rig.told(True, rig.bricks, 3))
+        again = rig.accept_watch()
+        again.send(HEAD + rig.list_chunk(True, rig.nodes, 3))
         rig.turn(2)
-        again.send(rig.drain(rig.bricks[0], 4))
+        again.send(rig.drain(rig.nodes[0], 4))
         rig.turn(3)
-        assert not again.gone() and not served(rig, "after")
+        assert not again.closed() and not served(rig, "after")
 
 
 def test_a_full_list_that_the_watch_overtook() -> None:
-    with turned() as rig:
-        old = json.dumps(rig.listing()).encode()
-        rig.head.discovery.poll()
-        call = rig.watched()
-        rig.watch.send(rig.drain(rig.bricks[0], 2))
+    with gateway_rig() as rig:
+        old = json.dumps(rig.endpoint_list()).encode()
+        rig.gateway.discovery.poll()
+        call = rig.accept_watch()
+        rig.watch.send(rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         call.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(old), old))
         rig.turn(3)
-        assert call.gone() and not rig.watch.gone() and not served(rig, "after")
+        assert call.closed() and not rig.watch.closed() and not served(rig, "after")
 
 
 def test_changes_that_a_full_list_overtook() -> None:
-    with turned() as rig:
-        rig.head.discovery.poll()
-        call = rig.watched()
-        before = rig.told(False, rig.bricks, 2)
-        rig.bricks[0].phase = "Terminating"
-        text = json.dumps(rig.listing(revision=3)).encode()
+    with gateway_rig() as rig:
+        rig.gateway.discovery.poll()
+        call = rig.accept_watch()
+        before = rig.list_chunk(False, rig.nodes, 2)
+        rig.nodes[0].phase = "Terminating"
+        text = json.dumps(rig.endpoint_list(revision=3)).encode()
         call.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
         rig.turn(3)
         rig.watch.send(before)
         rig.turn(3)
-        assert not rig.watch.gone() and not served(rig, "after")
+        assert not rig.watch.closed() and not served(rig, "after")
 
 
 def test_a_full_list_that_never_comes_leaves_the_watch_alone() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         latest(rig)
-        rig.head.discovery.poll()
-        call = rig.watched()
+        rig.gateway.discovery.poll()
+        call = rig.accept_watch()
         rig.pass_time(8.0)
-        assert call.gone() and not rig.watch.gone()
-        assert rig.list.accept_now() is None, "a second watch"
-        rig.watch.send(rig.drain(rig.bricks[0], 2))
+        assert call.closed() and not rig.watch.closed()
+        assert rig.discovery.accept_now() is None, "a second watch"
+        rig.watch.send(rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         assert not served(rig, "after")
 
@@ -351,38 +353,38 @@
 
 
 def test_a_watch_that_broke_during_a_standstill() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         latest(rig)
         rig.watch.send(chunk(b"\n"))
         rig.turn(2)
         rig.leap(9.0)
         woke = rig.now
-        again = rig.watched()
+        again = rig.accept_watch()
         assert rig.now - woke < 0.5
         told_by(rig, again, woke, ANSWER_S - 0.1)
 
 
 def test_a_standstill_while_a_call_is_answered() -> None:
     """All of the answer is in our kernel as we wake: it counts, and no other call is made."""
-    with turned() as rig:
+    with gateway_rig() as rig:
         failing(latest(rig))
-        again = rig.watched()
-        again.send(HEAD + rig.drain(rig.bricks[0], 2))
+        again = rig.accept_watch()
+        again.send(HEAD + rig.drain(rig.nodes[0], 2))
         rig.leap(7.0)
         rig.turn(4)
-        assert not again.gone() and not served(rig, "after")
+        assert not again.closed() and not served(rig, "after")
 
 
 def test_a_standstill_in_the_middle_of_a_list() -> None:
     """The rest is in our kernel as we wake."""
-    with turned() as rig:
-        news = rig.drain(rig.bricks[0], 2)
+    with gateway_rig() as rig:
+        news = rig.drain(rig.nodes[0], 2)
         rig.watch.send(news[:30])
         rig.turn(2)
         rig.watch.send(news[30:])
         rig.leap(7.0)
         rig.turn(4)
-        assert not rig.watch.gone() and not served(rig, "after")
+        assert not rig.watch.closed() and not served(rig, "after")
 
 
 # ---- not in step ----
@@ -501,12 +503,12 @@
             self.head_reactor, lambda: round(self.memory.seconds() * 1e9), lambda: 1_700_000_000 * 10**9
         )
         self.log = io.StringIO()
-        self.head = PlatformGateway(
+        self.gateway = PlatformGateway(
             self.head_reactor, configuration.read(self.config, {}), make_logger(self.log), clock
         )
         if seed % 2:
-            self.head.engine.policy.gateway.state.random = LatestDraw()
-        self.head.start()
+            self.gateway.engine.policy.gateway.state.random = LatestDraw()
+        self.gateway.start()
 
     def buildProtocol(self, address: Any) -> Caller:
         self.callers.append(Caller(self))
@@ -528,7 +530,7 @@
         if mood == "move":
             self.here = 1 - self.here
             fresh = self.config | {"discovery": f"127.0.0.1:{501 + self.here}"}
-            self.head.reload_from(lambda: configuration.read(fresh, {}))
+            self.gateway.reload_from(lambda: configuration.read(fresh, {}))
             return
         if mood == "standstill":
             self.head_reactor.until = self.memory.seconds() + self.draw.uniform(0.5, 8.0)
@@ -555,7 +557,7 @@
         for watch in self.watches:
             if watch.mood == "good" and not watch.link.disconnected:
                 watch.say(chunk(self.text() + b"\n"))
-        known = lambda: self.head.discovery.latest["revision"] == self.version  # noqa: E731
+        known = lambda: self.gateway.discovery.latest["revision"] == self.version  # noqa: E731
         assert self.memory.run_until(known, 30.0), "never"
         return self.memory.seconds() - reachable
 
--- a/tests/http/test_node_connections.py
+++ b/tests/http/test_node_connections.py
@@ -10,7 +10,7 @@
 from gaugesail.core.ports import Attempt
 from gaugesail.policy.events import AttemptResult
 
-from ..support.live_head import End, HeldDials, Turned, turned
+from ..support.live_head import GatewayRig, HeldDials, PeerSocket, gateway_rig
 
 FULL = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
@@ -24,95 +24,95 @@
     }
 
 
-def out(rig: Turned) -> Attempt:
-    (attempt,) = rig.head.engine._table.attempts.values()
+def out(rig: GatewayRig) -> Attempt:
+    (attempt,) = rig.gateway.engine._table.attempts.values()
     return attempt
 
 
-def served_once(rig: Turned) -> tuple[End, End]:
+def served_once(rig: GatewayRig) -> tuple[PeerSocket, PeerSocket]:
     """A client, and the connection that its first request was served by and that is kept."""
     client = rig.client()
-    client.send(rig.ask("first"))
-    kept = rig.bricks[0].request("first")
-    rig.bricks[0].answer("first")
-    client.take(b"\r\n\r\nok")
+    client.send(rig.request("first"))
+    kept = rig.nodes[0].wait_for("first")
+    rig.nodes[0].answer("first")
+    client.read_until(b"\r\n\r\nok")
     rig.pass_time(0.02)
     return client, kept
 
 
 def test_a_given_up_attempt_is_off_its_connection_before_anything_else_can_be_written() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         client = rig.client()
-        client.send(rig.ask("a"))
-        end = rig.bricks[0].request("a")
-        rig.head.engine.attempts.abort(out(rig), AttemptResult.TIMEOUT)
-        assert end.gone(), "its connection is still open when the call returns"
+        client.send(rig.request("a"))
+        end = rig.nodes[0].wait_for("a")
+        rig.gateway.engine.attempts.abort(out(rig), AttemptResult.TIMEOUT)
+        assert end.closed(), "its connection is still open when the call returns"
 
 
 def test_attempts_are_never_two_out_when_the_process_stood_still() -> None:
     """Time-outs, pauses and ticks all come due at once: an attempt's end is there before the next."""
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
         for _ in range(3):
-            end = brick.request("a")
+            end = node.wait_for("a")
             end.text = b""
             rig.leap(1.45)
-            assert rig.until(lambda: brick.saw("a") > 0 or client.gone() or bool(client.read()))
-            assert end.gone()
+            assert rig.until(lambda: node.received("a") > 0 or client.closed() or bool(client.read()))
+            assert end.closed()
             if client.text:
                 break
 
 
 def test_the_brick_closes_in_the_turn_in_which_the_connection_is_taken() -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         client, kept = served_once(rig)
-        client.send(rig.ask("second"))
+        client.send(rig.request("second"))
         rig.reactor.doIteration(0)  # the request is read, and is to go out in this turn
         kept.fin()
         rig.pass_time(0.02)
-        assert rig.bricks[0].saw("second") == 1 and not rig.head.engine.counts["attempt_no_connection"]
-        rig.bricks[0].answer("second", b"2nd")
-        client.take(b"\r\n\r\n2nd")
-        assert rig.head.engine.counts["sent"] == 2
+        assert rig.nodes[0].received("second") == 1 and not rig.gateway.engine.counts["attempt_no_connection"]
+        rig.nodes[0].answer("second", b"2nd")
+        client.read_until(b"\r\n\r\n2nd")
+        assert rig.gateway.engine.counts["sent"] == 2
 
 
 @pytest.mark.parametrize("read_first", [True, False])
 def test_a_second_answer_on_a_kept_connection_reaches_nobody(read_first: bool) -> None:
-    with turned() as rig:
+    with gateway_rig() as rig:
         client, kept = served_once(rig)
-        client.send(rig.ask("second"))
+        client.send(rig.request("second"))
         if read_first:
             rig.reactor.doIteration(0)
         kept.send(OK + b"NO")
         rig.pass_time(0.02)
-        assert rig.bricks[0].request("second") is not kept
-        rig.bricks[0].answer("second", b"2nd")
-        assert b"NO" not in client.take(b"\r\n\r\n2nd")
-        assert kept.gone()
+        assert rig.nodes[0].wait_for("second") is not kept
+        rig.nodes[0].answer("second", b"2nd")
+        assert b"NO" not in client.read_until(b"\r\n\r\n2nd")
+        assert kept.closed()
 
 
 @pytest.mark.parametrize("way", ["fin", "rst"])
 def test_an_unrepeatable_request_whose_outcome_is_unknown_ends_as_failed_and_is_sent_once(way: str) -> None:
-    with turned(**effect("fragile")) as rig:
+    with gateway_rig(**effect("fragile")) as rig:
         client = rig.client()
-        client.send(rig.ask("a"))
-        getattr(rig.bricks[0].request("a"), way)()
-        client.take(b"HTTP/1.1 500 ")
-        rig.bricks[0].ends.clear()
+        client.send(rig.request("a"))
+        getattr(rig.nodes[0].wait_for("a"), way)()
+        client.read_until(b"HTTP/1.1 500 ")
+        rig.nodes[0].connections.clear()
         rig.pass_time(1.0)
-        assert not rig.bricks[0].saw("a")
+        assert not rig.nodes[0].received("a")
 
 
 def test_an_unrepeatable_request_that_was_turned_away_unrun_goes_again() -> None:
-    with turned(**effect("fragile")) as rig:
+    with gateway_rig(**effect("fragile")) as rig:
         client = rig.client()
-        client.send(rig.ask("a"))
-        end = rig.bricks[0].request("a")
+        client.send(rig.request("a"))
+        end = rig.nodes[0].wait_for("a")
         end.text = b""
         end.send(FULL)
-        rig.bricks[0].answer("a")
-        client.take(b"\r\n\r\nok")
+        rig.nodes[0].answer("a")
+        client.read_until(b"\r\n\r\nok")
 
 
 @pytest.mark.parametrize("kind", ["retryable", "fragile"])
@@ -120,78 +120,78 @@
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It has not run and never will: a refusal in time, whatever its class; and nothing is written later."""
-    with turned(**LATE_DIALS, **effect(kind, aim_us="200000", give_up_us="400000")) as rig:
+    with gateway_rig(**LATE_DIALS, **effect(kind, aim_us="200000", give_up_us="400000")) as rig:
         dials, client = HeldDials(monkeypatch), rig.client()
         began = rig.now
-        client.send(rig.ask("a", timeout=400))
+        client.send(rig.request("a", timeout=400))
         assert rig.until(lambda: bool(dials.held))
-        client.take(b"HTTP/1.1 503 ")
+        client.read_until(b"HTTP/1.1 503 ")
         assert rig.now - began <= 0.4
         dials.release()
         rig.pass_time(0.5)
-        assert not rig.bricks[0].saw("a") and not client.gone()
-        client.send(rig.ask("b", timeout=400))
-        rig.bricks[0].answer("b", b"b!")
-        client.take(b"\r\n\r\nb!")
+        assert not rig.nodes[0].received("a") and not client.closed()
+        client.send(rig.request("b", timeout=400))
+        rig.nodes[0].answer("b", b"b!")
+        client.read_until(b"\r\n\r\nb!")
 
 
 def test_what_may_have_run_goes_again_within_its_window_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its further attempt was sent in time, and then its connection came up after the window."""
     window = {"window_us": "600000", "group": "all", "aim_us": "2500000"}
-    with turned(**LATE_DIALS, **effect("dedup", **window)) as rig:
+    with gateway_rig(**LATE_DIALS, **effect("dedup", **window)) as rig:
         client = rig.client()
-        client.send(rig.ask("a"))
-        end = rig.bricks[0].request("a")
+        client.send(rig.request("a"))
+        end = rig.nodes[0].wait_for("a")
         dials = HeldDials(monkeypatch)
-        rig.bricks[0].ends.clear()
+        rig.nodes[0].connections.clear()
         end.rst()
         assert rig.until(lambda: bool(dials.held))
         rig.pass_time(0.7)
         dials.release()
-        client.take(b"HTTP/1.1 ")
-        assert not rig.bricks[0].saw("a")
+        client.read_until(b"HTTP/1.1 ")
+        assert not rig.nodes[0].received("a")
 
 
 def test_a_drain_told_between_the_choice_and_the_first_byte(monkeypatch: pytest.MonkeyPatch) -> None:
-    with turned(**LATE_DIALS) as rig:
+    with gateway_rig(**LATE_DIALS) as rig:
         dials, client = HeldDials(monkeypatch), rig.client()
-        client.send(rig.ask("a"))
+        client.send(rig.request("a"))
         assert rig.until(lambda: bool(dials.held))
-        rig.watch.send(rig.drain(rig.bricks[0], 2))
+        rig.watch.send(rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         dials.release()
         rig.pass_time(0.6)
-        assert not rig.bricks[0].saw("a")
-        client.take(b"HTTP/1.1 503 ")
+        assert not rig.nodes[0].received("a")
+        client.read_until(b"HTTP/1.1 503 ")
 
 
 def test_a_drain_told_while_an_attempt_rests_for_its_further_one() -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.text = b""
         end.send(FULL)
-        rig.watch.send(rig.drain(brick, 2))
+        rig.watch.send(rig.drain(node, 2))
         rig.pass_time(0.6)
-        assert not brick.saw("a")
-        client.take(b"HTTP/1.1 503 ")
+        assert not node.received("a")
+        client.read_until(b"HTTP/1.1 503 ")
 
 
 @pytest.mark.parametrize("kind", ["retryable", "fragile"])
 @pytest.mark.parametrize("length", [b"Content-Length: 4000\r\n", b"Transfer-Encoding: chunked\r\n", b""])
 def test_an_answer_whose_bytes_trickle_ends_with_its_request(kind: str, length: bytes) -> None:
-    with turned(**effect(kind, aim_us="300000", give_up_us="600000")) as rig:
-        client, brick = rig.client(), rig.bricks[0]
+    with gateway_rig(**effect(kind, aim_us="300000", give_up_us="600000")) as rig:
+        client, node = rig.client(), rig.nodes[0]
         began = rig.now
-        client.send(rig.ask("a", timeout=600))
-        open_ends: list[End] = []
+        client.send(rig.request("a", timeout=600))
+        open_ends: list[PeerSocket] = []
         head = b"HTTP/1.1 200 OK\r\n" + length + b"\r\n"
         part = b"1\r\nx\r\n" if b"chunked" in length else b"x"
 
         def trickle() -> bool:
-            brick.look()
-            for end in brick.ends:
+            node.read_all()
+            for end in node.connections:
                 try:
                     end.sock.send(part if end in open_ends else head)
                     if end not in open_ends:
@@ -205,7 +205,7 @@
         assert rig.now - began <= 0.66
         assert client.text.count(b"HTTP/1.1 ") == 1 and b" 200 " not in client.text
         rig.pass_time(0.5)
-        assert all(end.gone() for end in brick.ends if end in open_ends)
+        assert all(end.closed() for end in node.connections if end in open_ends)
         assert client.read().count(b"HTTP/1.1 ") == 1
 
 
@@ -213,10 +213,10 @@
 @pytest.mark.parametrize("wait", [1.45, 2.997])
 def test_an_answer_and_the_time_out_in_one_turn(answer_first: bool, wait: float) -> None:
     """One answer to the client, whichever comes first; and what was not taken reaches nobody."""
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.text = b""
         rig.leap(wait)
         end.send(OK + b"ok")
@@ -226,69 +226,69 @@
         assert client.read().count(b"HTTP/1.1 ") <= 1
         if answer_first:
             assert client.text.endswith(b"\r\n\r\nok")
-        elif brick.saw("a"):
-            brick.answer("a", b"again")
-            client.take(b"\r\n\r\nagain")
+        elif node.received("a"):
+            node.answer("a", b"again")
+            client.read_until(b"\r\n\r\nagain")
             assert client.text.count(b"HTTP/1.1 ") == 0
-        client.send(rig.ask("b"))
-        brick.answer("b", b"b!")
-        client.take(b"\r\n\r\nb!")
+        client.send(rig.request("b"))
+        node.answer("b", b"b!")
+        client.read_until(b"\r\n\r\nb!")
 
 
 @pytest.mark.parametrize("half", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"])
 def test_a_reset_under_a_request_that_has_begun_is_repeated_once_and_answered_once(half: bytes) -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         if half:
             end.send(half)
             rig.turn(2)
-        brick.ends.remove(end)
+        node.connections.remove(end)
         end.rst()
-        brick.answer("a", b"whole")
-        client.take(b"\r\n\r\nwhole")
+        node.answer("a", b"whole")
+        client.read_until(b"\r\n\r\nwhole")
         rig.pass_time(0.5)
-        assert not brick.saw("a") and not client.read()
+        assert not node.received("a") and not client.read()
 
 
 def test_a_client_gone_between_the_nodes_answer_and_ours() -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        end = brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        end = node.wait_for("a")
         end.send(OK + b"ok")
         client.rst()
         rig.pass_time(0.1)
         other = rig.client()
-        other.send(rig.ask("b"))
-        brick.answer("b", b"b!")
-        assert other.take(b"b!").count(b"HTTP/1.1 ") == 1
-        assert rig.head.engine.idle and rig.head.buffers.out == 0
+        other.send(rig.request("b"))
+        node.answer("b", b"b!")
+        assert other.read_until(b"b!").count(b"HTTP/1.1 ") == 1
+        assert rig.gateway.engine.idle and rig.gateway.buffers.out == 0
 
 
 def test_a_client_back_at_once_with_the_same_request_is_no_second_copy() -> None:
-    with turned() as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        client.send(rig.ask("a"))
-        brick.request("a")
+    with gateway_rig() as rig:
+        client, node = rig.client(), rig.nodes[0]
+        client.send(rig.request("a"))
+        node.wait_for("a")
         client.rst()
         again = rig.client()
-        again.send(rig.ask("a"))
-        again.take(b"HTTP/1.1 409 ")
+        again.send(rig.request("a"))
+        again.read_until(b"HTTP/1.1 409 ")
         rig.pass_time(0.2)
-        assert brick.saw("a") == 1
+        assert node.received("a") == 1
 
 
 def test_the_time_to_come_back_is_told_only_where_the_settings_allow_it() -> None:
     for allowed in ("1", ""):
         change: dict[str, Any] = {"settings__permissions__retry_after": allowed or "0"}
-        with turned(**change) as rig:
-            rig.watch.send(rig.drain(rig.bricks[0], 2))
+        with gateway_rig(**change) as rig:
+            rig.watch.send(rig.drain(rig.nodes[0], 2))
             rig.turn(3)
             client = rig.client()
-            client.send(rig.ask("a"))
-            client.take(b"HTTP/1.1 503 ")
+            client.send(rig.request("a"))
+            client.read_until(b"HTTP/1.1 503 ")
             assert (b"Retry-After" in client.read()) == bool(allowed)
 
 
@@ -300,12 +300,12 @@
         "Idempotency-Key: cd96000fde0eeb55\r\nX-Later: a, b\r\nCookie: other=1\r\nConnection: keep-alive, "
         "X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nKeep-Alive: timeout=5\r\n"
     )
-    with turned(**effect("dedup", window_us="5000000", group="all")) as rig:
-        client, brick = rig.client(), rig.bricks[0]
+    with gateway_rig(**effect("dedup", window_us="5000000", group="all")) as rig:
+        client, node = rig.client(), rig.nodes[0]
         for end_it in (True, False):  # a further attempt says the same
             if end_it:
-                client.send(rig.ask("a", body=b"body", more=more))
-            end = brick.request("a")
+                client.send(rig.request("a", body=b"body", more=more))
+            end = node.wait_for("a")
             said = end.text.lower()
             assert b"idempotency-key: cd96000fde0eeb55\r\n" in said and b"x-later: a, b\r\n" in said
             assert b"cookie: block=1; other=1\r\n" in said
@@ -314,16 +314,16 @@
             if end_it:
                 end.text = b""
                 end.send(FULL)
-        brick.answer("a")
-        client.take(b"\r\n\r\nok")
+        node.answer("a")
+        client.read_until(b"\r\n\r\nok")
 
 
 def test_a_brick_that_reads_nothing_holds_no_request_beyond_its_time() -> None:
     """The request is never written whole: it has not run, and its client hears so in time."""
-    with turned(**effect("fragile", aim_us="200000", give_up_us="400000")) as rig:
-        client, brick = rig.client(), rig.bricks[0]
-        brick.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    with gateway_rig(**effect("fragile", aim_us="200000", give_up_us="400000")) as rig:
+        client, node = rig.client(), rig.nodes[0]
+        node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         began, body = rig.now, b"b" * 60_000
-        client.send(rig.ask("a", timeout=400, body=body))
-        client.take(b"HTTP/1.1 ")
+        client.send(rig.request("a", timeout=400, body=body))
+        client.read_until(b"HTTP/1.1 ")
         assert rig.now - began <= 0.42
--- a/tests/iscsi/test_target_and_initiator.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -18,12 +18,12 @@
 from gaugesail.policy.events import AttemptResult
 from gaugesail.rehearsal.iscsi_peers import IscsiClient, IscsiNode, operator_file
 
-from ..support.live_head import Turning
+from ..support.live_head import ReactorRig
 
 BOUND_S = 0.3
 
 
-class Rig(Turning):
+class Rig(ReactorRig):
     def __init__(self, **changes: str) -> None:
         super().__init__()
         self.node = IscsiNode(self.reactor, "n1", 0)
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -21,7 +21,7 @@
 from gaugesail.http.management import MAX_CONNECTIONS as MAX_CALLS
 from gaugesail.rehearsal import defaults
 
-from ..support.live_head import HEAD, Turned, chunk
+from ..support.live_head import HEAD, GatewayRig, chunk
 
 ROOT = Path(__file__).parents[2]
 AGAIN_S = 2.5  # after failed calls discovery is asked again within that, whatever clients do
@@ -172,10 +172,10 @@
         assert until(watched, 8.0), head.said()
         took = time.monotonic() - back
         found[0].sendall(HEAD + chunk(json.dumps(head.listing()).encode() + b"\n"))
-        kept[0].sendall(Turned.ask("r2", shard=2))  # it waits for the list, which alone names this one
+        kept[0].sendall(GatewayRig.request("r2", shard=2))  # waits for the list, which alone names this node
         assert until(head.bricks[2].taken, 3.0), head.said()
         assert b"Request-Id: r2\r\n" in read_to(head.bricks[2].ends[0], b"\r\n\r\n")
-        kept[1].sendall(Turned.ask("r0", shard=0))
+        kept[1].sendall(GatewayRig.request("r0", shard=0))
         time.sleep(0.3)
         assert head.bricks[0].taken() is None, "it was told that this one drains"
         assert head.descriptors <= 96 and head.child.poll() is None
@@ -207,17 +207,17 @@
         for client in kept:
             client.sendall(HEALTH)
             assert read_to(client, b"ok").endswith(b"ok")
-        kept[0].sendall(Turned.ask("warm", shard=1))
+        kept[0].sendall(GatewayRig.request("warm", shard=1))
         assert until(head.bricks[1].taken, 3.0), head.said()
         brick = head.bricks[1].ends[0]
         read_to(brick, b"\r\n\r\n")
         resource.prlimit(head.child.pid, resource.RLIMIT_NOFILE, (head.descriptors, 96))
         head.fill(20, HEALTH)
-        kept[1].sendall(Turned.ask("dialled", shard=0))
+        kept[1].sendall(GatewayRig.request("dialled", shard=0))
         assert b" 503 " in read_to(kept[1], b"\r\n\r\n")
         brick.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         assert read_to(kept[0], b"\r\n\r\nok").startswith(b"HTTP/1.1 200 ")
-        kept[2].sendall(Turned.ask("used again", shard=1))
+        kept[2].sendall(GatewayRig.request("used again", shard=1))
         assert b"Request-Id: used again\r\n" in read_to(brick, b"\r\n\r\n")
         brick.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         assert read_to(kept[2], b"\r\n\r\nok").startswith(b"HTTP/1.1 200 ")
@@ -226,6 +226,6 @@
         resource.prlimit(head.child.pid, resource.RLIMIT_NOFILE, (96, 96))
         head.list.open()
         assert until(head.list.taken, 3.0), head.said()
-        kept[3].sendall(Turned.ask("again", shard=0))
+        kept[3].sendall(GatewayRig.request("again", shard=0))
         assert until(head.bricks[0].taken, 3.0), head.said()
         assert b"200 OK" in head.call("/healthcheck") and head.child.poll() is None
--- a/tests/support/live_head.py
+++ b/tests/support/live_head.py
@@ -30,15 +30,15 @@
 STEP_S = 0.001
 
 
-class End:
+class PeerSocket:
     """One end of a connection: what came, and whether the other side ended it, and how."""
 
-    def __init__(self, rig: Turning, sock: socket.socket) -> None:
+    def __init__(self, rig: ReactorRig, sock: socket.socket) -> None:
         self.rig, self.sock = rig, sock
         self.text = b""
         self.ended = self.was_reset = False
         sock.setblocking(False)
-        rig.ends.append(self)
+        rig.connections.append(self)
 
     def send(self, data: bytes) -> None:
         """All of it, turning the reactor where the other side has to read first."""
@@ -49,7 +49,7 @@
             except BlockingIOError:
                 self.rig.turn()
 
-    def cram(self, data: bytes) -> int:
+    def send_available(self, data: bytes) -> int:
         """As much as the kernel takes while nobody reads."""
         sent = 0
         try:
@@ -73,14 +73,14 @@
             self.ended = not data
         return self.text
 
-    def take(self, what: bytes) -> bytes:
+    def read_until(self, what: bytes) -> bytes:
         """Wait for these bytes and return what came up to their end."""
         assert self.rig.until(lambda: what in self.read()), f"{what!r} is not in {self.text!r}"
         at = self.text.index(what) + len(what)
         found, self.text = self.text[:at], self.text[at:]
         return found
 
-    def gone(self) -> bool:
+    def closed(self) -> bool:
         self.read()
         return self.ended
 
@@ -97,26 +97,26 @@
         self.sock.close()
 
 
-class Place:
+class Listener:
     """An address where something listens and accepts when it is told to."""
 
-    def __init__(self, rig: Turning, at: tuple[str, int] = ("127.0.0.1", 0)) -> None:
+    def __init__(self, rig: ReactorRig, at: tuple[str, int] = ("127.0.0.1", 0)) -> None:
         self.rig, self.listener = rig, socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(at)
         self.listener.listen(64)
         self.listener.setblocking(False)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        rig.places.append(self)
+        rig.listeners.append(self)
 
-    def accept_now(self) -> End | None:
+    def accept_now(self) -> PeerSocket | None:
         try:
-            return End(self.rig, self.listener.accept()[0])
+            return PeerSocket(self.rig, self.listener.accept()[0])
         except BlockingIOError:
             return None
 
-    def accept(self) -> End:
-        found: list[End] = []
+    def accept(self) -> PeerSocket:
+        found: list[PeerSocket] = []
 
         def came() -> bool:
             if (end := self.accept_now()) is not None:
@@ -127,36 +127,36 @@
         return found[0]
 
 
-class Brick(Place):
+class NodePeer(Listener):
     """A brick that holds every request until the test answers it."""
 
-    def __init__(self, rig: Turning, shard: int) -> None:
+    def __init__(self, rig: ReactorRig, shard: int) -> None:
         super().__init__(rig)
         self.shard, self.id, self.phase = shard, f"b{shard}", "Ready"
-        self.ends: list[End] = []
+        self.connections: list[PeerSocket] = []
 
-    def look(self) -> bytes:
+    def read_all(self) -> bytes:
         """All that has come by any connection."""
         while (end := self.accept_now()) is not None:
-            self.ends.append(end)
-        return b"".join(end.read() for end in self.ends)
+            self.connections.append(end)
+        return b"".join(end.read() for end in self.connections)
 
-    def request(self, name: str) -> End:
+    def wait_for(self, name: str) -> PeerSocket:
         """Wait for this request; the connection that it came by."""
         wanted = b"Request-Id: %s\r\n" % name.encode()
-        assert self.rig.until(lambda: wanted in self.look()), f"{name} did not come"
-        return next(end for end in self.ends if wanted in end.text)
+        assert self.rig.until(lambda: wanted in self.read_all()), f"{name} did not come"
+        return next(end for end in self.connections if wanted in end.text)
 
-    def saw(self, name: str) -> int:
+    def received(self, name: str) -> int:
         """How often a request with this id has come."""
-        return self.look().count(b"Request-Id: %s\r\n" % name.encode())
+        return self.read_all().count(b"Request-Id: %s\r\n" % name.encode())
 
     def answer(self, name: str, body: bytes = b"ok") -> None:
-        end = self.request(name)
+        end = self.wait_for(name)
         end.text = b""
         end.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def line(self) -> dict[str, Any]:
+    def member(self) -> dict[str, Any]:
         return {"id": self.id, "host_port": self.address, "locality": "", "flavor": "", "cell": self.shard,
                 "phase": self.phase, "size": 1.0, "up_since_ms": 0}  # fmt: skip
 
@@ -168,7 +168,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Turning:
+class ReactorRig:
     """A reactor of its own, whose turns and clock are the test's."""
 
     def __init__(self) -> None:
@@ -176,8 +176,8 @@
         made: Any = EPollReactor
         self.reactor = made()
         self.reactor.seconds = lambda: self.now
-        self.ends: list[End] = []
-        self.places: list[Place] = []
+        self.connections: list[PeerSocket] = []
+        self.listeners: list[Listener] = []
         self.log = io.StringIO()
         self.clock = ReactorClock(self.reactor, lambda: round(self.now * 1e9), lambda: 1_700_000_000 * 10**9)
 
@@ -207,9 +207,9 @@
         self.now += seconds
 
     def close(self) -> None:
-        for end in self.ends:
+        for end in self.connections:
             end.sock.close()
-        for place in self.places:
+        for place in self.listeners:
             place.listener.close()
         failure: Any = Failure
         lost = failure(ConnectionLost())
@@ -218,61 +218,63 @@
         self.reactor._poller.close()
 
 
-class Turned(Turning):
+class GatewayRig(ReactorRig):
     """The head and its peers."""
 
     def __init__(self, **changes: str) -> None:
         super().__init__()
-        self.list = Place(self)
-        self.bricks = [Brick(self, 0)]
+        self.discovery = Listener(self)
+        self.nodes = [NodePeer(self, 0)]
         self.config: dict[str, Any] = {
-            "name": "turned", "listen": "127.0.0.1:0", "discovery": self.list.address, "seed": "7",
+            "name": "turned", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "7",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.listing(), "settings": defaults.settings(),
+            "known": self.endpoint_list(), "settings": defaults.settings(),
         }  # fmt: skip
         for path, value in changes.items():
             defaults.change(self.config, path.replace("__", "."), value)
-        self.head = PlatformGateway(
+        self.gateway = PlatformGateway(
             self.reactor, configuration.read(self.config, {}), make_logger(self.log), self.clock
         )
         self.stopped: list[float] = []
-        self.head.stopped.addCallback(lambda _: self.stopped.append(self.now))
+        self.gateway.stopped.addCallback(lambda _: self.stopped.append(self.now))
 
-    def start(self) -> Turned:
+    def start(self) -> GatewayRig:
         """Up to the first watch, with its list."""
-        self.head.start()
-        self.watch = self.watched()
-        self.watch.send(HEAD + self.told(True, self.bricks, 1))
-        assert self.until(lambda: self.head.front.listening)
+        self.gateway.start()
+        self.watch = self.accept_watch()
+        self.watch.send(HEAD + self.list_chunk(True, self.nodes, 1))
+        assert self.until(lambda: self.gateway.front.listening)
         return self
 
-    def watched(self, place: Place | None = None) -> End:
+    def accept_watch(self, place: Listener | None = None) -> PeerSocket:
         """Wait for a watch to be opened; nothing is answered yet."""
-        end = (place or self.list).accept()
-        end.take(b"\r\n\r\n")
+        end = (place or self.discovery).accept()
+        end.read_until(b"\r\n\r\n")
         return end
 
-    def listing(
-        self, members: list[Brick] | None = None, revision: int = 1, full: bool = True
+    def endpoint_list(
+        self, members: list[NodePeer] | None = None, revision: int = 1, full: bool = True
     ) -> dict[str, Any]:
-        lines = [brick.line() for brick in (self.bricks if members is None else members)]
+        lines = [node.member() for node in (self.nodes if members is None else members)]
         return {"revision": revision, "complete": full, "members": lines}
 
-    def told(self, full: bool, members: list[Brick], revision: int, indent: int | None = None) -> bytes:
+    def list_chunk(
+        self, full: bool, members: list[NodePeer], revision: int, indent: int | None = None
+    ) -> bytes:
         """A chunk of a watch with this news."""
-        return chunk(json.dumps(self.listing(members, revision, full), indent=indent).encode() + b"\n")
+        return chunk(json.dumps(self.endpoint_list(members, revision, full), indent=indent).encode() + b"\n")
 
-    def drain(self, brick: Brick, revision: int) -> bytes:
-        brick.phase = "Terminating"
-        return self.told(False, [brick], revision)
+    def drain(self, node: NodePeer, revision: int) -> bytes:
+        node.phase = "Terminating"
+        return self.list_chunk(False, [node], revision)
 
-    def client(self) -> End:
+    def client(self) -> PeerSocket:
         sock = socket.socket()
-        sock.connect(self.head.address)
-        return End(self, sock)
+        sock.connect(self.gateway.address)
+        return PeerSocket(self, sock)
 
     @staticmethod
-    def ask(
+    def request(
         name: str, kind: str = "read", shard: int = 0, timeout: int = 0, body: bytes = b"", more: str = ""
     ) -> bytes:
         method = "PUT" if body else "GET"
@@ -286,7 +288,7 @@
         """Time goes by; discovery says that nothing has changed."""
         end, beat = self.now + seconds, self.now
         while self.now < end:
-            if self.now >= beat and hasattr(self, "watch") and not self.watch.gone():
+            if self.now >= beat and hasattr(self, "watch") and not self.watch.closed():
                 beat = self.now + 2.0
                 self.watch.send(chunk(b"\n"))
             self.turn()
@@ -295,22 +297,22 @@
 
 
 @contextmanager
-def turned(**changes: str) -> Iterator[Turned]:
-    rig = Turned(**changes)
+def gateway_rig(**changes: str) -> Iterator[GatewayRig]:
+    rig = GatewayRig(**changes)
     try:
         yield rig.start()
     finally:
         rig.close()
 
 
-def served(rig: Turned, name: str) -> bool:
+def served(rig: GatewayRig, name: str) -> bool:
     """Whether a new request is sent to the brick now."""
     client = rig.client()
-    client.send(rig.ask(name))
-    rig.until(lambda: bool(rig.bricks[0].saw(name)) or bool(client.read()), 1.0)
-    if rig.bricks[0].saw(name):
-        rig.bricks[0].answer(name)
-        client.take(b"\r\n\r\nok")
+    client.send(rig.request(name))
+    rig.until(lambda: bool(rig.nodes[0].received(name)) or bool(client.read()), 1.0)
+    if rig.nodes[0].received(name):
+        rig.nodes[0].answer(name)
+        client.read_until(b"\r\n\r\nok")
         return True
     return False
 
@@ -340,4 +342,15 @@
         self.held = []
 
 
-__all__ = ["HEAD", "Brick", "End", "HeldDials", "Place", "Turned", "Turning", "chunk", "served", "turned"]
+__all__ = [
+    "HEAD",
+    "GatewayRig",
+    "HeldDials",
+    "Listener",
+    "NodePeer",
+    "PeerSocket",
+    "ReactorRig",
+    "chunk",
+    "gateway_rig",
+    "served",
+]
