--- a/gaugesail/http/answer_heads.py
+++ b/gaugesail/http/answer_heads.py
@@ -1,4 +1,4 @@
-"""Writes the heads of the answers that clients get."""
+"""Formats the header sections of answers to clients."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def answer_head(status: int, length: int, retry_after_us: int | None, keep_alive: bool) -> bytes:
-    """The head of an answer whose body has this length; without a time there is no Retry-After."""
+    """Format the head of an answer with a body of ``length`` bytes; no Retry-After for None or 0."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", f"Content-Length: {length}"]
     if retry_after_us:
         lines.append(f"Retry-After: {retry_after_us / 1e6:.3f}")
@@ -32,7 +32,7 @@
 
 
 def stream_head(length: int | None, chunked: bool, keep_alive: bool) -> bytes:
-    """The head of an answer that is passed on while it comes."""
+    """Format the head of a streamed answer."""
     lines = ["HTTP/1.1 200 OK"]
     if length is not None:
         lines.append(f"Content-Length: {length}")
--- a/gaugesail/http/answer_stream.py
+++ b/gaugesail/http/answer_stream.py
@@ -1,4 +1,4 @@
-"""A large answer that is passed on to its client while it comes from its node."""
+"""A large answer that is streamed from a node to a client."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AnswerStream:
-    """The sink of one answer, between its head and its end."""
+    """The sink for the body of one answer whose head is written."""
 
     def __init__(self, connection: ClientConnection, source: BodySource, chunked: bool) -> None:
         self._connection = connection
@@ -22,22 +22,25 @@
         self._handing_over = False
 
     def write(self, data: bytes) -> None:
-        """Pass on the next bytes of the answer."""
+        """Write the next bytes of the body to the client."""
         if not self._connection.lost and data:
             self._connection.link.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
     def finish(self) -> None:
-        """The answer is complete."""
+        """Write the end of the complete answer."""
         if self.chunked and not self._connection.lost:
             self._connection.link.write(b"0\r\n\r\n")
         self._connection.stream_finished()
 
     def fail(self) -> None:
-        """The answer can't be finished: a reset tells the client that it is not complete."""
+        """End an incomplete answer with a reset, which the client can tell from a complete one."""
         self._connection.stream_failed()
 
     def start_handover(self, emptied: Callable[[ClientConnection, Any], None]) -> None:
-        """Report once what is written has left our buffer: then another process may pass the rest on."""
+        """Pause the stream and call ``emptied`` once the write buffer is empty.
+
+        Then another process may continue the stream.
+        """
         if self._handing_over or self._connection.lost:
             return
         self._handing_over = True
@@ -51,7 +54,7 @@
         Emptied(self._connection.link, report)
 
     def cancel_handover(self) -> None:
-        """There is no other process any more: go on here."""
+        """Continue the stream here, as the other process has ended."""
         self._handing_over = False
         self._connection.link.registerProducer(self._connection, True)
         self.source.resume()
--- a/gaugesail/http/arrival_times.py
+++ b/gaugesail/http/arrival_times.py
@@ -1,21 +1,21 @@
-"""When the bytes of a connection came, so that the time of a pipelined request runs from its last byte."""
+"""Arrival times of a connection's input: the time of a pipelined request starts at its last byte."""
 
 from __future__ import annotations
 
 from collections import deque
 
-RESOLUTION_US = 5_000  # input that came closer together counts as come at once
-MAX_MARKS = 64
+RESOLUTION_US = 5_000  # input that arrives closer together shares one mark
+MAX_MARKS = 64  # per connection
 
 
 class ArrivalTimes:
-    """Marks of how many bytes had come, and when; those of input that was read are dropped."""
+    """Marks of a byte count and its arrival time; marks of parsed input are dropped."""
 
     def __init__(self) -> None:
         self._marks: deque[tuple[int, int]] = deque()
 
     def record(self, bytes_fed: int, bytes_read: int, arrived_us: int) -> None:
-        """Enter that so many bytes have come in all by now, of which so many have been read."""
+        """Mark the arrival of input up to ``bytes_fed`` bytes in total; drop the marks of parsed bytes."""
         marks = self._marks
         while marks and marks[0][0] <= bytes_read:
             marks.popleft()
@@ -25,7 +25,7 @@
             marks.append((bytes_fed, arrived_us))
 
     def last_read(self, bytes_read: int, now_us: int) -> int:
-        """When the last of so many bytes came; ``now_us`` where no mark tells."""
+        """Return when byte number ``bytes_read`` arrived; ``now_us`` if there is no mark."""
         marks = self._marks
         arrived_us = now_us
         while marks:
--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: reads a request, waits for its one answer, writes it, reads on."""
+"""One client connection: reads a request, waits for its answer, writes it, reads the next request."""
 
 from __future__ import annotations
 
@@ -25,62 +25,64 @@
 
 
 class ClientConnection(Connection):
-    """The source of a large body; each side's back-pressure goes through it."""
+    """One client connection, and the source of a large request body with back-pressure in both directions."""
 
-    length: int | None = None  # of the body that is passed on
+    length: int | None = None  # of the body that is written to a node as it arrives, in bytes
 
     def __init__(self, owner: ClientOwner) -> None:
         self.owner = owner
         self.input = ClientInput(owner)
         self.head: Head | None = None  # of the request that is arriving
-        self._request: ClientRequest | None = None  # that is arriving, or is owed its answer
-        self._request_id: int | None = None  # the engine's; 0: answered there; None: no request in hand
-        self._upload: BodySink | None = None  # where a large body goes
-        self.stream: AnswerStream | None = None  # the large answer that is passed on
+        self._request: ClientRequest | None = None  # that is arriving or waits for its answer
+        self._request_id: int | None = (
+            None  # the engine's; 0: already answered there; None: no answer is pending
+        )
+        self._upload: BodySink | None = None  # of a large body
+        self.stream: AnswerStream | None = None  # a streamed answer
         self._keep_alive = True
         self._http_1_0 = False
         self._reading = False
-        self.output_full = False  # the client does not read as fast as we write
-        self._answered_early = False  # before its request was complete: the rest is read and thrown away
-        self._discarded = 0  # bytes
+        self.output_full = False  # the client reads more slowly than it is written to
+        self._answered_early = False  # before its request was complete: the rest is discarded
+        self._discarded = 0  # bytes received after the end of the connection
         self.body_bytes = 0
-        self.last_byte_us = 0  # when the latest byte came
-        self.stuck_since_us = 0  # when the client stopped reading, or we began to close
+        self.last_byte_us = 0  # when the latest byte was received
+        self.blocked_since_us = 0  # when the client stopped reading, or the gateway started to close
         self.lingering = False
         self.closing = False
         self.lost = False
         self.opened_at_us = self.last_used_us = owner.clock.now_us()
-        self.unread_bytes = 0  # that may wait in our buffer
+        self.unread_bytes = 0  # upper bound of what is in the write buffer
         self.requests_received = 0
-        self.surplus = False  # came when all places were in use: closed after its answer while that lasts
+        self.surplus = False  # accepted beyond the limit: closed after its answer if that is still exceeded
 
     @property
     def idle(self) -> bool:
-        """Whether no request is arriving or in hand."""
+        """Whether no request is arriving or pending."""
         free = self._request_id is None and self.input.parser.between_messages
         return free and not (self.output_full or self.closing)
 
     @property
     def awaits_answer(self) -> bool:
-        """Whether a request is in hand, and the next has to wait for its answer."""
+        """Whether an answer is pending, for which the next request has to wait."""
         return self._request_id is not None
 
     @property
     def disconnected(self) -> bool:
-        """Whether the client has gone: its end may lie behind much that it sent."""
-        unread_input = self.input.paused or self.input.cut or self.input.excess > 0
+        """Whether the client has disconnected; its FIN may be behind input that was not read."""
+        unread_input = self.input.paused or self.input.truncated or self.input.excess > 0
         return self.gone(unread_input or self.stale(self.owner.clock))
 
     def connectionMade(self) -> None:
-        """Set the socket up and count the client."""
+        """Configure the socket and register with the server."""
         self.link.setTcpNoDelay(True)
-        # With many clients, 64 KiB each would be the larger part of the memory.
+        # Twisted's 64 KiB for each of many clients would take most of the memory.
         self.link.bufferSize = READ_BYTES
         self.link.registerProducer(self, True)
         self.owner.opened(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The client has gone, or we have closed the connection."""
+        """The connection has ended: cancel its request and its streamed answer."""
         self.lost = True
         if self._request_id:
             self.owner.engine.client_disconnected(self._request_id)
@@ -93,11 +95,11 @@
         self.owner.closed(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take what has come; behind the end of what is served it is thrown away."""
+        """Parse the input; discard it once the connection is closing."""
         if self.closing or self.lost:
             self._discard(data)
             return
-        if self.input.cut:
+        if self.input.truncated:
             return
         self.last_byte_us = self.owner.clock.now_us()
         self.input.feed(data, self.link, self.last_byte_us)
@@ -111,15 +113,15 @@
             self.pause()
 
     def pauseProducing(self) -> None:
-        """The client reads no faster."""
+        """The client reads too slowly: pause the source of a streamed answer."""
         self.output_full = True
-        self.stuck_since_us = self.owner.clock.now_us()
+        self.blocked_since_us = self.owner.clock.now_us()
         self.owner.output_full(self)
         if self.stream is not None:
             self.stream.source.pause()
 
     def resumeProducing(self) -> None:
-        """The client reads on."""
+        """The client has read what was written: continue."""
         self.output_full = False
         self.owner.output_emptied(self)
         if self.stream is not None:
@@ -128,21 +130,21 @@
             self._read_next()
 
     def stopProducing(self) -> None:
-        """The connection is lost, which ``connectionLost`` hears too."""
+        """The connection is lost; ``connectionLost`` is called too."""
         self.output_full = False
         self.owner.output_emptied(self)
 
     # ---- requests ----
 
     def _read(self) -> None:
-        """Take complete requests out of what has arrived, until one has to wait for its answer."""
+        """Process the buffered requests until one has to wait for its answer."""
         if self._reading:
             return
         self._reading = True
         engine, retry_after_us = self.owner.engine, self.owner.retry_after_us
         try:
             self._read_requests()
-            if self.input.cut and self._reads_on():
+            if self.input.truncated and self._reads_on():
                 engine.counts["pipelined_too_much"] += 1
                 self.fail_input(429, "too much at once", retry_after_us)
         except BadMessage as error:
@@ -151,8 +153,10 @@
         except PoolEmpty:
             engine.counts["no_buffers"] += 1
             self.fail_input(503, "no memory", retry_after_us)
-        except Exception as error:  # a fault of ours: Twisted would drop the connection without an answer
-            self.owner.raised(error)
+        except (
+            Exception
+        ) as error:  # a fault of the gateway: Twisted would close the connection without an answer
+            self.owner.log_fault(error)
             self.fail_input(500, "internal fault")
         finally:
             self._reading = False
@@ -198,7 +202,7 @@
         elif request is not None and not self._answered_early:
             request.payload.body.append(data)
             if self.body_bytes > MAX_BUFFERED_BODY and self.head is not None:
-                # Too large to hold: it is written to its node while it comes.
+                # Too large to buffer: write it to its node while it arrives.
                 self.length = self.head.length
                 self._upload = self.owner.engine.stage_upload(request, self)
                 if self._upload is None:
@@ -220,7 +224,7 @@
             return
         if upload is not None:
             upload.finish()
-            self.resume()  # it is complete: from here on nobody pauses it, and its client's end is seen
+            self.resume()  # nothing pauses a complete body; reading on detects that the client disconnects
         self._request_id = 0
         self._request_id = self.owner.engine.submit(request, ClientReply(self), self.input.last_read_us())
 
@@ -228,20 +232,20 @@
         status, text = (200, b"ok") if self.owner.ready else (503, b"not ready")
         self.answer(status, b"" if head.method == "HEAD" else text)
 
-    # ---- the source of a large body ----
+    # ---- source of a large body ----
 
     def pause(self) -> None:
-        """The node takes no more of the body for now."""
+        """Stop reading from the client, as the node reads more slowly."""
         if not self.input.paused and not self.lost:
             self.input.pause(self.link)
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading from the client."""
         if self.input.paused and not self.lost:
             self.last_byte_us = self.input.resume(self.link)
 
     def stop(self) -> None:
-        """The body can go nowhere: it is rejected at once, and what still comes of it is thrown away."""
+        """Reject a request whose body has no destination, and discard the rest of the body."""
         if self._answered_early or self.closing or self.lost:
             return
         self._upload = None
@@ -251,7 +255,7 @@
         self.resume()
 
     def reject_incomplete(self) -> None:
-        """No time is left for a request that is still arriving."""
+        """Reject a request that is still arriving, as the process is about to end."""
         if self._request_id is None and self.head is not None:
             self.stop()
 
@@ -260,7 +264,10 @@
     def answer(
         self, status: int, body: bytes, close: bool = False, retry_after_us: int | None = None
     ) -> None:
-        """Write one answer; the connection is free again after it, or closes."""
+        """Write one answer, then close the connection or read the next request.
+
+        ``close`` forces a close that lingers, so that the client can read the answer.
+        """
         self._release_request()
         if self.lost:
             self._request_id = None
@@ -273,7 +280,7 @@
             self._answer_written(keep_alive, close)
 
     def fail_input(self, status: int, text: str, retry_after_us: int | None = None) -> None:
-        """What came can't be taken: answer, unless there is an answer already, and end the connection."""
+        """Answer input that cannot be processed, unless it is answered already, and close the connection."""
         if self._answered_early:
             self._answered_early = False
             self.close(CloseReason.BAD_REQUEST, linger=True)
@@ -281,19 +288,19 @@
             self.answer(status, text.encode(), close=True, retry_after_us=retry_after_us)
 
     def _stays_open(self) -> bool:
-        # Where clients are sent away, an answer ends its connection; not before what has come behind it has
-        # its own, as that would be lost with the connection.
+        # While clients are to leave, an answer ends its connection.  Requests that are buffered behind it are
+        # answered first, as closing would lose them.
         sent_away = self.owner.leaving or (self.surplus and self.owner.over_limit)
         return self._keep_alive and not (sent_away and not self.input.parser.buffered)
 
     def _answer_written(self, keep_alive: bool, linger: bool) -> None:
-        """The request in hand has its complete answer."""
+        """The pending answer is complete: close, or read the next request."""
         self._request_id = None
         if not keep_alive:
             self.close(CloseReason.BAD_REQUEST if linger else CloseReason.LAST_ANSWER, linger=linger)
             return
         self.resume()
-        if self.input.parser.buffered or self.input.cut:
+        if self.input.parser.buffered or self.input.truncated:
             self.input.since_us = self.owner.clock.now_us()
             if not self._reading:
                 self.owner.clock.call_later(0, self._read_next)
@@ -309,10 +316,10 @@
         if request is not None:
             request.payload.release()
 
-    # ---- large answers ----
+    # ---- streamed answers ----
 
     def start_stream(self, source: BodySource) -> BodySink | None:
-        """Begin an answer that is passed on while it comes; until its end nothing else is served."""
+        """Start a streamed answer; the next request is read after its end.  None if the client is lost."""
         if self.lost:
             return None
         self._release_request()
@@ -320,7 +327,7 @@
         self._keep_alive = self._stays_open()
         chunked = source.length is None and not self._http_1_0
         if source.length is None and not chunked:
-            self._keep_alive = False  # for a client that knows no chunks the end is the connection's
+            self._keep_alive = False  # HTTP/1.0 has no chunks: the close marks the end
         stream = self._add_stream(source, chunked)
         self.link.write(stream_head(source.length, chunked, self._keep_alive))
         if self.output_full:
@@ -334,20 +341,20 @@
         return self.stream
 
     def stream_finished(self) -> None:
-        """A large answer is complete."""
+        """The streamed answer is complete."""
         self.stream = None
         if not self.lost:
             self.owner.used(self)
             self._answer_written(self._keep_alive and not self.owner.closing, False)
 
     def stream_failed(self) -> None:
-        """A large answer can't be finished, or half an answer may be written: only a reset tells."""
+        """Reset the connection: only that shows the client that its answer is incomplete."""
         self.stream = None
         if not self.lost:
             self.link.abortConnection()
 
     def hand_over_stream(self) -> ClientStreamState:
-        """End a large answer here, and return what another process needs to go on with it."""
+        """End the stream in this process and return the state from which another process continues it."""
         assert self.stream is not None
         state = ClientStreamState(
             self.stream.chunked,
@@ -362,7 +369,7 @@
         return state
 
     def take_over_stream(self, state: ClientStreamState, source: BodySource) -> BodySink:
-        """Go on with a large answer where another process ended."""
+        """Continue a streamed answer of another process."""
         self._keep_alive = state.keep_alive
         self._http_1_0 = state.http_1_0
         self.requests_received = state.requests_received
@@ -374,10 +381,11 @@
     def close(
         self, reason: CloseReason = CloseReason.IDLE, linger: bool = False, at_once: bool = False
     ) -> None:
-        """End our side, and throw away within bounds what still comes.
+        """Close the sending side, and discard further input up to MAX_DISCARDED.
 
-        The client may be sending still: closing at once would reset the connection, and with it what our
-        kernel still has of the answer.
+        The client may still be sending.  Closing both sides then resets the connection, and the client loses
+        the part of the answer that is still in the kernel's buffers.  ``linger`` and ``at_once`` override the
+        default, which closes both sides only while no further client can be accepted.
         """
         if self.closing or self.lost:
             return
@@ -386,14 +394,14 @@
         self.owner.engine.counts[f"closed_{reason.value}"] += 1
         self.closing = True
         self.lingering = linger
-        self.stuck_since_us = self.owner.clock.now_us()
+        self.blocked_since_us = self.owner.clock.now_us()
         self.link.unregisterProducer()
         if linger or not (at_once or self.owner.held):
             self.link.loseWriteConnection()
-        else:  # where places are short
+        else:  # free the descriptor at once
             self.link.loseConnection()
 
     def close_unless_unread(self) -> None:
-        """Close it as it is idle, unless something has come that was not read yet."""
+        """Close an idle connection, unless it has unread input."""
         if not (self.lost or unread(self.link)):
             self.close()
--- a/gaugesail/http/client_input.py
+++ b/gaugesail/http/client_input.py
@@ -1,4 +1,4 @@
-"""What a client has sent and we have not served yet: parsed, timed, and bounded."""
+"""The input of a client that has not been processed: parsed, timed and bounded."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 
 
 class ClientInput:
-    """The input of one connection."""
+    """The input of one client connection."""
 
     def __init__(self, owner: ClientOwner) -> None:
         self._owner = owner
         self._arrivals = ArrivalTimes()
         self.parser = Parser(answers=False)
-        self.cut = False  # the client sent more than it may: the rest is thrown away
+        self.truncated = False  # the client exceeded its bound: further input is discarded
         self.excess = 0  # bytes beyond MAX_PIPELINED
         self.paused = False
         self._paused_at_us = 0
-        self.since_us = 0  # when the part of a request that is arriving began, or came to its turn
+        self.since_us = (
+            0  # when the part of the request that is arriving started, or became the next to be read
+        )
 
     def feed(self, data: bytes, link: Any, now_us: int) -> None:
-        """Add what has come by a transport."""
+        """Add input received from a transport at ``now_us``."""
         arrived_us = now_us - waited_us(link, self._owner.clock)
         if self.parser.between_messages:
             self.since_us = now_us
@@ -33,37 +35,39 @@
         self._arrivals.record(self.parser.bytes_fed, self.parser.bytes_read, arrived_us)
 
     def pause(self, link: Any) -> None:
-        """Read no more for now."""
+        """Stop reading."""
         self._paused_at_us = self._owner.clock.now_us()
         self.paused = True
         link.pauseProducing()
 
     def resume(self, link: Any) -> int:
-        """Read on; the present time."""
+        """Continue reading; return the present time."""
         now_us = self._owner.clock.now_us()
-        self.since_us += now_us - self._paused_at_us  # what we make a client wait is not its time
+        self.since_us += (
+            now_us - self._paused_at_us
+        )  # a pause by the gateway does not count against the client
         self.paused = False
         link.resumeProducing()
         return now_us
 
     def last_read_us(self) -> int:
-        """When the last byte came of what has been read: a request's time runs from there."""
+        """When the last parsed byte was received, which is the start of a request's time."""
         return self._arrivals.last_read(self.parser.bytes_read, self._owner.clock.now_us())
 
     def bound(self, active: bool) -> None:
-        """Bound what waits behind the request in hand; none counts of a connection that is not active.
+        """Bound the input behind the pending request; a connection that is not active counts as empty.
 
-        Reading goes on, as the client's end is seen behind all that it has sent: what is too much is thrown
-        away, and the connection ends where that begins.
+        Reading continues, because the client's FIN is only seen after all its input.  Input beyond the bound
+        is discarded, and the connection ends after the requests before it.
         """
         owner = self._owner
         excess = max(0, self.parser.buffered - MAX_PIPELINED) if active else 0
         owner.excess_input += excess - self.excess
         self.excess = excess
         if excess and (excess > MAX_PIPELINED_EXCESS or owner.excess_input > owner.max_excess_input):
-            self.cut = True
+            self.truncated = True
 
     def release(self) -> None:
-        """The connection is lost: nothing of it counts any more."""
+        """Stop counting the input of a lost connection."""
         self._owner.excess_input -= self.excess
         self.excess = 0
--- a/gaugesail/http/client_owner.py
+++ b/gaugesail/http/client_owner.py
@@ -14,57 +14,57 @@
 
 
 class ClientOwner(Protocol):
-    """The server of a connection."""
+    """The server that accepted a client connection."""
 
     clock: Clock
     engine: Engine
     pool: BufferPool
     reader: RequestReader
-    retry_after_us: int  # that rejected clients are told where the policy names no time
-    excess_input: int  # bytes that clients have sent beyond what each may
+    retry_after_us: int  # Retry-After of rejections for which the policy names no time
+    excess_input: int  # bytes buffered for all clients beyond what each may always have
     closing: bool
-    held: bool  # all places are in use, so that more clients wait in the kernel
+    held: bool  # capacity exhausted: new clients wait in the listen backlog
 
     @property
     def max_excess_input(self) -> int:
-        """How many bytes clients may together have sent beyond what each may."""
+        """Limit of ``excess_input`` in bytes."""
         ...
 
     @property
     def ready(self) -> bool:
-        """Whether new clients are to come."""
+        """Whether the gateway wants new clients."""
         ...
 
     @property
     def leaving(self) -> bool:
-        """Whether clients are to go, with their next answer or when they are idle."""
+        """Whether clients are to leave, after their next answer or when they are idle."""
         ...
 
     @property
     def over_limit(self) -> bool:
-        """Whether there are more clients than places."""
+        """Whether there are more connections than the limit without overflow."""
         ...
 
     def opened(self, connection: ClientConnection) -> None:
-        """A client has come."""
+        """Register a new connection."""
         ...
 
     def closed(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+        """Unregister a connection that has ended."""
         ...
 
     def used(self, connection: ClientConnection) -> None:
-        """A connection has answered."""
+        """Note that a connection has written an answer."""
         ...
 
     def output_full(self, connection: ClientConnection) -> None:
-        """A client does not read as fast as its answer comes."""
+        """Note that a client reads more slowly than its answer arrives."""
         ...
 
     def output_emptied(self, connection: ClientConnection) -> None:
-        """It reads again, or is gone."""
+        """Note that the client reads again, or that the connection is lost."""
         ...
 
-    def raised(self, error: Exception) -> None:
-        """A connection has met a fault of ours."""
+    def log_fault(self, error: Exception) -> None:
+        """Count and log a fault of the gateway."""
         ...
--- a/gaugesail/http/client_reply.py
+++ b/gaugesail/http/client_reply.py
@@ -1,4 +1,4 @@
-"""The one final answer of a request, on the connection that it came by."""
+"""The final answer of a request, written to the connection that received the request."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 
 
 class ClientReply:
-    """Answers once; raises RuntimeError for a second answer."""
+    """Writes one answer.  A second one raises RuntimeError."""
 
     __slots__ = ("_connection",)
 
     def __init__(self, connection: ClientConnection) -> None:
         self._connection: ClientConnection | None = connection
 
-    def _take(self) -> ClientConnection:
+    def _release_connection(self) -> ClientConnection:
         connection = self._connection
         self._connection = None
         if connection is None:
-            raise RuntimeError("a second final answer")
+            raise RuntimeError("the request already has its final answer")
         return connection
 
     def start_stream(self, source: BodySource) -> BodySink | None:
-        """Begin an answer that is passed on while it comes."""
-        connection = self._take()
+        """Start a streamed answer; None if the client is lost."""
+        connection = self._release_connection()
         try:
             return connection.start_stream(source)
-        except Exception:  # half an answer may be written: only the end of the connection is safe
+        except Exception:  # a part may have been written: only a reset is safe
             connection.stream_failed()
             raise
 
     def send_answer(self, answer: bytes) -> None:
-        """Answer with the body that a node gave."""
-        self._take().answer(200, answer)
+        """Answer 200 with the body that a node sent."""
+        self._release_connection().answer(200, answer)
 
     def reject(self, retry_after_us: int) -> None:
-        """Answer that the request is rejected; without a time, the longest of the settings is named."""
-        connection = self._take()
+        """Answer 503 with Retry-After; ``retry_after_us`` 0 stands for the longest time in the settings."""
+        connection = self._release_connection()
         retry_after_us = retry_after_us or connection.owner.retry_after_us
         connection.answer(503, b"refused", retry_after_us=retry_after_us)
 
     def fail(self, reason: FailureReason) -> None:
-        """Answer that the request failed."""
-        self._take().answer(FAILURE_STATUS[reason], reason.value.encode())
+        """Answer with the status of ``reason``."""
+        self._release_connection().answer(FAILURE_STATUS[reason], reason.value.encode())
 
     def client_is_gone(self) -> bool:
-        """Whether the client has gone, though its end may not have been read yet."""
+        """Whether the client has disconnected, even if its FIN was not read yet."""
         return self._connection is not None and self._connection.disconnected
--- a/gaugesail/http/client_server.py
+++ b/gaugesail/http/client_server.py
@@ -1,4 +1,4 @@
-"""Accepts clients within this process's part of the sockets, and makes room where places are short."""
+"""Accepts clients within this process's connection limit, and closes idle ones if it is exceeded."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from .request_reader import RequestReader
 from .slow_readers import SlowReaders
 
-MIN_PLACES_BESIDE = 16  # for clients beside another process, whatever that still holds
-FIRST_PRIORITY = 3  # the highest of client_limits.closing_priority
+MIN_CAPACITY_BESIDE = 16  # connections, beside another process and whatever that one still has
+FIRST_PRIORITY = 3  # highest rank of client_limits.closing_priority
 
 
 @dataclass(slots=True, frozen=True)
 class ClientCapacity:
-    """How many clients may be here, and how many more until one of them has been sent away."""
+    """Connection limit, and the overflow accepted above it until other connections are closed."""
 
     connections: int
     overflow: int
 
 
 class ClientServer(ClientAdmission):
-    """The clients' side of the platform's protocol."""
+    """The server for clients of the platform's HTTP protocol."""
 
     def __init__(
         self,
@@ -42,38 +42,38 @@
         clock: Clock,
         pool: BufferPool,
         log: Logger,
-        places: ClientCapacity,
+        capacity: ClientCapacity,
         on_idle: Callable[[], None],
     ) -> None:
         super().__init__(engine, clock, on_idle)
         self.pool = pool
         self._log = log
         self.change_settings(settings)
-        self.limit(places)
-        self._open: OrderedDict[ClientConnection, None] = OrderedDict()  # the latest used last
+        self.limit(capacity)
+        self._open: OrderedDict[ClientConnection, None] = OrderedDict()  # the latest used is last
         self._slow_readers = SlowReaders(pool)
         self.excess_input = 0
 
     def change_settings(self, settings: Settings) -> None:
-        """Use other settings for the requests received from now on."""
+        """Apply changed settings to the requests received from now on."""
         self.reader = RequestReader(settings)
         self.retry_after_us = settings.longest_retry_after_us
 
-    # ---- places ----
+    # ---- capacity ----
 
-    def limit(self, places: ClientCapacity) -> None:
-        """Set how many clients may be here."""
-        self._own_places = places.connections
-        self._overflow = places.overflow
-        self._set_places(places.connections)
+    def limit(self, capacity: ClientCapacity) -> None:
+        """Set the connection limit and the overflow."""
+        self._own_capacity = capacity.connections
+        self._overflow = capacity.overflow
+        self._set_capacity(capacity.connections)
 
     def limit_beside(self, clients: int) -> None:
-        """Leave room for another process of this gateway, which still has so many clients."""
-        # What the other leaves of both parts is ours.  To have a mere half would starve the usual clients in
-        # a flood, of which the other still holds the most.
-        self._set_places(max(MIN_PLACES_BESIDE, 2 * self._own_places - clients))
+        """Share the capacity with another process of this gateway that still has ``clients`` connections."""
+        # This process may use what the other one leaves of both limits.  A fixed half would starve the usual
+        # clients during a flood, most of which is still connected to the other process.
+        self._set_capacity(max(MIN_CAPACITY_BESIDE, 2 * self._own_capacity - clients))
 
-    def _set_places(self, connections: int) -> None:
+    def _set_capacity(self, connections: int) -> None:
         self._max_connections = connections
         self._max_with_overflow = connections + self._overflow
         if self.held and self.capacity_left > 0:
@@ -81,31 +81,31 @@
 
     @property
     def capacity_left(self) -> int:
-        """How many more clients may be accepted."""
+        """Number of further connections that may be accepted, overflow included."""
         return self._max_with_overflow - len(self._open)
 
     @property
     def over_limit(self) -> bool:
-        """Whether there are more clients than places."""
+        """Whether there are more connections than the limit without overflow."""
         return len(self._open) > self._max_connections
 
     @property
     def max_excess_input(self) -> int:
-        """How many bytes clients may together have sent beyond what each may."""
+        """Limit in bytes of all clients' input beyond what each may always have buffered."""
         return self.pool.limit * self.pool.size // PIPELINED_EXCESS_DIVISOR
 
     @property
     def connections(self) -> int:
-        """How many clients there are."""
+        """Number of open connections."""
         return len(self._open)
 
     @property
     def streams(self) -> list[ClientConnection]:
-        """Those to which a large answer is being passed on."""
+        """The connections with a streamed answer."""
         return [connection for connection in self._open if connection.stream is not None]
 
     def closable(self) -> list[ClientConnection]:
-        """The idle connections, the longest idle first; not one that has just come and is about to ask."""
+        """The idle connections, longest idle first, without new ones that are about to send a request."""
         now_us = self.clock.now_us()
         return [
             connection
@@ -115,29 +115,29 @@
             and not unread(connection.link)
         ]
 
-    # ---- what connections report ----
+    # ---- reports of connections ----
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        """The connection of a client that has come."""
+        """Twisted: create the protocol of a new connection."""
         return ClientConnection(self)
 
     def opened(self, connection: ClientConnection) -> None:
-        """Take a client; where there are more than places, another goes, or this one after its answer."""
+        """Register a connection; above the limit, close an idle one, or this one after its answer."""
         self._open[connection] = None
         if self.over_limit:
             self.engine.counts["client_limit"] += 1
-            connection.surplus = not self._make_room()
+            connection.surplus = not self._close_one_idle()
         if len(self._open) >= self._max_with_overflow and self.port is not None and not self.held:
             self.hold(True)
 
     def used(self, connection: ClientConnection) -> None:
-        """Keep the connections in the order in which they were last used."""
+        """Move a connection to the end of the order of use."""
         if connection in self._open:
             connection.last_used_us = self.clock.now_us()
             self._open.move_to_end(connection)
 
     def closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
         self._open.pop(connection, None)
         if self.held and len(self._open) < self._max_with_overflow:
             self.hold(False)
@@ -145,26 +145,26 @@
             self.on_idle()
 
     def output_full(self, connection: ClientConnection) -> None:
-        """Cut off the slowest reader, where all of them hold too much memory."""
+        """Register a slow reader; abort the slowest one if all of them hold too much memory."""
         self._slow_readers.add(connection)
-        slowest = self._slow_readers.take_excess(self.clock.now_us())
+        slowest = self._slow_readers.pop_slowest(self.clock.now_us())
         if slowest is not None:
             self.engine.counts["slow_reader"] += 1
             slowest.link.abortConnection()
 
     def output_emptied(self, connection: ClientConnection) -> None:
-        """A client reads again, or is gone."""
+        """Unregister a client that reads again or is lost."""
         self._slow_readers.remove(connection)
 
-    def raised(self, error: Exception) -> None:
-        """Count and log a fault of ours."""
+    def log_fault(self, error: Exception) -> None:
+        """Count and log a fault of the gateway."""
         self.engine.counts["front_raised"] += 1
         self._log.error("front_raised", error=repr(error))
 
     # ---- closing ----
 
-    def _make_room(self) -> bool:
-        """Close one connection that nobody is likely to miss, the longest idle of the highest priority."""
+    def _close_one_idle(self) -> bool:
+        """Close the longest idle connection of the highest closing rank; return False if there is none."""
         now_us = self.clock.now_us()
         best = 0
         found = None
@@ -180,33 +180,33 @@
         return found is not None
 
     def sweep(self) -> None:
-        """End what takes too long, and make room where all places were filled at once."""
+        """Enforce the time limits, and close idle connections above the connection limit."""
         now_us = self.clock.now_us()
         for connection in list(self._open):
             sweep(connection, now_us)
         surplus = sum(not connection.closing for connection in self._open) - self._max_connections
-        while surplus > 0 and self._make_room():
+        while surplus > 0 and self._close_one_idle():
             surplus -= 1
-        if self.closing:  # what had something unread may be idle by now
+        if self.closing:  # connections with unread input may be idle by now
             self._close_idle()
 
     def end(self) -> None:
-        """The process is about to be killed: reject what is still arriving."""
+        """Reject requests that are still arriving, as the process is about to be killed."""
         for connection in list(self._open):
             connection.reject_incomplete()
 
     def supersede(self, on: bool) -> None:
-        """The next process accepts in place of this one; or has gone, and this one does again."""
+        """Let the next process accept in place of this one, or accept again if that process has ended."""
         super().supersede(on)
         now_us = self.clock.now_us()
-        if on and len(self._open) > self._own_places:
-            # More than its part, so that the next process is short of places: what nobody misses goes now.
+        if on and len(self._open) > self._own_capacity:
+            # More than its share, at the expense of the next process: close little-used connections now.
             for connection in list(self._open):
                 if priority_to_close(connection, now_us) > 1:
                     connection.close_unless_unread()
 
     def close_idle(self) -> None:
-        """From here on an answer ends its connection, and what is idle ends now."""
+        """Close idle connections now, and the others after their next answer."""
         self.closing = True
         self._close_idle()
         if not self._open:
--- a/gaugesail/http/client_sweep.py
+++ b/gaugesail/http/client_sweep.py
@@ -1,4 +1,4 @@
-"""Ends client connections that take too long, and tells which idle one may be closed for another."""
+"""Enforces the time limits of client connections, and ranks idle ones for closing."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def sweep(connection: ClientConnection, now_us: int) -> None:
-    """End a connection whose request never is complete, or whose client reads nothing."""
+    """End a connection whose request arrives too slowly, or whose client reads or sends nothing."""
     counts = connection.owner.engine.counts
     if connection.output_full or connection.closing:
-        _sweep_output(connection, now_us - connection.stuck_since_us)
+        _sweep_output(connection, now_us - connection.blocked_since_us)
     elif connection.input.paused and connection.disconnected:
-        pass  # nobody reads it, and it has gone
+        pass  # ``disconnected`` has aborted it
     elif not connection.awaits_answer and not connection.input.parser.between_messages:
         if not connection.input.paused and now_us > _due_us(connection):
             counts["half_sent"] += 1
@@ -35,30 +35,30 @@
 
 
 def _is_silent(connection: ClientConnection, now_us: int) -> bool:
-    """Whether a client has opened a connection and asked nothing."""
+    """Whether a new connection has sent no request in time."""
     new = not connection.requests_received and not connection.awaits_answer
     return new and now_us > head_due_us(connection.opened_at_us)
 
 
-def _sweep_output(connection: ClientConnection, stuck_us: int) -> None:
-    if stuck_us > (LINGER_US if connection.lingering else UNREAD_US):
+def _sweep_output(connection: ClientConnection, blocked_us: int) -> None:
+    if blocked_us > (LINGER_US if connection.lingering else UNREAD_US):
         connection.owner.engine.counts["unread"] += not connection.lingering
         connection.link.abortConnection()
-    elif connection.closing and stuck_us > (SLOW_READER_US if connection.output_full else LINGER_US):
-        connection.link.loseConnection()  # its client does not close
+    elif connection.closing and blocked_us > (SLOW_READER_US if connection.output_full else LINGER_US):
+        connection.link.loseConnection()  # the client has not closed its side
 
 
 def _due_us(connection: ClientConnection) -> int:
-    """Until when more of the request that is arriving must come."""
+    """Deadline for more of the request that is arriving."""
     since_us = connection.input.since_us
     if connection.head is not None:
         return body_due_us(since_us, connection.last_byte_us, connection.body_bytes)
-    # A first request that trickles in is owed its error by the time that a silent one is.
+    # A first request that trickles in gets its error no later than a silent connection is closed.
     return head_due_us(since_us if connection.requests_received else connection.opened_at_us)
 
 
 def priority_to_close(connection: ClientConnection, now_us: int) -> int:
-    """How readily it is closed for another: 0 not at all, 3 first."""
+    """Rank a connection for closing in favour of another: 0 never, 3 first."""
     if not connection.idle:
         return 0
     return closing_priority(now_us - connection.last_used_us, connection.requests_received)
--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: watches and polls the endpoint list when the policy says so."""
+"""The client of the discovery service: watches and polls the endpoint list as the policy requests."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from .node_state import NodeAddress
 
 PATH = "/catalog/members"
-LONG_CALL_US = 2_250_000  # a call that lasted so long and then fails was wait enough: the next follows soon
-SILENCE_CHECK_US = 20_000  # between looks for silence, at the least
-PUSHED_RETRY_US = 250_000  # until an agent is asked again, at most;
-PUSHED_RETRY_DIVISOR = 5  # no longer than this part of the time that drains leave
-ANSWER_TIMEOUT_US = 2_000_000  # until an answer begins: discovery handles calls one after another
+LONG_CALL_US = 2_250_000  # a failed call this long was delay enough: the policy's backoff starts again
+SILENCE_CHECK_US = 20_000  # shortest interval between checks for silence
+PUSHED_RETRY_US = 250_000  # longest delay before an agent is watched again
+PUSHED_RETRY_DIVISOR = 5  # that delay is also at most 1/5 of the drain grace
+ANSWER_TIMEOUT_US = 2_000_000  # until an answer starts: discovery handles calls one after another
 CONNECT_TIMEOUT_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoverySettings:
-    """Where discovery is, and how its lists are read.
+    """Address of discovery, and the names of zones and kinds in its lists.
 
-    Where ``pushed_grace_us`` is given, the time that drains leave, an agent beside us has the list pushed to
-    it.  What it has counts as notified from our first moment: it is asked for all of it, and until that is
-    there our list may be older than what binds us.
+    ``pushed_grace_us`` is the drain grace where an agent on the same host has the endpoint list pushed to it,
+    else None.  The gateway counts as notified of the agent's list from its own start.  So it requests the
+    full list, and until that is received its own list may be older than the one that binds it.
     """
 
     address: tuple[str, int]
@@ -43,7 +43,7 @@
 
 
 class DiscoveryClient:
-    """Reports each list, and each failure of a call once, to the engine."""
+    """Reports each endpoint list, and each failed call once, to the engine."""
 
     def __init__(
         self,
@@ -62,18 +62,18 @@
         self._update_addresses = update_addresses
         self._update_endpoints = update_endpoints
         self._revision = 0
-        self._members: dict[str, Any] = {}  # the list as it stands, in discovery's form
+        self._members: dict[str, Any] = {}  # the current list in discovery's JSON form, by id
         self._pushed = settings.pushed_grace_us is not None
-        # An agent answers at once and at no cost.  One that is silent has lost its own source, and what it
-        # gets when that returns counts at once too, so that a call must be open then, or follow soon.
+        # An agent answers at once and at no cost.  A silent agent has lost its own source, and the gateway
+        # counts as notified of a list as soon as the agent receives it: a call must be open then, or follow.
         self._pushed_retry_us = min(PUSHED_RETRY_US, (settings.pushed_grace_us or 0) // PUSHED_RETRY_DIVISOR)
-        self.up = False  # the list is as good as it can be: a watch has been answered
+        self.up = False  # a list was received or a watch answered: the list is up to date
         self._calls: set[DiscoveryCall] = set()
         self._dials: set[Deferred[Any]] = set()
         self._watching: DiscoveryCall | None = None
-        self._watch_wanted = False  # by the policy, though there may be none between two
+        self._watch_wanted = False  # by the policy; between two watches none is open
         self._silence_check: DelayedCall | None = None
-        self._retry: DelayedCall | None = None  # of a pushed list's watch
+        self._retry: DelayedCall | None = None  # of the watch on an agent
         self._closed = False
 
     def _set_address(self, address: tuple[str, int]) -> None:
@@ -81,7 +81,7 @@
         self.host = f"{address[0]}:{address[1]}"
 
     def change_names(self, zones: list[str], kinds: list[str]) -> None:
-        """Use other names of zones and kinds for the lists that come from now on."""
+        """Apply changed names of zones and kinds to the lists received from now on."""
         self._zones = zones
         self._kinds = kinds
 
@@ -89,10 +89,10 @@
         """The present time in microseconds."""
         return self._clock.now_us()
 
-    # ---- the list ----
+    # ---- the endpoint list ----
 
     def load_cached(self, data: Any) -> EndpointList:
-        """Take the list that the configuration or the process before brings, perhaps old.  Raises BadList."""
+        """Read a possibly outdated list, from the configuration or the previous process.  Raises BadList."""
         listed = read_list(data, self._zones, self._kinds)
         self._revision = 0 if self._pushed else listed.revision
         self._remember(data, True)
@@ -101,23 +101,23 @@
 
     @property
     def latest(self) -> dict[str, Any]:
-        """The list as it stands, for the next process of this gateway."""
+        """The current endpoint list in discovery's JSON form, for the next process of this gateway."""
         return {"revision": self._revision, "complete": True, "members": list(self._members.values())}
 
     def receive(self, data: Any, since: int = 0) -> int:
-        """Take a list, or what has changed after the revision ``since``; its revision.  Raises BadList."""
+        """Apply a full list, or the changes after ``since``; return its revision.  Raises BadList."""
         listed = read_list(data, self._zones, self._kinds)
         self.up = True
         if since <= listed.revision < self._revision:
-            return listed.revision  # another call overtook this one
-        # A watch comes in order.  Where its revision goes back, discovery has lost its own and counts anew:
-        # the change counts, and what changed before it is not known.
+            return listed.revision  # older than the list of another call
+        # The revisions of a watch increase.  A lower one means that discovery has lost its count and started
+        # over: this change is valid, but earlier changes may have been missed.
         restarted = listed.revision < since and not listed.complete
         self._revision = 0 if restarted else listed.revision
         self._remember(data, listed.complete)
         self._report(listed)
         if restarted:
-            raise BadList("its revisions begin anew: the full list is asked for")
+            raise BadList(f"revision {listed.revision} is below {since}: requesting the full list")
         return listed.revision
 
     def _remember(self, data: Any, complete: bool) -> None:
@@ -138,36 +138,36 @@
 
     @property
     def answer_timeout_us(self) -> int:
-        """How long a call may wait for its answer to begin."""
+        """Longest time until the answer to a call starts."""
         return self._pushed_retry_us if self._pushed else ANSWER_TIMEOUT_US
 
     def watch(self, on: bool) -> None:
-        """Follow the list, or no longer."""
+        """Start or stop watching the endpoint list."""
         self._watch_wanted = on
         if self._retry is not None and self._retry.active():
             self._retry.cancel()
         self._retry = None
         if self._closed:
             return
-        if on and self._watching is None:  # a change of address may have opened one already
+        if on and self._watching is None:  # else a change of address has opened one
             self._watching = self._call(f"{PATH}?follow=1&since={self._revision}", True)
         elif not on and self._watching is not None:
             self._drop(self._watching)
 
     def poll(self) -> None:
-        """Ask for the list once."""
+        """Request the full endpoint list once."""
         self._call(PATH, False)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Discovery is at another address from now on: ask there at once, not when the old one has closed.
+        """Move to another address of discovery and repeat the open calls there at once.
 
-        The end of what was open at the old address is no failure, so that the policy neither hears of one nor
-        waits before it asks again; and what is on its way from there no longer counts.
+        Calls to the old address end without a failure report, so the policy does not back off; data that
+        still arrives from there is ignored.
         """
         if address == self._address or self._closed:
             return
         self._set_address(address)
-        self._revision = 0  # another service may count its revisions from anywhere: the complete list
+        self._revision = 0  # revisions of another service are not comparable: request the full list
         polls = sum(not call.follow for call in self._calls)
         for call in list(self._calls):
             self._drop(call)
@@ -187,7 +187,7 @@
         return call
 
     def _drop(self, call: DiscoveryCall) -> None:
-        """End a call that is no longer wanted, without a report to the policy."""
+        """End a call without a report to the policy."""
         self._forget(call)
         call.drop()
 
@@ -200,11 +200,11 @@
         call.end(f"no connection: {failure.value!r}")
 
     def call_answered(self, call: DiscoveryCall) -> None:
-        """The answer of a call has begun."""
+        """The answer to a call has started."""
         self.up = self.up or (call.follow and not self._pushed)
 
     def call_ended(self, call: DiscoveryCall, reason: str) -> None:
-        """A call has ended; with a reason it is a failure."""
+        """A call has ended; a non-empty ``reason`` makes it a failure, which is logged and reported."""
         self._forget(call)
         if not reason or self._closed:
             return
@@ -214,8 +214,8 @@
                 self._pushed_retry_us, lambda: self.watch(self._watch_wanted)
             )
             return
-        if self.now() - call.begun_us >= LONG_CALL_US:
-            # An empty change: the policy counts failures from the first again.
+        if self.now() - call.started_us >= LONG_CALL_US:
+            # An empty change resets the policy's count of failures.
             self._update_endpoints(EndpointList(EndpointListKind.CHANGES, ()))
         self._update_endpoints(EndpointList(EndpointListKind.FAILED))
 
@@ -231,17 +231,17 @@
             self._silence_check = self._clock.call_later(delay_us, self._check_silence)
 
     def _check_silence(self) -> None:
-        """Silence on a connection that stays open is all there is to see of a machine that vanished."""
+        """End silent calls: a machine that vanished leaves its connections open."""
         self._silence_check = None
         now_us = self.now()
         for call in list(self._calls):
-            # After a standstill of the process what came meanwhile may not have been read yet.
+            # After a stall of this process there may be unread input.
             if now_us >= call.due_us and not (call.transport is not None and unread(call.link)):
                 call.end("silent")
         self._schedule_silence_check()
 
     def close(self) -> None:
-        """End all calls, and make no more."""
+        """End all calls and start no more."""
         self._closed = True
         if self._silence_check is not None and self._silence_check.active():
             self._silence_check.cancel()
--- a/gaugesail/http/discovery_call.py
+++ b/gaugesail/http/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call to discovery: a watch, whose answer stays open and brings a JSON object at a time, or a poll."""
+"""One call to discovery: a poll, or a watch whose answer stays open and carries JSON objects."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from .messages import BadMessage, Data, Head
 from .parser import Parser
 
-SILENCE_US = 4_500_000  # an empty line comes every 2 s; two missing ones and the watch is dead
-MAX_LINE = 4 * 1024 * 1024  # bytes; also of an object that goes over several lines
+SILENCE_TIMEOUT_US = 4_500_000  # discovery sends an empty line every 2 s; two missing ones end the watch
+MAX_LINE = 4 * 1024 * 1024  # bytes of a line, or of an object that spans several lines
 _JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class CallOwner(Protocol):
-    """What starts calls and hears what comes of them."""
+    """What a call needs of the client that started it, and reports to it."""
 
-    host: str  # of discovery, for the requests
+    host: str  # of discovery, for the Host header
 
     @property
     def answer_timeout_us(self) -> int:
-        """How long a call may wait for its answer to begin."""
+        """Longest time until the answer to a call starts."""
         ...
 
     def now(self) -> int:
@@ -35,61 +35,61 @@
         ...
 
     def call_answered(self, call: DiscoveryCall) -> None:
-        """Its answer has begun, and is none of an error."""
+        """The answer has started, with status 200."""
         ...
 
     def receive(self, data: Any, since: int = 0) -> int:
-        """Take a list, or what has changed after the revision ``since``; its revision.  Raises BadList."""
+        """Apply a full list, or the changes after ``since``; return its revision.  Raises BadList."""
         ...
 
     def call_ended(self, call: DiscoveryCall, reason: str) -> None:
-        """It has ended, with no reason where it did what it was for."""
+        """The call has ended; ``reason`` is empty if it succeeded."""
         ...
 
 
-class ObjectLines:
-    """Cuts a stream of lines into JSON objects, which may be indented and so go over several lines."""
+class JsonObjectSplitter:
+    """Splits a stream of lines into JSON objects, which may be indented and so span several lines."""
 
     def __init__(self) -> None:
         self._text = bytearray()
-        self._object = bytearray()  # lines of one that has begun
-        self._depth = 0  # brackets that are open in it
+        self._object = bytearray()  # the lines of an incomplete object
+        self._depth = 0  # open brackets in it
 
     def feed(self, data: bytes) -> None:
-        """Add bytes that have come; raises BadList where a line is too long."""
+        """Add received bytes.  Raises BadList if a line is longer than MAX_LINE."""
         self._text += data
         if len(self._text) > MAX_LINE:
-            raise BadList("a line is too long")
+            raise BadList(f"a line is longer than {MAX_LINE} bytes")
 
     def end_line(self) -> None:
-        """The stream has ended, perhaps without the end of its last line."""
+        """Terminate the last line at the end of the stream."""
         self._text += b"\n"
 
-    def rest(self) -> bytes:
-        """All that was fed, where it is not cut into lines."""
+    def remaining(self) -> bytes:
+        """Return all buffered bytes, for an answer that is not split into lines."""
         return bytes(self._text)
 
     def objects(self) -> Iterator[bytes]:
-        """The objects that are complete, and an empty one for each empty line between them."""
+        """Yield the complete objects, and an empty one for each empty line between them."""
         while (end := self._text.find(b"\n")) >= 0:
             line = bytes(self._text[:end]).strip()
             del self._text[: end + 1]
             if line:
                 self._add(line)
                 if self._depth <= 0:
-                    yield self._take()
+                    yield self._pop_object()
             elif not self._object:
                 yield b""
 
     def _add(self, line: bytes) -> None:
         self._object += line
         if len(self._object) > MAX_LINE:
-            raise BadList("an object is too long")
-        # No string of JSON goes over the end of a line, so that brackets are counted line by line.
+            raise BadList(f"an object is longer than {MAX_LINE} bytes")
+        # JSON strings contain no line breaks, so brackets can be counted line by line.
         bare = _JSON_STRING.sub(b"", line)
         self._depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
 
-    def _take(self) -> bytes:
+    def _pop_object(self) -> bytes:
         complete = bytes(self._object)
         self._object = bytearray()
         self._depth = 0
@@ -97,36 +97,40 @@
 
 
 class DiscoveryCall(Connection):
-    """One connection to discovery, for one call."""
+    """One call, on a connection of its own."""
 
     def __init__(self, owner: CallOwner, target: str, follow: bool) -> None:
         self._owner = owner
         self._target = target
-        self.follow = follow  # it is a watch
-        self.since = 0  # the revision that the next object of this watch follows on
+        self.follow = follow  # a watch, not a poll
+        self.since = 0  # the revision that the next changes of this watch are based on
         self._parser = Parser(answers=True, max_body=None)
-        self._lines = ObjectLines()
+        self._lines = JsonObjectSplitter()
         self.ended = False
         self._answered = False
-        self.begun_us = owner.now()
-        self.last_message_us = self.begun_us  # the last complete object or empty line, or the beginning
+        self.started_us = owner.now()
+        self.last_message_us = (
+            self.started_us
+        )  # when the last object or empty line was complete, or the call started
 
     @property
     def due_us(self) -> int:
-        """When it counts as silent.  Pieces of a line or an object say nothing: they may trickle for ever."""
-        return self.last_message_us + (SILENCE_US if self._answered else self._owner.answer_timeout_us)
+        """When the call counts as silent; incomplete lines and objects, which may trickle, do not count."""
+        return self.last_message_us + (
+            SILENCE_TIMEOUT_US if self._answered else self._owner.answer_timeout_us
+        )
 
     def connectionMade(self) -> None:
         """Send the request."""
         host = self._owner.host
-        if self.ended:  # given up while it was being dialled
+        if self.ended:  # ended during the dial
             self.link.abortConnection()
             return
         self.link.setTcpNoDelay(True)
         self.link.write(f"GET {self._target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the answer; what is malformed ends the call."""
+        """Read the answer; malformed input ends the call."""
         if self.ended:
             return
         self._answered = True
@@ -147,7 +151,7 @@
 
     def _head_received(self, head: Head) -> None:
         if head.status != 200:
-            raise BadList(f"status {head.status}")
+            raise BadList(f"expected status 200, received {head.status}")
         self._owner.call_answered(self)
 
     def _answer_complete(self) -> None:
@@ -156,7 +160,7 @@
             self._receive_objects()
             self.end("ended")
             return
-        text = self._lines.rest()
+        text = self._lines.remaining()
         if text.strip():
             self._owner.receive(json.loads(text))
         self.end("")
@@ -172,11 +176,11 @@
                 return
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Discovery has closed the connection, or we did."""
+        """The connection was closed or reset."""
         self.end("connection lost")
 
     def end(self, reason: str) -> None:
-        """End the call, once; an empty reason means that it did what it was for."""
+        """End the call and report it, once; an empty ``reason`` means success."""
         if self.ended:
             return
         self.drop()
--- a/gaugesail/http/endpoint_reader.py
+++ b/gaugesail/http/endpoint_reader.py
@@ -1,4 +1,4 @@
-"""Reads discovery's list: maps its JSON names to the records of the policy and of the node pool."""
+"""Reads discovery's JSON endpoint lists into the records of the policy and of the node pool."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 
 class BadList(ValueError):
-    """A list that does not follow discovery's form."""
+    """Malformed input of discovery, or a malformed address."""
 
 
 @dataclass(slots=True)
 class ListedEndpoints:
-    """A list, or changes to one, as discovery gives it."""
+    """A full endpoint list, or changes to one."""
 
     revision: int
     complete: bool
     endpoints: list[Endpoint] = field(default_factory=list)
-    addresses: dict[NodeId, NodeAddress | None] = field(default_factory=dict)  # None: gone
+    addresses: dict[NodeId, NodeAddress | None] = field(default_factory=dict)  # None: removed
 
 
 def split_address(text: object) -> tuple[str, int]:
-    """Host and port; the host is an address, as there is no DNS.  Raises BadList."""
+    """Split ``host:port``; the host must be an IPv4 address, as there is no DNS.  Raises BadList."""
     match = _ADDRESS.match(text) if isinstance(text, str) else None
     if match is None or int(match[2]) > MAX_PORT or any(int(byte) > 255 for byte in match[1].split(".")):
-        raise BadList(f"{text!r} is no address and port")
+        raise BadList(f"expected an IPv4 address and port, received {text!r}")
     return match[1], int(match[2])
 
 
 def read_list(data: Any, zones: list[str], kinds: list[str]) -> ListedEndpoints:
-    """Discovery's list; names of zones and kinds become their index, 0 for one that is not known.
+    """Read one of discovery's lists.  Zones and kinds become their index, 0 for an unknown name.
 
     Raises BadList.
     """
@@ -55,10 +55,10 @@
 def _read_member(member: Any, zones: list[str], kinds: list[str], listed: ListedEndpoints) -> None:
     node_id = str(member["id"]).encode()
     state = STATES[member["phase"]]
-    # Unix milliseconds; the gateway's clock counts Unix microseconds, so that 0, not known, stays 0.
+    # Unix milliseconds to the Unix microseconds of the gateway's clock; 0 (unknown) stays 0.
     started_us = int(member.get("up_since_ms", 0)) * 1000
-    gone = state is EndpointState.GONE  # it may have no address any more
-    host, port = ("", 0) if gone else split_address(member["host_port"])
+    removed = state is EndpointState.GONE  # it may have no address
+    host, port = ("", 0) if removed else split_address(member["host_port"])
     zone, kind, shard = member.get("locality", ""), member.get("flavor", ""), int(member["cell"])
     listed.endpoints.append(
         Endpoint(
@@ -72,4 +72,4 @@
         )
     )
     ready = state is EndpointState.READY
-    listed.addresses[node_id] = None if gone else NodeAddress(host, port, shard, ready, started_us)
+    listed.addresses[node_id] = None if removed else NodeAddress(host, port, shard, ready, started_us)
--- a/gaugesail/http/forwarded_request.py
+++ b/gaugesail/http/forwarded_request.py
@@ -1,4 +1,4 @@
-"""What a node is sent of a client's request; the payload of the engine's record of it."""
+"""A client's request in the form in which it is sent to a node; the payload of the engine's record."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from .staged_upload import StagedUpload
 
-# Fields of the one connection (RFC 9110 7.6.1), or that the gateway writes itself; all others are passed on,
-# as an Idempotency-Key, say, is the node's to read.
+# Connection-specific fields (RFC 9110 7.6.1), and fields that the gateway writes itself.  All others are
+# forwarded: nodes read fields that the gateway does not know, for example Idempotency-Key.
 NOT_FORWARDED = frozenset(
     {
         "connection",
@@ -37,22 +37,22 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """One request, with its body as far as it is held in memory."""
+    """One request, with the buffered part of its body."""
 
     method: str
     target: str
     request_id: str
     body: Body
-    fields: tuple[str, ...] = ()  # what else the client said, to be passed on as it is
-    upload: StagedUpload | None = None  # the transport's own: a large body on its way to a node
+    fields: tuple[str, ...] = ()  # further header lines, forwarded unchanged
+    upload: StagedUpload | None = None  # set by the transport for a large body
 
-    def head(self, host: str, left_us: int, length: int | None) -> bytes:
-        """The head for a node; without a length the body goes in chunks."""
+    def head(self, host: str, remaining_us: int, length: int | None) -> bytes:
+        """Return the head sent to a node, with the remaining time; a body without a length is chunked."""
         lines = [
             f"{self.method} {self.target} HTTP/1.1",
             f"Host: {host}",
             f"Request-Id: {self.request_id}",
-            f"Request-Timeout-Ms: {max(1, left_us // 1000)}",
+            f"Request-Timeout-Ms: {max(1, remaining_us // 1000)}",
             *self.fields,
         ]
         if length is None:
@@ -62,14 +62,14 @@
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
 
     def release(self) -> None:
-        """The request has its answer: what is held of it goes, and what has not run never will."""
+        """Free the body of a request that has its answer, and fail an upload that has not started to run."""
         self.body.release()
         if self.upload is not None:
             self.upload.fail()
 
 
 def forwarded_fields(headers: dict[str, str]) -> tuple[str, ...]:
-    """The lines of the headers that go on to a node."""
+    """Return the header lines that are forwarded to a node."""
     connection_options = headers.get("connection", "").lower().replace(" ", "").split(",")
     return tuple(
         f"{name}: {value}"
@@ -79,7 +79,7 @@
 
 
 def origin_form(target: str) -> str:
-    """A target without the scheme and host that clients may send before it, RFC 9112 3.2.2."""
+    """Convert an absolute-form target (RFC 9112 3.2.2) to origin form; others are returned unchanged."""
     match = _ORIGIN.match(target)
     if match is None:
         return target
--- a/gaugesail/http/head_reader.py
+++ b/gaugesail/http/head_reader.py
@@ -1,7 +1,7 @@
-"""Reads the head of a message: its start line, its headers, and how its body is framed.
+"""Parses the head of a message: start line, header fields and body framing.
 
-Strict about all that decides framing: what one party takes for the body another may take for the next
-request.  References are to RFC 9112.
+Everything that decides the framing is checked strictly: if two recipients disagree about where a body ends,
+one of them reads a part of it as the next request (request smuggling).  References are to RFC 9112.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from .messages import BadMessage, Head
 
 FRAMING_HEADERS = ("content-length", "transfer-encoding")
-SINGLE_HEADERS = ("host", "request-id")  # given twice, they must agree
+SINGLE_HEADERS = ("host", "request-id")  # repeated lines must have equal values
 
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*\Z")
@@ -21,7 +21,7 @@
 
 
 def read_head(lines: list[bytes], answer: bool, max_body: int | None) -> Head:
-    """The head of an answer or a request, from its lines; raises BadMessage."""
+    """Parse the lines of an answer's or a request's head; ``max_body`` is in bytes.  Raises BadMessage."""
     headers = _read_headers(lines[1:])
     head = _read_status_line(lines[0], headers) if answer else _read_request_line(lines[0], headers)
     _read_framing(head, answer, max_body)
@@ -33,20 +33,20 @@
     for line in lines:
         name, colon, value = line.partition(b":")
         value = value.strip(b" \t")
-        # A folded line starts with a space and so is no token; a bare CR or LF is in no value.
+        # A folded line starts with white space, which no token matches; VALUE matches no bare CR or LF.
         if not colon or not TOKEN.match(name) or not VALUE.match(value):
             raise BadMessage("bad header line")
         key = name.decode("ascii").lower()
-        # Names that a reader behind us might take for the framing, and the framing given twice.
+        # Reject names that a node might read as framing fields, and repeated framing fields.
         if key.replace("_", "-") in FRAMING_HEADERS and (key not in FRAMING_HEADERS or key in headers):
             raise BadMessage("doubled or misspelt framing")
         text = value.decode("latin-1")
-        headers[key] = _joined(key, headers[key], text) if key in headers else text
+        headers[key] = _combine(key, headers[key], text) if key in headers else text
     return headers
 
 
-def _joined(name: str, first: str, second: str) -> str:
-    """The value of a header that is given twice."""
+def _combine(name: str, first: str, second: str) -> str:
+    """Combine the values of a repeated header field; raises BadMessage where it may occur only once."""
     if name not in SINGLE_HEADERS:
         return first + ("; " if name == "cookie" else ", ") + second
     if first != second:
@@ -71,7 +71,7 @@
     words = line.split(b" ", 2)
     version = _VERSION.match(words[0])
     if version is None or len(words) < 2 or len(words[1]) != 3 or not _DIGITS.match(words[1]):
-        raise BadMessage("bad status line")
+        raise BadMessage("malformed status line, expected HTTP/1.0 or 1.1 and three digits")
     minor = version[1]
     return Head("", "", int(words[1]), headers, _keeps_alive(minor, headers), http_1_0=minor == b"0")
 
@@ -82,7 +82,7 @@
 
 
 def _read_framing(head: Head, answer: bool, max_body: int | None) -> None:
-    """How long the body is (6.3); what two parties could read differently is an error."""
+    """Determine the body length (6.3); ambiguous framing is an error."""
     coding = head.headers.get("transfer-encoding")
     length = head.headers.get("content-length")
     without_body = answer and (head.status in (204, 304) or head.status < 200)
--- a/gaugesail/http/idle_times.py
+++ b/gaugesail/http/idle_times.py
@@ -1,22 +1,22 @@
-"""Learned idle limits: for how long a node's connections may be idle and still be used.
+"""Learned idle limits: how long a connection to a node may be idle and still be used.
 
-Nodes close idle connections long before the time that the settings name, and not always so that we see it.
+Nodes close idle connections long before the timeout in the settings, and not always visibly to the gateway.
 """
 
 from __future__ import annotations
 
-FIRST_BUCKET_US = 10_000  # the first bucket is up to this idle time; each next one is twice as long
+FIRST_BUCKET_US = 10_000  # upper bound of the first bucket; each next bound is twice as high
 BUCKETS = 12
-ASSUMED_GOOD_USES = 10.0  # that each bucket starts with, so that a few resets decide nothing
-MAX_RESET_SHARE = 0.12  # of the uses in a bucket
-DECAY = 0.97  # at each sweep, four a second: half is forgotten in 6 s
+ASSUMED_GOOD_USES = 10.0  # added to each bucket, so that a few resets do not lower the limit
+MAX_RESET_SHARE = 0.12  # of the uses in a bucket, before its idle times are avoided
+DECAY = 0.97  # per sweep; at four sweeps a second the half-life is 6 s
 NO_LIMIT_US = 1 << 62
 
 
 class IdleTimes:
-    """How often a connection that is used again is reset at once, by how long it had been idle.
+    """How often a reused connection is reset at once, by the time for which it had been idle.
 
-    An idle time after which too many were reset is not used, nor is any longer one, until that is forgotten.
+    Idle times with too large a share of resets, and all longer ones, are avoided until the counts decay.
     """
 
     def __init__(self) -> None:
@@ -24,20 +24,20 @@
         self._resets = [0.0] * BUCKETS
 
     def record(self, idle_us: int, reset: bool) -> None:
-        """Enter a use of a connection that had been idle for so long, and whether it was reset at once."""
+        """Count one reuse after ``idle_us``; ``reset`` says whether the connection was reset at once."""
         bucket = min((idle_us // FIRST_BUCKET_US).bit_length(), BUCKETS - 1)
         self._uses[bucket] += 1
         self._resets[bucket] += reset
 
     def limit_us(self) -> int:
-        """The longest time that a connection may have been idle and still be used."""
+        """Return the longest idle time after which a connection may be used."""
         for bucket, (uses, resets) in enumerate(zip(self._uses, self._resets, strict=True)):
-            # The shortest is always used: what is reset even there is not reset for having been idle.
+            # The first bucket is always allowed: resets after so short a time have another cause.
             if bucket and resets / (uses + ASSUMED_GOOD_USES) > MAX_RESET_SHARE:
                 return FIRST_BUCKET_US << (bucket - 1)
         return NO_LIMIT_US
 
     def decay(self) -> None:
-        """Forget a part of what was recorded."""
+        """Reduce the counts by the decay factor."""
         self._uses = [uses * DECAY for uses in self._uses]
         self._resets = [resets * DECAY for resets in self._resets]
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -1,4 +1,4 @@
-"""The second address: operators' calls, one a connection, answered whatever clients do at the first."""
+"""The management address: operators' calls, one per connection, separate from the clients' connections."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from .messages import BadMessage, Data, Head
 from .parser import Parser
 
-MAX_CONNECTIONS = 16  # their descriptors are kept out of the clients' part
-ACCEPTS_PER_TURN = 4  # so that a flood of callers delays nobody for long
+MAX_CONNECTIONS = 16  # their descriptors are reserved, apart from those of clients
+ACCEPTS_PER_TURN = 4  # bounds the delay that a flood of callers causes
 MAX_HEAD_BYTES = 4096
 MAX_BODY_BYTES = 4096
-MAX_CALL_US = 10_000_000  # for a call to arrive, and for its caller to read the answer
+MAX_CALL_US = 10_000_000  # for the call to arrive and its answer to be read
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-REASONS = {413: "Content Too Large"}  # RFC 9110; the library's is older
+REASONS = {413: "Content Too Large"}  # RFC 9110; the standard library has an older phrase
 
 
 def answer_bytes(answer: CallAnswer, with_body: bool) -> bytes:
-    """An answer as it goes on the wire; without its body where the call was a HEAD."""
+    """Format an answer for the wire, without its body for a HEAD call."""
     status = HTTPStatus(answer.status)
     body = answer.text.encode() + b"\n" if with_body else b""
     allow = ""
@@ -38,14 +38,14 @@
 
 
 class CallConnection(Connection):
-    """One call and its answer."""
+    """A connection with one call and its answer."""
 
     def __init__(self, server: ManagementServer) -> None:
         self._server = server
         self._parser = Parser(answers=False, max_body=MAX_BODY_BYTES, max_head=MAX_HEAD_BYTES)
         self._head: Head | None = None
         self._answered = False
-        self.opened_at = server.clock.now_us()
+        self.opened_at_us = server.clock.now_us()
 
     def connectionMade(self) -> None:
         """Twisted: the connection is open."""
@@ -57,7 +57,7 @@
         self._server.closed(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes have come; what follows the one call is thrown away."""
+        """Twisted: parse the call; input after it is discarded."""
         if self._answered:
             return
         self._parser.feed(data)
@@ -67,10 +67,10 @@
             self._answer(CallAnswer(error.status if error.status < 500 else 400, str(error)))
         except StateNotKnown as error:
             self._answer(CallAnswer(HTTPStatus.SERVICE_UNAVAILABLE, str(error)))
-        except OSError as error:  # what cannot be kept for the next process is not done
+        except OSError as error:  # a state that cannot be stored for the next process is not applied
             self._server.log.error("state_not_written", error=repr(error))
             self._answer(CallAnswer(HTTPStatus.SERVICE_UNAVAILABLE, "cannot write it down"))
-        except Exception as error:  # a fault of ours: the caller is owed an answer all the same
+        except Exception as error:  # a fault of the gateway: the caller still gets an answer
             self._server.log.error("call_raised", error=repr(error))
             self._answer(CallAnswer(HTTPStatus.INTERNAL_SERVER_ERROR, "internal fault"))
 
@@ -88,12 +88,13 @@
         self._answered = True
         with_body = self._head is None or self._head.method != "HEAD"
         self.link.write(answer_bytes(answer, with_body))
-        # Only our side ends: with input unread a whole close would reset the connection under the answer.
+        # Close the sending side only: a full close with unread input would reset the connection and lose the
+        # answer.
         self.link.loseWriteConnection()
 
 
 class ManagementServer(Factory):
-    """Takes calls within descriptors of its own."""
+    """Accepts operators' calls, within a reserved number of descriptors."""
 
     noisy = False
 
@@ -104,28 +105,28 @@
         self._open: OrderedDict[CallConnection, None] = OrderedDict()
 
     def set_fleet_handler(self, call: FleetCall) -> None:
-        """Calls under /fleet go to the gateway's place in its fleet."""
+        """Set the handler of calls under /fleet."""
         self.calls.fleet = call
 
     def buildProtocol(self, addr: Any) -> CallConnection:
-        """Twisted: a caller has connected."""
+        """Twisted: create the protocol of a new connection."""
         return CallConnection(self)
 
     def opened(self, connection: CallConnection) -> None:
-        """Count a connection; beyond the most, the oldest goes."""
+        """Register a connection; above MAX_CONNECTIONS the oldest is aborted."""
         self._open[connection] = None
         if len(self._open) > MAX_CONNECTIONS:
-            # Callers that say nothing must not keep one out that asks at once.  The oldest counts no more:
-            # its descriptor is closed a turn later, and until then others come.
+            # Silent callers must not block others.  The oldest is unregistered here: its descriptor is closed
+            # a reactor turn later, and others may connect before that.
             self._open.popitem(last=False)[0].link.abortConnection()
 
     def closed(self, connection: CallConnection) -> None:
-        """A connection has ended."""
+        """Unregister a connection that has ended."""
         self._open.pop(connection, None)
 
     def sweep(self) -> None:
-        """End connections whose call has not come, or whose answer nobody has read, in time."""
-        now = self.clock.now_us()
+        """Abort connections whose call has not arrived, or whose answer was not read, in time."""
+        now_us = self.clock.now_us()
         for connection in list(self._open):
-            if now - connection.opened_at > MAX_CALL_US:
+            if now_us - connection.opened_at_us > MAX_CALL_US:
                 connection.link.abortConnection()
--- a/gaugesail/http/messages.py
+++ b/gaugesail/http/messages.py
@@ -1,14 +1,14 @@
-"""What an HTTP/1.1 message is made of, as the parser gives it, and the error for input that is none."""
+"""The parts of an HTTP/1.1 message as the parser returns them, and the error for malformed input."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_BUFFERED_BODY = 64 * 1024  # bytes; a longer body is passed on while it comes
+MAX_BUFFERED_BODY = 64 * 1024  # bytes; a longer body is streamed
 
 
 class BadMessage(Exception):
-    """The input is no message that may be acted on; ``status`` is what a client is answered."""
+    """The message is malformed or not acceptable; ``status`` and the text form the answer to a client."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -17,22 +17,22 @@
 
 @dataclass(slots=True)
 class Head:
-    """Start line and headers of one message; names of headers are lower case."""
+    """Start line and header fields of one message; field names are in lower case."""
 
-    method: str  # of a request
-    target: str  # of a request
-    status: int  # of an answer
+    method: str  # empty in an answer
+    target: str  # empty in an answer
+    status: int  # 0 in a request
     headers: dict[str, str]
     keep_alive: bool
-    length: int | None = None  # of the body, in bytes; None: chunked, or until the connection closes
+    length: int | None = None  # of the body in bytes; None: chunked, or until the connection is closed
     chunked: bool = False
     until_close: bool = False
-    http_1_0: bool = False  # which has no chunks
+    http_1_0: bool = False  # HTTP/1.0 has no chunked coding
 
 
 @dataclass(slots=True, frozen=True)
 class Data:
-    """A piece of a body."""
+    """Part of a body."""
 
     data: bytes
 
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a node: it carries one request at a time, and passes large answers on while they come."""
+"""One connection to a node: it carries one request at a time and streams large answers to the client."""
 
 from __future__ import annotations
 
@@ -20,53 +20,53 @@
 from .parser import Parser
 from .stream_handover import NodeStreamState
 
-MAX_INTERIM_ANSWERS = 8  # 1xx answers before the real one
-STALL_US = 500_000  # without a byte of an answer that has started: it never will be complete
-STREAM_STALL_US = 5_000_000  # the same of one that is passed on, while its client reads
-SLOW_US = 30_000  # an answer without a length that has come for so long with
-SLOW_BYTES = 8 * 1024  # at least so many bytes will be a large one
-STALE_US = 20_000  # a request that is reset so soon met a connection that was closed before
-READ_BYTES = 16 * 1024  # at once, and unwritten before a source is paused
+MAX_INTERIM_ANSWERS = 8  # 1xx answers before the final one
+STALL_US = 500_000  # longest gap between bytes of an answer that has started
+STREAM_STALL_US = 5_000_000  # the same for a streamed answer, while its client reads
+STREAM_AFTER_US = 30_000  # an answer without a length is streamed once it has taken longer than this
+STREAM_AFTER_BYTES = 8 * 1024  # and at least this much of it was received
+STALE_US = 20_000  # a reset sooner than this after the request: the node had closed the idle connection
+READ_BYTES = 16 * 1024  # per read, and per write buffer before its producer is paused
 
 
 class PushProducer(Protocol):
-    """What Twisted calls as the other side reads too slowly, or reads on."""
+    """Twisted's push producer: receives back-pressure from a transport."""
 
     def pauseProducing(self) -> None:
-        """Write no more for now."""
+        """Stop writing until resumed."""
         ...
 
     def resumeProducing(self) -> None:
-        """Write on."""
+        """Continue writing."""
         ...
 
     def stopProducing(self) -> None:
-        """The connection is lost."""
+        """Stop for good: the connection is lost."""
         ...
 
 
 class ConnectionOwner(Protocol):
-    """The pool that a connection belongs to."""
+    """What a connection needs of the pool that it belongs to."""
 
     clock: Clock
     buffers: BufferPool
     idle_times: IdleTimes
 
     def connection_freed(self, connection: NodeConnection) -> None:
-        """Its answer is complete, and it may be used again."""
+        """The answer is complete and the connection may be used again."""
         ...
 
     def connection_ended(self, connection: NodeConnection) -> None:
-        """It carries nothing any more; reported at least once."""
+        """The connection has ended; called at least once for each connection."""
         ...
 
     def finish(self, request: NodeRequest, result: AttemptResult, answer: bytes = b"") -> None:
-        """Report the result of what it carried."""
+        """Report the result of the request that the connection carried."""
         ...
 
 
 def result_of(head: Head) -> AttemptResult:
-    """The result that a complete answer stands for."""
+    """Return the attempt's result for the head of its answer."""
     if head.status == 200:
         return AttemptResult.SERVED
     if head.status in (503, 504) and head.headers.get("not-started") == "1":
@@ -75,39 +75,39 @@
 
 
 class NodeConnection(Connection):
-    """One connection to a node.  Bytes that come while no request is in flight on it close it."""
+    """One connection to a node.  Bytes received while no request is in flight close it."""
 
-    length: int | None = None  # of the answer that is passed on
+    length: int | None = None  # of the streamed answer, in bytes
 
     def __init__(self, pool: ConnectionOwner, node: NodeState, generation: int) -> None:
         self._pool = pool
         self.node = node
-        self.generation = generation  # of the node, when this was dialled
+        self.generation = generation  # of the node at the time of the dial
         self._parser = Parser(answers=True)
         self._request: NodeRequest | None = None
         self._head: Head | None = None
         self._body: Body | None = None
-        self._sink: BodySink | None = None  # where an answer goes that is passed on
-        self.written = False  # the last byte of the request has left
+        self._sink: BodySink | None = None  # of a streamed answer
+        self.written = False  # the last byte of the request was passed to the kernel
         self.lost = False
         self._paused = False
         self._first_pull = False
         self._interim_answers = 0
         self._first_byte_us = 0  # of the answer
-        self._last_byte_us = 0  # when its latest byte came
-        self._started_us = 0  # when a request last took this connection
-        self._idled_us = 0  # for how long it was idle before that
+        self._last_byte_us = 0  # of the answer, so far
+        self._started_us = 0  # when the latest request started
+        self._idle_before_us = 0  # idle time before the latest request
         self._used = False
         self.idle_since_us = 0
         self.usable_at_us = 0
 
     @property
     def attempt(self) -> Attempt | None:
-        """The attempt that it carries."""
+        """The attempt that the connection carries, if any."""
         return self._request.attempt if self._request is not None else None
 
     def connectionMade(self) -> None:
-        """Set the socket up."""
+        """Configure the socket."""
         self.link.setTcpNoDelay(True)
         self.link.bufferSize = READ_BYTES
 
@@ -115,69 +115,69 @@
 
     def start(self, request: NodeRequest, message: bytes) -> None:
         """Write a complete request."""
-        self._take(request)
+        self._assign(request)
         self._write_end(message)
 
     def start_upload(self, request: NodeRequest, head: bytes, producer: PushProducer) -> None:
-        """Write the head of a request whose body follows; the producer hears how the node reads."""
-        self._take(request)
+        """Write the head of a request whose body follows; ``producer`` receives the node's back-pressure."""
+        self._assign(request)
         self.link.write(head)
         self.link.registerProducer(producer, True)
 
     def finish_upload(self, request: NodeRequest, end: bytes) -> None:
-        """Write the end of a large request: from here on it is an attempt."""
+        """Write the end of a staged upload, which makes it an attempt."""
         self.link.unregisterProducer()
-        self._take(request)
-        self._idled_us = 0
+        self._assign(request)
+        self._idle_before_us = 0
         self._write_end(end)
 
     def drop_upload(self) -> None:
-        """Give up a staged upload that has no attempt yet."""
+        """Abort a staged upload that has no attempt yet."""
         if self._request is not None and self._request.upload is not None:
             self._end_with(AttemptResult.NO_CONNECTION)
 
-    def _take(self, request: NodeRequest) -> None:
+    def _assign(self, request: NodeRequest) -> None:
         self._request = request
         self.written = False
         self._interim_answers = 0
         self._first_byte_us = 0
         self._last_byte_us = 0
         self._started_us = self._pool.clock.now_us()
-        self._idled_us = self._started_us - self.idle_since_us
+        self._idle_before_us = self._started_us - self.idle_since_us
         if request.attempt is not None:
             request.attempt.connection = self
 
     def _write_end(self, last: bytes) -> None:
-        """Write the end of a request.  Where it does not leave at once, a pull producer hears when it has."""
+        """Write the end of a request; a pull producer reports when the kernel has taken a delayed rest."""
         self.written = send_now(self.link, last)
         if not self.written:
             self._first_pull = True
             self.link.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """All that was written has left."""
+        """The transport's buffer is empty."""
         if self._first_pull:
-            self._first_pull = False  # the call that registering makes
+            self._first_pull = False  # registering calls once, before anything was written
             return
         self.written = True
         self.link.unregisterProducer()
 
     def pauseProducing(self) -> None:
-        """Nothing more is written in any case."""
+        """Nothing to pause: the request is written."""
 
     def stopProducing(self) -> None:
-        """The connection is lost, which ``connectionLost`` hears too."""
+        """The connection is lost; ``connectionLost`` is called too."""
 
     # ---- answers ----
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the answer, or close the connection where there is none to read."""
+        """Read the answer; close the connection if none is expected."""
         if self._request is None:
-            self.abort()  # these bytes belong to no request
+            self.abort()  # unsolicited bytes
             return
         if not self.written:
-            # They answer something else, however good they look.  Our last byte now never leaves, so that the
-            # request has not run.
+            # Bytes received before the request's last byte was written answer something else, even if they
+            # are well formed.  The last byte is never written now, so the request has not run.
             self._end_with(AttemptResult.NO_CONNECTION)
             return
         self._last_byte_us = self._pool.clock.now_us()
@@ -200,7 +200,7 @@
                 elif self._head is not None and self._head.status >= 200:
                     self._answer_complete()
                 else:
-                    read_on = True  # the real answer may be right behind an interim one
+                    read_on = True  # the final answer may be buffered behind an interim one
                 if self._request is None:
                     return
 
@@ -209,10 +209,12 @@
         if head.status < 200:
             self._interim_answers += 1
         if self._interim_answers > MAX_INTERIM_ANSWERS or head.status == 101:
-            raise BadMessage("interim answers without end, or another protocol")
+            raise BadMessage(
+                f"more than {MAX_INTERIM_ANSWERS} interim answers, or a switch of protocol (101)"
+            )
         large = head.length is None or head.length > MAX_BUFFERED_BODY
         if head.status >= 200 and head.status != 200 and large:
-            self._end_with(result_of(head))  # only its status counts: there is no need to wait for the rest
+            self._end_with(result_of(head))  # only the status is used: do not wait for the body
 
     def _body_received(self, data: bytes) -> None:
         head = self._head
@@ -224,13 +226,17 @@
         if self._body is None:
             self._body = Body(self._pool.buffers)
         self._body.append(data)
-        # Small answers come within 20 ms, whatever their framing; what is larger is timed by its first bytes.
-        slow = self._last_byte_us - self._first_byte_us > SLOW_US and self._body.length >= SLOW_BYTES
+        # Small answers arrive within 20 ms, whatever their framing.  A larger one without a length is
+        # recognised by the time that its first bytes take.
+        slow = (
+            self._last_byte_us - self._first_byte_us > STREAM_AFTER_US
+            and self._body.length >= STREAM_AFTER_BYTES
+        )
         if (head.length or self._body.length) > MAX_BUFFERED_BODY or (head.length is None and slow):
             self._start_stream(head, self._body)
 
     def _start_stream(self, head: Head, body: Body) -> None:
-        """Pass an answer too large to hold on while it comes; no other attempt can follow."""
+        """Stream an answer that is too large to buffer; no further attempt is possible after that."""
         request = self._request
         received = body.read()
         body.release()
@@ -239,7 +245,7 @@
         sink = None
         if request is not None and request.attempt is not None and request.listener is not None:
             sink = request.listener.answer_started(request.attempt, self)
-        if sink is None:  # nobody waits for it any more
+        if sink is None:  # the request has ended
             self._end_with(AttemptResult.CANCELLED)
             return
         self._sink = sink
@@ -256,9 +262,9 @@
             body.release()
         self.resume()
         if self._used:
-            self._pool.idle_times.record(self._idled_us, False)
+            self._pool.idle_times.record(self._idle_before_us, False)
         self._used = True
-        # With more behind the answer than belongs to it, the connection is never used again.
+        # Bytes after the end of the answer make the connection unusable.
         if head.keep_alive and self._parser.between_messages and not self.lost:
             self._pool.connection_freed(self)
         else:
@@ -268,38 +274,38 @@
         self._pool.finish(request, result_of(head), answer)
 
     def stalled(self, now_us: int) -> bool:
-        """Whether an answer has started and will not become complete."""
+        """Whether an answer has started and then stopped for longer than the limit."""
         timeout_us = STALL_US if self._sink is None else STREAM_STALL_US
         return self._request is not None and not self._paused and 0 < self._last_byte_us < now_us - timeout_us
 
     def end_stalled(self) -> None:
-        """Give up an answer that has stalled."""
+        """End an attempt whose answer has stalled."""
         self._end_with(AttemptResult.ERROR)
 
-    # ---- the source of an answer that is passed on ----
+    # ---- source of a streamed answer ----
 
     def pause(self) -> None:
-        """The client reads no faster: neither do we."""
+        """Stop reading from the node, as the client reads more slowly."""
         if not self._paused and not self.lost:
             self._paused = True
             self.link.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading from the node."""
         if self._paused and not self.lost:
             self._paused = False
             self._last_byte_us = self._pool.clock.now_us()
             self.link.resumeProducing()
 
     def stop(self) -> None:
-        """The client has gone."""
+        """Cancel the attempt: the client has disconnected."""
         self._sink = None
         self._end_with(AttemptResult.CANCELLED)
 
-    # ---- the handover of an answer that is passed on ----
+    # ---- handover of a streamed answer ----
 
     def hand_over_stream(self) -> NodeStreamState:
-        """End it here, and return what another process needs to go on with it."""
+        """End the stream in this process and return the state from which another process continues it."""
         head, request = self._head, self._request
         assert head is not None and request is not None and request.attempt is not None
         state = NodeStreamState(
@@ -317,7 +323,7 @@
         return state
 
     def take_over_stream(self, state: NodeStreamState, attempt: Attempt, listener: AttemptListener) -> None:
-        """Go on where another process ended; ``stream_to`` follows once the connection is attached."""
+        """Continue a stream of another process; ``stream_to`` is called once the connection is attached."""
         now_us = self._pool.clock.now_us()
         self._request = NodeRequest(listener, attempt.node_id, now_us, now_us, attempt)
         attempt.connection = self
@@ -328,19 +334,19 @@
         self._parser.restore_state(state.parser)
 
     def stream_to(self, sink: BodySink) -> None:
-        """Pass on what comes from now on."""
+        """Write the answer to ``sink`` from now on."""
         self._sink = sink
         self._last_byte_us = self._pool.clock.now_us()
-        self.dataReceived(b"")  # what was left unread may be complete
+        self.dataReceived(b"")  # the handed over input may complete the answer
 
-    # ---- ends ----
+    # ---- end of the connection ----
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The node has closed or reset the connection, or we did."""
+        """The connection was closed or reset, by the node or by the gateway."""
         self.lost = True
         in_order = isinstance(reason.value, ConnectionDone)
         if self._request is not None and self._head is not None and self._head.until_close and in_order:
-            self._answer_complete()  # only an end in order, never a reset, completes such an answer
+            self._answer_complete()  # only an orderly close completes such an answer, never a reset
             return
         request, sink = self._request, self._sink
         self._request = self._sink = None
@@ -352,11 +358,11 @@
             return
         if self._used and not self._last_byte_us:
             stale = self._pool.clock.now_us() - self._started_us < STALE_US
-            self._pool.idle_times.record(self._idled_us, stale)
+            self._pool.idle_times.record(self._idle_before_us, stale)
         self._pool.finish(request, AttemptResult.RESET if self.written else AttemptResult.NO_CONNECTION)
 
     def abort(self) -> None:
-        """Drop the connection with what it carries, that within this call, as another attempt may follow."""
+        """Abort the connection and its request, the latter within this call as another attempt may follow."""
         carries = self._request is not None
         self._request = self._sink = None
         self._release_body()
@@ -369,7 +375,7 @@
             self.link.abortConnection()
 
     def _end_with(self, result: AttemptResult) -> None:
-        """End the connection, and with it the attempt: what comes can't be the answer."""
+        """End the connection and its request with ``result``; whatever arrives later is not an answer."""
         request, sink = self._request, self._sink
         self.abort()
         if sink is not None:
--- a/gaugesail/http/node_pool.py
+++ b/gaugesail/http/node_pool.py
@@ -1,6 +1,6 @@
-"""The node transport over HTTP: addresses by the latest list, and connections that are used again.
+"""The node transport over HTTP: addresses from the latest endpoint list, and a pool of reused connections.
 
-Each connection carries one request at a time; of the idle ones that are usable the latest used goes first.
+Each connection carries one request at a time.  Of the usable idle connections the latest used is taken first.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from .staged_upload import StagedUpload
 from .stream_handover import NodeStreamState
 
-IDLE_SHARE = 0.6  # of the time after which the other side closes; a request written then would be reset
-SETTLE_US = 5_000  # after an answer: what else comes then must not meet the next request
-MAX_DIALS = 8  # to one node at once
-HEALTH_CHECK_US = 250_000
+IDLE_SHARE = 0.6  # of the node's idle timeout: a request written as the node closes would be reset
+SETTLE_US = 5_000  # after an answer: surplus bytes must not be taken for the answer to the next request
+MAX_DIALS = 8  # concurrent dials per node
+HEALTH_CHECK_US = 250_000  # timeout of a health check
 
 
 class NodePool:
@@ -58,16 +58,16 @@
 
     @property
     def connections(self) -> int:
-        """How many there are to all nodes, those that are being dialled included."""
+        """Number of connections to all nodes, dials in progress included."""
         return sum(node.connections for node in self._nodes.values())
 
     def change_timeouts(self, idle_us: int, connect_timeout_us: int) -> None:
-        """Use other times: that after which nodes close idle connections, and that of a dial."""
+        """Set the nodes' idle timeout and the timeout of a dial, in microseconds."""
         self._idle_us = int(idle_us * IDLE_SHARE)
         self._connect_timeout_s = connect_timeout_us / 1e6
 
     def limit(self, connections: int) -> None:
-        """Set how many connections there may be; what is idle beyond that is closed."""
+        """Set the maximum number of connections; idle ones beyond it are closed."""
         self._max_connections = connections
         while self.connections > self._max_connections and self._close_longest_idle():
             pass
@@ -75,10 +75,10 @@
     # ---- the endpoint list ----
 
     def update_addresses(self, addresses: dict[NodeId, NodeAddress | None], full: bool) -> None:
-        """Take the latest list, or changes, which have None for a node that is gone.
+        """Apply a full endpoint list, or changes to it; None stands for a removed node.
 
-        A node that drains, goes, moves or restarts gets nothing that waits.  Ids are never used again:
-        what is gone is forgotten.
+        Pending requests to a node that drains, is removed, moves or restarts end.  Ids are never reused, so
+        removed nodes are forgotten.
         """
         if full:
             for node_id in [node_id for node_id in self._addresses if node_id not in addresses]:
@@ -101,21 +101,21 @@
             self._stop_waiting(node_id)
 
     def set_maintenance(self, node_id: NodeId, on: bool) -> None:
-        """Take a node out of use whatever the list says, or put it back.
+        """Start or end the maintenance of a node, which overrides the endpoint list.
 
-        What is in flight there may finish; what waits for it ends.
+        Requests in flight may finish; pending ones end.
         """
         (self._in_maintenance.add if on else self._in_maintenance.discard)(node_id)
         self._stop_waiting(node_id)
 
     def _usable_address(self, node_id: NodeId) -> NodeAddress | None:
-        """Where a node is, if it may be sent anything new."""
+        """Return the address of a node that may receive new requests, else None."""
         address = self._addresses.get(node_id)
         usable = address is not None and address.ready and node_id not in self._in_maintenance
         return address if usable else None
 
     def _stop_waiting(self, node_id: NodeId) -> None:
-        """Write nothing any more on the strength of the old address."""
+        """End the dials, idle connections and pending requests of a node's old address."""
         node = self._nodes.get(node_id)
         if node is None:
             return
@@ -127,14 +127,14 @@
         for connection in list(node.idle):
             connection.abort()
         for connection in list(node.busy):
-            connection.drop_upload()  # it has not begun to run
+            connection.drop_upload()  # it has not started to run
         for request in waiting:
             self.finish(request, AttemptResult.NO_CONNECTION)
 
     # ---- attempts, uploads and health checks ----
 
     def send(self, attempt: Attempt, listener: AttemptListener) -> None:
-        """Make an attempt; its end is reported to the listener."""
+        """Start an attempt; ``listener`` receives its result."""
         request = NodeRequest(listener, attempt.node_id, self.clock.now_us(), attempt.deadline_us, attempt)
         address = self._usable_address(attempt.node_id)
         if address is None:
@@ -144,11 +144,14 @@
         elif (upload := attempt.payload.upload) is None:
             self._enqueue(request)
         elif upload.request is None or upload.request.node_id != attempt.node_id or not upload.send(request):
-            # Its body is with another node, or gone with a connection: it can't be written there again.
+            # Its body was written to another node or to a lost connection, and is no longer buffered.
             self.finish(request, AttemptResult.NOT_STARTED)
 
     def stage_upload(self, node_id: NodeId, request: ClientRequest, source: BodySource) -> BodySink | None:
-        """Write a large request while it is received, short of its end; its client waits for a connection."""
+        """Write a large request to a node while it is received, all but its end.
+
+        The client is paused until there is a connection.  Returns None if the node may receive nothing new.
+        """
         if self._usable_address(node_id) is None:
             return None
         now_us = self.clock.now_us()
@@ -160,7 +163,7 @@
         return upload
 
     def check_health(self, node_id: NodeId, listener: AttemptListener) -> None:
-        """Ask a node whether it answers, within HEALTH_CHECK_US."""
+        """Send a health check, which ends with TIMEOUT after HEALTH_CHECK_US."""
         now_us = self.clock.now_us()
         request = NodeRequest(listener, node_id, now_us, now_us + HEALTH_CHECK_US)
         if self._usable_address(node_id) is None:
@@ -170,7 +173,7 @@
         self._enqueue(request)
 
     def abort(self, attempt: Attempt) -> bool:
-        """Abort an attempt without a report; whether its last byte had been written."""
+        """Abort an attempt without a report; return whether its last byte had been written."""
         connection = attempt.connection
         attempt.connection = None
         if isinstance(connection, NodeConnection):
@@ -182,14 +185,14 @@
         return False
 
     def cancel_unwritten(self, attempt: Attempt) -> bool:
-        """Abort an attempt whose last byte has not been written; whether it was aborted."""
+        """Abort an attempt if its last byte has not been written; return whether it was aborted."""
         connection = attempt.connection
         return isinstance(connection, NodeConnection) and not connection.written and not self.abort(attempt)
 
     def take_over(self, descriptor: int, fields: dict[str, Any], listener: AttemptListener) -> NodeConnection:
-        """Adopt a connection with a streamed answer on it, which another process of this gateway began.
+        """Adopt a connection on which another process of this gateway was streaming an answer.
 
-        Raises OSError where the node has gone meanwhile.
+        Raises OSError if the node has closed the connection.
         """
         state = NodeStreamState.from_json(fields)
         node_id = state.node_id.encode("latin-1")
@@ -221,7 +224,7 @@
             elapsed_us = self.clock.now_us() - request.created_us
             request.listener.health_check_ended(request.node_id, result, elapsed_us)
 
-    # ---- what waits for a connection ----
+    # ---- pending requests ----
 
     def _enqueue(self, request: NodeRequest) -> None:
         node = self._nodes.get(request.node_id)
@@ -231,7 +234,7 @@
         self._start_waiting(node)
 
     def _start_waiting(self, node: NodeState) -> None:
-        """Start what waits on usable connections; dial where there are too few."""
+        """Start pending requests on usable connections; dial if there are too few."""
         now_us = self.clock.now_us()
         while node.waiting:
             request = node.waiting[0]
@@ -239,19 +242,19 @@
                 node.waiting.popleft()
                 self.finish(request, AttemptResult.NOT_STARTED)
                 continue
-            connection = self._take_idle(node, now_us)
+            connection = self._pop_idle(node, now_us)
             if connection is None:
                 break
             node.waiting.popleft()
             self._start(connection, node, request)
         if node.waiting:
-            if node.idle and node.next_look is None:
+            if node.idle and node.wakeup is None:
                 wait_us = max(0, min(connection.usable_at_us for connection in node.idle) - now_us)
-                node.next_look = self.clock.call_later(wait_us, lambda: self._look_again(node))
+                node.wakeup = self.clock.call_later(wait_us, lambda: self._wake(node))
             self._dial(node)
 
-    def _take_idle(self, node: NodeState, now_us: int) -> NodeConnection | None:
-        """The latest used of the idle connections that are usable; those that are too old are closed."""
+    def _pop_idle(self, node: NodeState, now_us: int) -> NodeConnection | None:
+        """Return the latest used idle connection that is usable; close those that are idle for too long."""
         limit_us = min(self._idle_us, self.idle_times.limit_us())
         for connection in reversed(list(node.idle)):
             if connection.generation != node.generation or now_us - connection.idle_since_us >= limit_us:
@@ -261,12 +264,12 @@
                 return connection
         return None
 
-    def _look_again(self, node: NodeState) -> None:
-        node.next_look = None
+    def _wake(self, node: NodeState) -> None:
+        node.wakeup = None
         self._start_waiting(node)
 
     def _start(self, connection: NodeConnection, node: NodeState, request: NodeRequest) -> None:
-        """Check the address a last time before the first byte, as the node may drain by now, and write."""
+        """Check the address again, as the node may drain by now, and write the request."""
         address = self._usable_address(request.node_id)
         if address is None:
             connection.abort()
@@ -282,13 +285,13 @@
             connection.start(request, self._message(request, request.attempt, host))
 
     def _message(self, request: NodeRequest, attempt: Attempt, host: str) -> bytes:
-        """The complete message of an attempt, which starts now."""
+        """Report the attempt as started and return its complete message."""
         forwarded: ForwardedRequest = attempt.payload
         body = forwarded.body.read()
-        left_us = request.deadline_us - self.clock.now_us()
+        remaining_us = request.deadline_us - self.clock.now_us()
         if request.listener is not None:
             request.listener.attempt_started(attempt)
-        return forwarded.head(host, left_us, len(body)) + body
+        return forwarded.head(host, remaining_us, len(body)) + body
 
     # ---- dials ----
 
@@ -297,7 +300,7 @@
         if address is None or not self._needs_dial(node):
             return
         if self.connections >= self._max_connections and not self._close_longest_idle():
-            if not node.connections:  # none that it could wait for
+            if not node.connections:  # none could become free for it
                 self.finish(node.waiting.popleft(), AttemptResult.NO_CONNECTION)
             return
         generation = node.generation
@@ -312,17 +315,17 @@
         dialled.addErrback(self._dial_raised)
 
     def _needs_dial(self, node: NodeState) -> bool:
-        """Whether another connection to a node is needed, by the counts of its connections and requests."""
+        """Whether the pending requests need another connection to the node."""
         waiting, dials = len(node.waiting), len(node.dials)
         if self._closing or dials >= MAX_DIALS or dials >= waiting:
             return False
-        # One more than wait: where each is used again at once, the next would wait until it has settled.
+        # One spare connection: a request right after an answer would wait for the connection to settle.
         return dials + len(node.idle) <= waiting
 
     def _dialled(self, connection: NodeConnection, node: NodeState, dialled: Deferred[Any]) -> None:
         node.dials.discard(dialled)
         if connection.lost:
-            self._dial_gave_nothing(node)
+            self._dial_unsuccessful(node)
         elif connection.generation != node.generation or self._closing:
             connection.abort()
         else:
@@ -330,10 +333,10 @@
 
     def _dial_failed(self, failure: Failure, node: NodeState, dialled: Deferred[Any]) -> None:
         node.dials.discard(dialled)
-        self._dial_gave_nothing(node)
+        self._dial_unsuccessful(node)
 
-    def _dial_gave_nothing(self, node: NodeState) -> None:
-        """The request that has waited longest ends, where none of the connections left is for it."""
+    def _dial_unsuccessful(self, node: NodeState) -> None:
+        """End the oldest pending request if no dial or idle connection is left for it."""
         while node.waiting and node.waiting[0].obsolete:
             node.waiting.popleft()
         if len(node.waiting) > len(node.dials) + len(node.idle):
@@ -344,7 +347,7 @@
         self._log.error("dial_raised", error=repr(failure.value))
 
     def _close_longest_idle(self) -> bool:
-        """Close the longest idle connection of any node, to make room for a dial; whether there was one."""
+        """Close the longest idle connection of any node; return False if none is idle."""
         idle = [connection for node in self._nodes.values() for connection in node.idle]
         if not idle:
             return False
@@ -354,7 +357,7 @@
     # ---- connections ----
 
     def connection_freed(self, connection: NodeConnection) -> None:
-        """A connection settles after its answer; then the next request that waits takes it."""
+        """Make a connection idle, or close it if it may not be used again; usable after SETTLE_US."""
         node = connection.node
         node.busy.discard(connection)
         if connection.generation != node.generation or self._closing or connection.lost:
@@ -369,16 +372,16 @@
         self._start_waiting(connection.node)
 
     def connection_ended(self, connection: NodeConnection) -> None:
-        """A connection is closed; a request that waits may have waited for it."""
+        """Forget a closed connection; pending requests may need a new one."""
         node = connection.node
         node.busy.discard(connection)
         if connection in node.idle:
             node.idle.remove(connection)
-        if node.waiting and node.next_look is None:
-            node.next_look = self.clock.call_later(0, lambda: self._look_again(node))
+        if node.waiting and node.wakeup is None:
+            node.wakeup = self.clock.call_later(0, lambda: self._wake(node))
 
     def sweep(self) -> None:
-        """Close what has been idle for long, end answers that stall, and forget nodes that are gone."""
+        """Close connections idle for too long, end stalled answers and forget removed nodes."""
         now_us = self.clock.now_us()
         self.idle_times.decay()
         for node_id, node in list(self._nodes.items()):
@@ -391,7 +394,7 @@
                 del self._nodes[node_id]
 
     def close(self) -> None:
-        """Dial no more and close what is idle; what is in flight may finish."""
+        """Stop dialling and close idle connections; requests in flight may finish."""
         self._closing = True
         for node in self._nodes.values():
             for connection in list(node.idle):
--- a/gaugesail/http/node_request.py
+++ b/gaugesail/http/node_request.py
@@ -1,4 +1,4 @@
-"""What travels to a node on a connection of its own: an attempt, a staged upload, or a health check."""
+"""What one connection to a node carries at a time: an attempt, a staged upload or a health check."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class NodeRequest:
-    """An attempt, or a staged upload before its attempt; a health check where it is neither."""
+    """An attempt, or a staged upload before its attempt; a health check if both are None."""
 
     listener: AttemptListener | None  # None for a staged upload
     node_id: NodeId
@@ -27,9 +27,9 @@
 
     @property
     def obsolete(self) -> bool:
-        """Whether nothing of it may be written any more."""
+        """Whether the request has ended and must not be written."""
         return self.ended or (self.attempt is not None and self.attempt.ended)
 
     def may_start(self) -> bool:
-        """Whether the first byte may leave; that of a health check or a staged upload always may."""
+        """Whether its first byte may be written; always true for a health check and a staged upload."""
         return self.attempt is None or self.listener is None or self.listener.may_start(self.attempt)
--- a/gaugesail/http/node_state.py
+++ b/gaugesail/http/node_state.py
@@ -1,4 +1,4 @@
-"""What the node pool knows of one node: its address, its connections, and the requests that wait for one."""
+"""The node pool's records of one node: address, connections and pending requests."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 
 @dataclass(slots=True, eq=False)
 class NodeAddress:
-    """What the latest endpoint list says of one node."""
+    """One node in the latest endpoint list."""
 
     host: str
     port: int
     shard: int
     ready: bool
-    started_us: int  # when its process started, Unix microseconds; 0: not known
+    started_us: int  # start of its process in Unix microseconds; 0: unknown
 
 
 @dataclass(slots=True, eq=False)
 class NodeState:
-    """One node's connections, and what waits for one."""
+    """The connections of one node, and the requests that wait for one."""
 
     node_id: NodeId
     idle: list[NodeConnection] = field(default_factory=list)  # the latest used last
     busy: set[NodeConnection] = field(default_factory=set)
     waiting: deque[NodeRequest] = field(default_factory=deque)
     dials: set[Deferred[Any]] = field(default_factory=set)
-    next_look: DelayedCall | None = None  # at the waiting requests, when an idle connection is usable
-    generation: int = 0  # goes up when nothing may be written on the strength of the old address
+    wakeup: DelayedCall | None = None  # retries the waiting requests once an idle connection is usable
+    generation: int = 0  # increases when connections to the old address may no longer be used
 
     @property
     def connections(self) -> int:
-        """How many there are, those that are being dialled included."""
+        """Number of connections, dials in progress included."""
         return len(self.idle) + len(self.busy) + len(self.dials)
--- a/gaugesail/http/parser.py
+++ b/gaugesail/http/parser.py
@@ -1,4 +1,4 @@
-"""An incremental HTTP/1.1 parser for requests and answers, without I/O."""
+"""An incremental HTTP/1.1 parser for requests and answers.  It does no I/O; references are to RFC 9112."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from .head_reader import VALUE, read_head
 from .messages import BadMessage, Data, EndOfMessage, Head, Part
 
-MAX_HEAD = 16 * 1024  # bytes; also of a trailer
-MAX_BODY = 32 * 1024 * 1024
-MAX_CHUNK_LINE = 4096
+MAX_HEAD = 16 * 1024  # bytes of a header section, or of a trailer section
+MAX_BODY = 32 * 1024 * 1024  # bytes
+MAX_CHUNK_LINE = 4096  # bytes, chunk extensions included
 
 _CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,16}\Z")
 
 
 class _State(Enum):
-    """What the parser reads next; the values are handed over to the next process."""
+    """What the parser expects next; the values are part of the handover to another process."""
 
     HEAD = "head"
     FIXED_BODY = "fixed"
@@ -30,7 +30,7 @@
     END = "end"  # nothing: the message is complete
 
 
-# Names of the module, as a look-up in the enumeration costs more.
+# Module names: an attribute look-up on the enumeration costs more for each part.
 _HEAD = _State.HEAD
 _FIXED_BODY = _State.FIXED_BODY
 _BODY_UNTIL_CLOSE = _State.BODY_UNTIL_CLOSE
@@ -43,10 +43,13 @@
 
 
 class Parser:
-    """Takes bytes with ``feed`` and gives the parts of messages with ``parts``.
+    """Accepts bytes through ``feed`` and returns the parts of messages from ``parts``.
 
-    ``parts`` stops after an EndOfMessage, so that what follows waits for the next call; ``buffered`` tells
-    how much waits.  After BadMessage the parser must not be used again.
+    ``parts`` stops after EndOfMessage; the bytes of the next message stay buffered until the next call, and
+    ``buffered`` counts them.  After BadMessage the parser must not be used again.
+
+    ``answers`` selects answers instead of requests.  ``max_body`` (None: unlimited) and ``max_head`` are in
+    bytes.
     """
 
     def __init__(self, answers: bool, max_body: int | None = MAX_BODY, max_head: int = MAX_HEAD) -> None:
@@ -55,28 +58,28 @@
         self._max_head = max_head
         self._input = bytearray()
         self._state = _HEAD
-        self._remaining = 0  # bytes of the body or the chunk
-        self._body_bytes = 0  # read so far
-        self._trailer_bytes = 0  # read so far
-        self.bytes_fed = 0  # in all
+        self._remaining = 0  # bytes left of the body or the chunk
+        self._body_bytes = 0  # parsed so far
+        self._trailer_bytes = 0  # parsed so far
+        self.bytes_fed = 0  # in total
 
     @property
     def buffered(self) -> int:
-        """How many bytes wait to be read."""
+        """Number of bytes received but not parsed."""
         return len(self._input)
 
     @property
     def between_messages(self) -> bool:
-        """Whether neither a message nor the start of one is held."""
+        """Whether no message is in progress and no bytes are buffered."""
         return self._state is _HEAD and not self._input
 
     @property
     def bytes_read(self) -> int:
-        """How many of the bytes that were fed have been read."""
+        """Number of bytes parsed, of all that were fed."""
         return self.bytes_fed - len(self._input)
 
     def export_state(self) -> dict[str, Any]:
-        """Where it stands within a message, for another process to go on from."""
+        """Return the state as JSON values, from which another process continues."""
         return {
             "state": self._state.value,
             "left": self._remaining,
@@ -86,7 +89,7 @@
         }
 
     def restore_state(self, fields: dict[str, Any]) -> None:
-        """Go on from where the parser of another process stands."""
+        """Continue from a state that ``export_state`` returned in another process."""
         self._state = _State(fields["state"])
         self._remaining = int(fields["left"])
         self._body_bytes = int(fields["got"])
@@ -94,12 +97,12 @@
         self.feed(fields["input"].encode("latin-1"))
 
     def feed(self, data: bytes) -> None:
-        """Add bytes that have come."""
+        """Add received bytes to the input."""
         self.bytes_fed += len(data)
         self._input += data
 
     def parts(self) -> Iterator[Part]:
-        """The parts that have come, up to the end of a message; raises BadMessage."""
+        """Yield the parts received so far, up to the end of one message.  Raises BadMessage."""
         while True:
             if self._state is _HEAD:
                 head = self._read_head()
@@ -118,10 +121,10 @@
             elif not self._read_chunk_framing():
                 return
 
-    # ---- heads ----
+    # ---- header section ----
 
     def _read_head(self) -> Head | None:
-        while self._input.startswith(b"\r\n"):  # RFC 9112 2.2: empty lines before a request
+        while self._input.startswith(b"\r\n"):  # 2.2: ignore empty lines before a request
             del self._input[:2]
         end = self._input.find(b"\r\n\r\n", 0, self._max_head + 4)
         if end < 0:
@@ -144,7 +147,7 @@
             return _FIXED_BODY
         return _CHUNK_LINE if head.chunked else _BODY_UNTIL_CLOSE
 
-    # ---- bodies ----
+    # ---- body ----
 
     def _read_data(self) -> Data:
         size = len(self._input)
@@ -167,7 +170,7 @@
             raise BadMessage("the body is too long", 413)
 
     def _read_chunk_framing(self) -> bool:
-        """Read what stands between chunks, or a line of the trailer; whether it has come."""
+        """Read the framing between chunks or a trailer line; False if it is incomplete."""
         if self._state is _CHUNK_END:
             return self._read_chunk_end()
         if self._state is _CHUNK_LINE:
--- a/gaugesail/http/request_reader.py
+++ b/gaugesail/http/request_reader.py
@@ -1,7 +1,7 @@
-"""Reads a request's headers, by the names in the settings and within their bounds.
+"""Validates a client's header fields against the settings and builds the engine's request record.
 
-What a client writes goes into accounts that it shares with others: no figure is taken beyond what the
-settings allow.
+The values that a client states are charged to accounts that it shares with other clients, so values beyond
+the settings are rejected.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from .forwarded_request import ForwardedRequest, forwarded_fields
 from .messages import BadMessage, Head
 
-MAX_ID_LENGTH = 200
-MAX_DEADLINE_FACTOR = 2  # of its class's deadline: more time a client may not ask for
+MAX_ID_LENGTH = 200  # characters of a request id
+MAX_DEADLINE_FACTOR = 2  # of the class's deadline: the longest timeout that a client may request
 _HEX_64_BIT = re.compile(r"[0-9a-fA-F]{1,16}\Z")
 _BLOCK = re.compile(r"(?:^|;\s*)block=([^;]*)")
 _NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?\Z")
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class IoHeader:
-    """The fields of X-IO, as text that has the form of numbers."""
+    """The fields of the X-IO header, checked to be numbers but still text."""
 
     units: str
     gateways_in_use: str
@@ -35,7 +35,7 @@
 
 
 class RequestReader:
-    """Makes the engine's records of requests, under one set of settings."""
+    """Builds request records under one set of settings."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -44,7 +44,7 @@
         self._deadlines_us = [spec.deadline_us for spec in settings.classes]
 
     def read(self, head: Head, body: Body) -> ClientRequest:
-        """The request; raises BadMessage, which names the header that is missing or cannot be read."""
+        """Return the request of this head.  Raises BadMessage that names the missing or malformed header."""
         headers = head.headers
         client_request_id = headers.get("request-id", "")
         class_index = self._class_indexes.get(headers.get("request-class", ""))
@@ -76,7 +76,7 @@
     def _timeout_us(self, text: str | None, class_index: int) -> int:
         if text is not None and not (text.isascii() and text.isdigit() and len(text) <= 9):
             raise BadMessage("Request-Timeout-Ms is no whole number")
-        # Clients that write slowly may ask for a little more than the class's time.
+        # Clients that write slowly may request somewhat more time than the class has.
         timeout_us = self._deadlines_us[class_index] if text is None else int(text) * 1000
         if timeout_us > self._deadlines_us[class_index] * MAX_DEADLINE_FACTOR:
             raise BadMessage("Request-Timeout-Ms is beyond the class's")
@@ -92,7 +92,7 @@
 
 
 def _read_io(headers: dict[str, str]) -> tuple[IoHeader, str | None]:
-    """The fields of X-IO, and the block that the cookie names, in hexadecimal; None where it names none."""
+    """Return the fields of X-IO and the block in the cookie, in hexadecimal; None without a block."""
     fields = dict(field.strip().partition("=")[::2] for field in headers.get("x-io", "").split(","))
     io = IoHeader(
         fields.get("units", ""), fields.get("hosts", "1"), fields.get("shard", ""), fields.get("volume", "")
--- a/gaugesail/http/slow_readers.py
+++ b/gaugesail/http/slow_readers.py
@@ -1,4 +1,4 @@
-"""Bounds the memory that clients hold together which do not read as fast as their answers come."""
+"""Bounds the memory held by all clients that read more slowly than their answers arrive."""
 
 from __future__ import annotations
 
@@ -11,33 +11,34 @@
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
 
-MEMORY_DIVISOR = 2  # slow readers may hold this part of what buffers may hold
+MEMORY_DIVISOR = 2  # slow readers may hold 1/2 of the buffer pool's limit
 
 
 class SlowReaders:
-    """The connections whose output is full, in the order in which they became so."""
+    """The connections whose output is full, in the order in which it filled."""
 
     def __init__(self, pool: BufferPool) -> None:
         self._pool = pool
         self._unread_bytes: OrderedDict[ClientConnection, int] = OrderedDict()
 
     def add(self, connection: ClientConnection) -> None:
-        """A client does not read as fast as its answer comes, which ends nothing by itself."""
+        """Register a slow reader; being slow alone does not end a connection."""
         self._unread_bytes[connection] = connection.unread_bytes
 
     def remove(self, connection: ClientConnection) -> None:
-        """It reads again, or is gone."""
+        """Unregister a client that reads again or is lost."""
         self._unread_bytes.pop(connection, None)
 
-    def take_excess(self, now_us: int) -> ClientConnection | None:
-        """The one to cut off: that has read nothing for longest, where all together hold too much.
+    def pop_slowest(self, now_us: int) -> ClientConnection | None:
+        """Remove and return the connection to abort: the one that has read nothing for longest.
 
-        None where they don't, or where it has not been stuck for SLOW_READER_US.
+        None while all together hold less than the bound, or if that one has been blocked for less than
+        SLOW_READER_US.
         """
         if sum(self._unread_bytes.values()) <= self._pool.limit * self._pool.size // MEMORY_DIVISOR:
             return None
         slowest = next(iter(self._unread_bytes))
-        if not slowest.output_full or now_us - slowest.stuck_since_us <= SLOW_READER_US:
+        if not slowest.output_full or now_us - slowest.blocked_since_us <= SLOW_READER_US:
             return None
         del self._unread_bytes[slowest]
         return slowest
--- a/gaugesail/http/staged_upload.py
+++ b/gaugesail/http/staged_upload.py
@@ -1,6 +1,7 @@
-"""A large request that is written to a node while it is received, all but its end.
+"""A large request that is written to a node while it is received, except for its end.
 
-The end goes with the attempt, so that until then the node has not begun, and what is given up never ran.
+The end is written with the attempt.  Until then the node cannot start the request, so an upload that is
+abandoned has not run.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 
 class UploadState(Enum):
-    """How far a staged upload has come."""
+    """State of a staged upload."""
 
-    RECEIVING = "receiving"  # or complete, and waiting for its attempt
-    SENT = "sent"  # its end was written: it may run
-    BROKEN = "broken"  # it never will run
+    RECEIVING = "receiving"  # or received completely and waiting for its attempt
+    SENT = "sent"  # the end was written: the request may run
+    BROKEN = "broken"  # abandoned: the request cannot run
 
 
 class StagedUpload:
-    """The sink of a large request's body; it passes the node's back-pressure on to the client."""
+    """The sink of a large request's body; propagates the node's back-pressure to the client."""
 
     def __init__(
         self,
@@ -41,15 +42,15 @@
         self._source = source
         self._finish = finish
         self._connection: NodeConnection | None = None
-        self._held_back = b""  # the end of what has come
+        self._held_back = b""  # the end of the body: the last byte received, or the last chunk
         self._complete = False
         self._paused = False
-        self._waiting: NodeRequest | None = None  # the attempt, while the connection is dialled
+        self._waiting: NodeRequest | None = None  # the attempt, until there is a connection
         self._state = UploadState.RECEIVING
         self.request: NodeRequest | None = None
 
     def start(self, connection: NodeConnection, request: NodeRequest, host: str) -> None:
-        """Write on a connection what came until now, and let the client go on."""
+        """Write the head and the buffered body on ``connection``, and resume the client."""
         self._connection = connection
         body = self._forwarded.body
         head = self._forwarded.head(host, self._timeout_us, self._source.length)
@@ -62,27 +63,27 @@
         elif not (self._paused or self._complete):
             self._source.resume()
 
-    # ---- the transport tells how the node reads ----
+    # ---- back-pressure of the node ----
 
     def pauseProducing(self) -> None:
-        """The node reads no faster."""
+        """The node reads too slowly: pause the client."""
         self._paused = True
         if self._state is UploadState.RECEIVING and not self._complete:
             self._source.pause()
 
     def resumeProducing(self) -> None:
-        """The node reads on."""
+        """The node reads again: resume the client."""
         self._paused = False
         if self._state is UploadState.RECEIVING and not self._complete:
             self._source.resume()
 
     def stopProducing(self) -> None:
-        """The connection is lost, which its protocol hears too."""
+        """The connection is lost; its protocol's ``connectionLost`` is called too."""
 
     # ---- the client's side ----
 
     def write(self, data: bytes) -> None:
-        """Pass on the next bytes; without chunks the very last byte is held back."""
+        """Write the next bytes of the body; without chunks the last byte received is held back."""
         if self._state is not UploadState.RECEIVING or not data:
             return
         if self._connection is None:
@@ -94,13 +95,13 @@
             self._held_back = data[-1:]
 
     def finish(self) -> None:
-        """All has been received.  Its end is held back until the attempt."""
+        """Note that the body is complete; its end is held back until the attempt."""
         self._complete = True
         if self._source.length is None:
             self._held_back = END_OF_CHUNKS
 
     def fail(self) -> None:
-        """The client left, or the request has its answer: without its end it never ran."""
+        """Abandon the upload, as the client has disconnected or the request has its answer."""
         if self._state is not UploadState.RECEIVING:
             return
         self._state = UploadState.BROKEN
@@ -113,7 +114,7 @@
     # ---- the node's side ----
 
     def connection_lost(self) -> None:
-        """The node is gone, or does not take it: the client need not go on."""
+        """The connection is lost or there is none: stop the client, or end the waiting attempt."""
         if self._state is not UploadState.RECEIVING:
             return
         self._state = UploadState.BROKEN
@@ -123,7 +124,7 @@
             self._finish(self._waiting, AttemptResult.NO_CONNECTION)
 
     def send(self, attempt: NodeRequest) -> bool:
-        """Write its end, as the attempt: from here on it may run.  False where it can't be written."""
+        """Write the end of the body as the attempt; False if the upload is incomplete or abandoned."""
         if self._state is not UploadState.RECEIVING or not self._complete:
             return False
         if self._connection is None:
--- a/gaugesail/http/stream_handover.py
+++ b/gaugesail/http/stream_handover.py
@@ -1,4 +1,7 @@
-"""A streamed answer on its way from one process of a gateway to the next."""
+"""The state of a streamed answer that one process of a gateway hands over to the next.
+
+The JSON keys are read by other versions and must not change.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeStreamState:
-    """The node's side of a streamed answer."""
+    """State of the node connection."""
 
     node_id: str
     client_request_id: str
@@ -18,7 +21,7 @@
     parser: dict[str, Any]
 
     def to_json(self) -> dict[str, Any]:
-        """By the keys that every version reads."""
+        """Return the state under the keys that every version reads."""
         return {
             "node": self.node_id,
             "name": self.client_request_id,
@@ -30,7 +33,7 @@
 
     @classmethod
     def from_json(cls, fields: dict[str, Any]) -> NodeStreamState:
-        """What another process of this gateway handed over."""
+        """Read the state that another process of this gateway handed over."""
         return cls(
             str(fields["node"]),
             str(fields["name"]),
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientStreamState:
-    """The client's side of a streamed answer."""
+    """State of the client connection."""
 
     chunked: bool
     keep_alive: bool
@@ -52,7 +55,7 @@
     parser: dict[str, Any]
 
     def to_json(self) -> dict[str, Any]:
-        """By the keys that every version reads."""
+        """Return the state under the keys that every version reads."""
         return {
             "chunked": self.chunked,
             "keep": self.keep_alive,
@@ -63,7 +66,7 @@
 
     @classmethod
     def from_json(cls, fields: dict[str, Any]) -> ClientStreamState:
-        """What another process of this gateway handed over."""
+        """Read the state that another process of this gateway handed over."""
         return cls(
             fields["chunked"] is True,
             fields["keep"] is True,
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -210,7 +210,7 @@
         client = rig.client()
         health = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n" * 2000
         connection = None
-        while connection is None or not connection.input.cut:
+        while connection is None or not connection.input.truncated:
             client.send_available(health)
             rig.turn()
             connection = next(iter(rig.gateway.front._open), None)
@@ -229,7 +229,7 @@
         client.send(rig.request("first"))
         rig.turn(3)
         connection = list(rig.gateway.front._open)[-1]
-        while not connection.input.cut:
+        while not connection.input.truncated:
             client.send(refused * 16)  # as much as is read at once
             rig.turn()
         assert connection.input.parser.buffered % 1024 == 0
