--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -34,9 +34,8 @@
         self.input = ClientInput(owner)
         self.head: Head | None = None  # of the request that is arriving
         self._request: ClientRequest | None = None  # that is arriving or waits for its answer
-        self._request_id: int | None = (
-            None  # the engine's; 0: already answered there; None: no answer is pending
-        )
+        # The engine's; 0: already answered there; None: no answer is pending.
+        self._request_id: int | None = None
         self._upload: BodySink | None = None  # of a large body
         self.stream: AnswerStream | None = None  # a streamed answer
         self._keep_alive = True
@@ -153,9 +152,7 @@
         except PoolEmpty:
             engine.counts["no_buffers"] += 1
             self.fail_input(503, "no memory", retry_after_us)
-        except (
-            Exception
-        ) as error:  # a fault of the gateway: Twisted would close the connection without an answer
+        except Exception as error:  # a fault of the gateway: Twisted would close without an answer
             self.owner.log_fault(error)
             self.fail_input(500, "internal fault")
         finally:
--- a/gaugesail/http/node_pool.py
+++ b/gaugesail/http/node_pool.py
@@ -115,7 +115,7 @@
         return address if usable else None
 
     def _stop_waiting(self, node_id: NodeId) -> None:
-        """End the dials, idle connections and pending requests of a node's old address."""
+        """End the dials, idle connections, staged uploads and pending requests of a node's old address."""
         node = self._nodes.get(node_id)
         if node is None:
             return
--- a/tests/support/live_head.py
+++ b/tests/support/live_head.py
@@ -1,8 +1,8 @@
-"""A whole head on real sockets, turned by hand: each order of events is forced, none is hoped for.
+"""A complete gateway on real sockets with a manually iterated reactor: tests force the order of events.
 
-The reactor is the rig's own and never installed; its clock is the test's.  Peers are plain sockets that do
-one step when they are told to.  What is sent on loopback is there when ``send`` returns, so that a turn of
-the reactor finds it; ``until`` waits for a condition, within a bound.
+The reactor belongs to the rig and is never installed; its clock is set by the test.  Peers are plain sockets
+that act only when the test calls them.  Data sent on loopback has arrived when ``send`` returns, so the next
+iteration of the reactor finds it.  ``until`` waits for a condition, with a time limit.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class PeerSocket:
-    """One end of a connection: what came, and whether the other side ended it, and how."""
+    """One end of a connection: the input received, and whether and how the other side closed it."""
 
     def __init__(self, rig: ReactorRig, sock: socket.socket) -> None:
         self.rig, self.sock = rig, sock
@@ -41,7 +41,7 @@
         rig.connections.append(self)
 
     def send(self, data: bytes) -> None:
-        """All of it, turning the reactor where the other side has to read first."""
+        """Send all of ``data``, iterating the reactor while the other side has to read first."""
         view = memoryview(data)
         while view:
             try:
@@ -50,7 +50,7 @@
                 self.rig.turn()
 
     def send_available(self, data: bytes) -> int:
-        """As much as the kernel takes while nobody reads."""
+        """Send as much as the kernel accepts without blocking; return the number of bytes."""
         sent = 0
         try:
             while sent < len(data):
@@ -60,7 +60,7 @@
         return sent
 
     def read(self) -> bytes:
-        """All that has come."""
+        """Return all input received so far."""
         while not self.ended:
             try:
                 data = self.sock.recv(65536)
@@ -74,7 +74,7 @@
         return self.text
 
     def read_until(self, what: bytes) -> bytes:
-        """Wait for these bytes and return what came up to their end."""
+        """Wait for these bytes, then remove and return the input up to their end."""
         assert self.rig.until(lambda: what in self.read()), f"{what!r} is not in {self.text!r}"
         at = self.text.index(what) + len(what)
         found, self.text = self.text[:at], self.text[at:]
@@ -98,7 +98,7 @@
 
 
 class Listener:
-    """An address where something listens and accepts when it is told to."""
+    """A listening socket that accepts when the test calls it."""
 
     def __init__(self, rig: ReactorRig, at: tuple[str, int] = ("127.0.0.1", 0)) -> None:
         self.rig, self.listener = rig, socket.socket()
@@ -118,17 +118,17 @@
     def accept(self) -> PeerSocket:
         found: list[PeerSocket] = []
 
-        def came() -> bool:
+        def accepted() -> bool:
             if (end := self.accept_now()) is not None:
                 found.append(end)
             return bool(found)
 
-        assert self.rig.until(came), "nobody connected"
+        assert self.rig.until(accepted), "no connection arrived"
         return found[0]
 
 
 class NodePeer(Listener):
-    """A brick that holds every request until the test answers it."""
+    """A node that holds every request until the test answers it."""
 
     def __init__(self, rig: ReactorRig, shard: int) -> None:
         super().__init__(rig)
@@ -136,19 +136,19 @@
         self.connections: list[PeerSocket] = []
 
     def read_all(self) -> bytes:
-        """All that has come by any connection."""
+        """Return the input of all connections."""
         while (end := self.accept_now()) is not None:
             self.connections.append(end)
         return b"".join(end.read() for end in self.connections)
 
     def wait_for(self, name: str) -> PeerSocket:
-        """Wait for this request; the connection that it came by."""
+        """Wait for this request and return the connection that carries it."""
         wanted = b"Request-Id: %s\r\n" % name.encode()
-        assert self.rig.until(lambda: wanted in self.read_all()), f"{name} did not come"
+        assert self.rig.until(lambda: wanted in self.read_all()), f"{name} did not arrive"
         return next(end for end in self.connections if wanted in end.text)
 
     def received(self, name: str) -> int:
-        """How often a request with this id has come."""
+        """Number of requests received with this id."""
         return self.read_all().count(b"Request-Id: %s\r\n" % name.encode())
 
     def answer(self, name: str, body: bytes = b"ok") -> None:
@@ -169,7 +169,7 @@
 
 
 class ReactorRig:
-    """A reactor of its own, whose turns and clock are the test's."""
+    """A reactor whose iterations and clock the test controls."""
 
     def __init__(self) -> None:
         self.now = 1_000_000.0
@@ -203,14 +203,14 @@
         self.turn(2)
 
     def leap(self, seconds: float) -> None:
-        """The process stands still for so long: all that came meanwhile, and all timers, come at once."""
+        """Stall the process: input that arrived meanwhile and overdue timers are handled together."""
         self.now += seconds
 
     def close(self) -> None:
         for end in self.connections:
             end.sock.close()
-        for place in self.listeners:
-            place.listener.close()
+        for listener in self.listeners:
+            listener.listener.close()
         failure: Any = Failure
         lost = failure(ConnectionLost())
         for selectable in self.reactor.removeAll():
@@ -219,7 +219,7 @@
 
 
 class GatewayRig(ReactorRig):
-    """The head and its peers."""
+    """The gateway and its peers."""
 
     def __init__(self, **changes: str) -> None:
         super().__init__()
@@ -239,16 +239,16 @@
         self.gateway.stopped.addCallback(lambda _: self.stopped.append(self.now))
 
     def start(self) -> GatewayRig:
-        """Up to the first watch, with its list."""
+        """Start the gateway and send its first watch the endpoint list."""
         self.gateway.start()
         self.watch = self.accept_watch()
         self.watch.send(HEAD + self.list_chunk(True, self.nodes, 1))
         assert self.until(lambda: self.gateway.front.listening)
         return self
 
-    def accept_watch(self, place: Listener | None = None) -> PeerSocket:
-        """Wait for a watch to be opened; nothing is answered yet."""
-        end = (place or self.discovery).accept()
+    def accept_watch(self, listener: Listener | None = None) -> PeerSocket:
+        """Accept a watch and read its request, without an answer."""
+        end = (listener or self.discovery).accept()
         end.read_until(b"\r\n\r\n")
         return end
 
@@ -261,7 +261,7 @@
     def list_chunk(
         self, full: bool, members: list[NodePeer], revision: int, indent: int | None = None
     ) -> bytes:
-        """A chunk of a watch with this news."""
+        """Return a chunk of a watch with this endpoint list."""
         return chunk(json.dumps(self.endpoint_list(members, revision, full), indent=indent).encode() + b"\n")
 
     def drain(self, node: NodePeer, revision: int) -> bytes:
@@ -285,7 +285,7 @@
         return "\r\n".join(lines).encode() + b"\r\n" + more.encode() + b"\r\n" + body
 
     def pass_time(self, seconds: float) -> None:
-        """Time goes by; discovery says that nothing has changed."""
+        """Let time pass while discovery sends its empty lines."""
         end, beat = self.now + seconds, self.now
         while self.now < end:
             if self.now >= beat and hasattr(self, "watch") and not self.watch.closed():
@@ -306,7 +306,7 @@
 
 
 def served(rig: GatewayRig, name: str) -> bool:
-    """Whether a new request is sent to the brick now."""
+    """Whether the gateway sends a new request to the node, and its answer back."""
     client = rig.client()
     client.send(rig.request(name))
     rig.until(lambda: bool(rig.nodes[0].received(name)) or bool(client.read()), 1.0)
@@ -318,7 +318,7 @@
 
 
 class HeldDials:
-    """Connections to bricks come up when the test lets them."""
+    """Dials that complete only when the test releases them."""
 
     def __init__(self, monkeypatch: Any, module: Any = node_pool) -> None:
         self._dial = module.dial
@@ -334,7 +334,7 @@
         return made
 
     def release(self) -> None:
-        """Let all that wait come up, and all that follow."""
+        """Complete the held dials; later ones are not held."""
         self.on = False
         for made, args in self.held:
             if not made.called:
