--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A request whose client has left while it waited is not sent on, however it waits and however it left."""
+"""A pending request is not forwarded once its client has disconnected, whatever it waits for."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..support.live_head import STEP_S, GatewayRig, HeldDials, PeerSocket, chunk, gateway_rig
 
 Way = Callable[[GatewayRig, PeerSocket], None]
-BOUND_S = 0.3  # the outer bound of the operators
+BOUND_S = 0.3  # the operators' limit from the disconnect to the end of attempts
 
 
 def fin(rig: GatewayRig, client: PeerSocket) -> None:
@@ -33,7 +33,7 @@
 
 
 def buffered(rig: GatewayRig, client: PeerSocket) -> None:
-    """With more of its requests behind, which the head has and has not read."""
+    """Disconnect with pipelined requests, one read by the gateway and one unread."""
     client.send_available(rig.request("behind1"))
     rig.turn(2)
     client.send_available(rig.request("behind2"))
@@ -41,7 +41,7 @@
 
 
 def paused(rig: GatewayRig, client: PeerSocket) -> None:
-    """So much behind it that the head has stopped reading."""
+    """Disconnect behind so much input that the gateway has stopped reading."""
     client.send(rig.request("behind") * 100)
     rig.turn(5)
     client.fin()
@@ -59,8 +59,8 @@
     client.rst()
 
 
-def crammed(rig: GatewayRig, client: PeerSocket) -> None:
-    """So much that its end can't reach the head's machine before the head reads on."""
+def input_unsent(rig: GatewayRig, client: PeerSocket) -> None:
+    """Disconnect behind so much input that the FIN stays in the client's kernel until the gateway reads."""
     junk = rig.request("behind") * 8000
     for _ in range(50):
         client.send_available(junk)
@@ -68,12 +68,12 @@
     client.fin()
 
 
-WAYS: list[Way] = [fin, half, rst, buffered, paused, paused_half, paused_rst, crammed]
+WAYS: list[Way] = [fin, half, rst, buffered, paused, paused_half, paused_rst, input_unsent]
 every_way = pytest.mark.parametrize("way", WAYS, ids=lambda way: way.__name__)
 
 
 def fill(rig: GatewayRig, shard: int = 0) -> list[str]:
-    """All slots of a shard's node are taken."""
+    """Fill all slots of a shard's node; return the requests' ids."""
     names = [f"fill{n}" for n in range(4)]
     for name in names:
         rig.client().send(rig.request(name, shard=shard))
@@ -97,7 +97,7 @@
         assert not rig.nodes[0].received("behind")
 
 
-def test_a_burst_of_clients_leaves() -> None:
+def test_a_burst_of_clients_disconnects() -> None:
     with gateway_rig() as rig:
         names, clients = fill(rig), [rig.client() for _ in range(3 * len(WAYS))]
         for n, client in enumerate(clients):
@@ -114,7 +114,7 @@
 
 
 @every_way
-def test_waiting_for_a_further_attempt(way: Way) -> None:
+def test_waiting_for_another_attempt(way: Way) -> None:
     with gateway_rig() as rig:
         client = rig.client()
         client.send(rig.request("left"))
@@ -129,7 +129,7 @@
 
 
 @every_way
-def test_waiting_for_a_connection_that_is_coming_up(way: Way, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waiting_for_a_dial(way: Way, monkeypatch: pytest.MonkeyPatch) -> None:
     with gateway_rig(settings__permissions__connect_timeout_us="2000000") as rig:
         dials, client = HeldDials(monkeypatch), rig.client()
         client.send(rig.request("left"))
@@ -142,7 +142,7 @@
 
 
 @every_way
-def test_waiting_for_a_shard_that_is_away(way: Way) -> None:
+def test_waiting_for_a_shard_without_a_node(way: Way) -> None:
     with gateway_rig() as rig:
         node, client = rig.nodes[0], rig.client()
         rig.watch.send(rig.drain(node, 2))
@@ -158,16 +158,16 @@
 
 
 @pytest.mark.parametrize("way", [fin, half, rst, buffered], ids=lambda way: way.__name__)
-def test_waiting_at_the_door(way: Way) -> None:
-    """All places are in use, so that it waits in the kernel with what it has sent; then one comes free, and
-    its request and its end are found together."""
+def test_waiting_in_the_listen_backlog(way: Way) -> None:
+    """All connections are in use, so the client waits in the listen backlog.  Once one is free, the request
+    and the FIN are read together."""
     with gateway_rig(limits__sockets="48") as rig:
         front, node = rig.gateway.front, rig.nodes[0]
         warm = rig.client()
         warm.send(rig.request("warm"))
         node.answer("warm")
         others: list[PeerSocket] = []
-        while not front.held:  # with bodies that are still coming: none of these goes for another
+        while not front.held:  # with incomplete bodies, so that none is closed in favour of another
             others.append(rig.client())
             others[-1].send(rig.request(f"o{len(others)}", "write", body=b"half")[:-1])
             rig.turn(4)
@@ -183,8 +183,8 @@
         assert not node.received("left") and not node.received("behind1")
 
 
-def test_one_large_body_whole_but_waiting_is_not_ended_when_its_client_has_left() -> None:
-    """Its body is with the brick, all but the end, and the brick reads no more; then its client leaves."""
+def test_a_complete_large_upload_is_not_finished_after_its_client_disconnected() -> None:
+    """The node has the body except for its end and stops reading; then the client disconnects."""
     with gateway_rig() as rig:
         fill(rig)
         node, client = rig.nodes[0], rig.client()
@@ -195,7 +195,7 @@
             sent += client.send_available(body[sent : sent + 16384])
             rig.turn()
             if sent < len(body):
-                node.read_all()  # so far it reads
+                node.read_all()  # the node reads up to here
         rig.turn(4)
         client.rst()
         rig.pass_time(BOUND_S)
@@ -205,7 +205,7 @@
         assert node.read_all().count(b"b") < len(body) + 100 and b"b" * len(body) not in node.read_all()
 
 
-def test_a_client_that_sends_on_without_reading_takes_no_more_memory_than_it_may() -> None:
+def test_a_client_that_sends_without_reading_is_bounded_in_memory() -> None:
     with gateway_rig(limits__memory_mb="32") as rig:
         client = rig.client()
         health = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n" * 2000
@@ -215,13 +215,13 @@
             rig.turn()
             connection = next(iter(rig.gateway.front._open), None)
         assert connection.output_full and connection.input.parser.buffered < 300_000
-        rig.until(client.closed)  # what it may have is answered, and then it is told
+        rig.until(client.closed)  # requests within the bound are answered, then 429 follows
         assert client.text.count(b"200 OK") > 1000 and client.text.count(b"HTTP/1.1 429 ") == 1
         assert client.text.rindex(b"200 OK") < client.text.index(b"HTTP/1.1 429 ")
 
 
-def test_what_is_thrown_away_may_begin_between_two_requests() -> None:
-    """Where it begins the connection ends, though no part of a request is left there to be refused."""
+def test_discarded_input_may_begin_between_two_requests() -> None:
+    """The connection ends with 429 even if the kept input ends between two requests."""
     with gateway_rig() as rig:
         fill(rig)
         client, short = rig.client(), len(rig.request("x", shard=5, more="X-Pad: \r\n"))
@@ -230,7 +230,7 @@
         rig.turn(3)
         connection = list(rig.gateway.front._open)[-1]
         while not connection.input.truncated:
-            client.send(refused * 16)  # as much as is read at once
+            client.send(refused * 16)  # one read of the gateway
             rig.turn()
         assert connection.input.parser.buffered % 1024 == 0
         client.send(refused)
@@ -241,8 +241,8 @@
         assert client.text.count(b"HTTP/1.1 429 ") == 1
 
 
-def test_clients_that_stay_are_served_though_much_waits_behind_them() -> None:
-    """What was mended must not cost those that pipeline and stay."""
+def test_clients_that_pipeline_and_stay_are_served() -> None:
+    """The bounds on input must not affect clients that pipeline and stay connected."""
     with gateway_rig() as rig:
         names, client = fill(rig), rig.client()
         rest = [f"p{n}" for n in range(100)]
@@ -255,7 +255,7 @@
             client.read_until(b"\r\n\r\n" + name.encode())
 
 
-def test_a_reset_client_leaves_nothing_behind(recwarn: Any) -> None:
+def test_disconnected_clients_leave_no_request_and_no_connection(recwarn: Any) -> None:
     with gateway_rig() as rig:
         fill(rig)
         for way in WAYS:
@@ -269,7 +269,7 @@
 
 
 def warm(rig: GatewayRig, connections: int) -> None:
-    """So many connections to the first brick have rested and can be used at once."""
+    """Open this many connections to the first node, idle and settled."""
     names = [f"warm{n}" for n in range(connections)]
     for name in names:
         rig.client().send(rig.request(name))
@@ -280,8 +280,8 @@
     rig.pass_time(0.05)
 
 
-def with_its_end(rig: GatewayRig, client: PeerSocket, way: Way) -> None:
-    """Its request and its end are in the kernel when the head looks."""
+def send_and_disconnect(rig: GatewayRig, client: PeerSocket, way: Way) -> None:
+    """Send a request and disconnect before the gateway reads either."""
     client.send(rig.request("left"))
     way(rig, client)
 
@@ -290,8 +290,8 @@
 
 
 @AT_ONCE
-def test_found_with_its_end_in_the_turn_of_an_outcome(way: Way) -> None:
-    """The outcome makes the module's next turn due: the request waits for a look of its own all the same."""
+def test_read_with_its_fin_in_the_iteration_of_a_result(way: Way) -> None:
+    """The result makes the policy run at once; the request still waits for a poll of its socket."""
     with gateway_rig() as rig:
         warm(rig, 2)
         node, client = rig.nodes[0], rig.client()
@@ -299,18 +299,18 @@
         node.wait_for("first")
         rig.turn(2)
         node.answer("first")
-        with_its_end(rig, client, way)
+        send_and_disconnect(rig, client, way)
         rig.pass_time(0.3)
         assert not node.received("left")
 
 
 @AT_ONCE
-def test_found_with_its_end_as_a_deadline_runs_the_module(way: Way) -> None:
+def test_read_with_its_fin_as_a_deadline_runs_the_policy(way: Way) -> None:
     with gateway_rig() as rig:
         warm(rig, 2)
         client, engine = rig.client(), rig.gateway.engine
         rig.turn(2)
-        with_its_end(rig, client, way)
+        send_and_disconnect(rig, client, way)
         rig.turn()
         engine._deadlines.add(
             rig.clock.now_us() + 1, RequestDeadline(0)
@@ -321,19 +321,19 @@
 
 
 @AT_ONCE
-def test_found_with_its_end_as_a_list_runs_the_module(way: Way) -> None:
+def test_read_with_its_fin_as_an_endpoint_list_runs_the_policy(way: Way) -> None:
     with gateway_rig() as rig:
         warm(rig, 1)
         client = rig.client()
         rig.turn(2)
-        with_its_end(rig, client, way)
+        send_and_disconnect(rig, client, way)
         rig.watch.send(rig.list_chunk(False, rig.nodes, 2))
         rig.pass_time(0.3)
         assert not rig.nodes[0].received("left")
 
 
 @AT_ONCE
-def test_found_with_its_end_behind_a_further_request_as_its_slot_is_free(way: Way) -> None:
+def test_fin_behind_a_pipelined_request_as_its_slot_becomes_free(way: Way) -> None:
     with gateway_rig() as rig:
         fill(rig)
         node, client = rig.nodes[0], rig.client()
@@ -343,23 +343,23 @@
         client.send(rig.request("behind"))
         way(rig, client)
         rig.turn()
-        rig.leap(0.006)  # the connection has rested
+        rig.leap(0.006)  # the connection has settled
         rig.pass_time(0.3)
         assert not node.received("left")
 
 
 def step(rig: GatewayRig, turns: int) -> None:
-    """Turns that take a little time each."""
+    """Iterate the reactor with some time between iterations."""
     for _ in range(turns):
         rig.turn()
         rig.leap(0.001)
 
 
-def test_a_request_whose_client_stays_costs_no_call_to_the_system(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The look that it waits for serves all: no socket is asked for one request alone."""
-    asked: list[Any] = []
+def test_a_request_whose_client_stays_costs_no_system_call(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One poll serves all requests: no socket is polled for a single one."""
+    polled: list[Any] = []
     plain = net.hung_up
-    monkeypatch.setattr(net, "hung_up", lambda link: (asked.append(link), plain(link))[1])  # type: ignore[func-returns-value]
+    monkeypatch.setattr(net, "hung_up", lambda link: (polled.append(link), plain(link))[1])  # type: ignore[func-returns-value]
     with gateway_rig() as rig:
         warm(rig, 3)
         node, clients = rig.nodes[0], [rig.client() for _ in range(3)]
@@ -368,11 +368,11 @@
             node.wait_for(f"stays{n}")
             node.answer(f"stays{n}")
             clients[n % 3].read_until(b"\r\n\r\nok")
-        assert not asked
+        assert not polled
 
 
-def busy_as(rig: GatewayRig, neighbour: PeerSocket, meanwhile: Callable[[], None]) -> None:
-    """The loop handles what this neighbour sent for 0.15 s; what comes meanwhile is in the kernel alone."""
+def while_busy(rig: GatewayRig, neighbour: PeerSocket, meanwhile: Callable[[], None]) -> None:
+    """Let the reactor spend 0.15 s on a neighbour's input; other input stays in the kernel meanwhile."""
     port = neighbour.sock.getsockname()[1]
     connection = next(c for c in rig.gateway.front._open if c.link.getPeer().port == port)
     handle = connection.dataReceived
@@ -388,20 +388,20 @@
 
 
 @AT_ONCE
-def test_leaves_as_the_loop_is_busy_with_another_before_its_slot_is_free(way: Way) -> None:
+def test_disconnects_while_the_reactor_is_busy_before_its_slot_is_free(way: Way) -> None:
     with gateway_rig() as rig:
         fill(rig)
         node, client, neighbour = rig.nodes[0], rig.client(), rig.client()
         client.send(rig.request("left"))
         rig.pass_time(0.01)
         node.answer("fill0")
-        busy_as(rig, neighbour, lambda: way(rig, client))
+        while_busy(rig, neighbour, lambda: way(rig, client))
         rig.pass_time(0.3)
         assert not node.received("left")
 
 
 @AT_ONCE
-def test_leaves_as_the_loop_is_busy_with_another_before_its_further_attempt(way: Way) -> None:
+def test_disconnects_while_the_reactor_is_busy_before_its_next_attempt(way: Way) -> None:
     with gateway_rig() as rig:
         warm(rig, 2)
         node, client, neighbour = rig.nodes[0], rig.client(), rig.client()
@@ -410,25 +410,25 @@
         end.text = b""
         end.send(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
         rig.turn(3)
-        busy_as(rig, neighbour, lambda: way(rig, client))
+        while_busy(rig, neighbour, lambda: way(rig, client))
         rig.pass_time(1.0)
         assert not node.received("left")
 
 
 @AT_ONCE
-def test_leaves_as_the_loop_is_busy_with_another_before_its_connection_is_up(way: Way) -> None:
+def test_disconnects_while_the_reactor_is_busy_before_its_dial_completes(way: Way) -> None:
     with gateway_rig() as rig:
         client, neighbour = rig.client(), rig.client()
         rig.turn(2)
         client.send(rig.request("left"))
         step(rig, 3)
-        busy_as(rig, neighbour, lambda: way(rig, client))
+        while_busy(rig, neighbour, lambda: way(rig, client))
         rig.pass_time(0.3)
         assert not rig.nodes[0].received("left")
 
 
 @AT_ONCE
-def test_leaves_as_the_loop_is_busy_with_another_before_its_shard_is_back(way: Way) -> None:
+def test_disconnects_while_the_reactor_is_busy_before_its_shard_is_back(way: Way) -> None:
     with gateway_rig() as rig:
         warm(rig, 1)
         node, client, neighbour = rig.nodes[0], rig.client(), rig.client()
@@ -439,14 +439,14 @@
         node.phase = "Ready"
         rig.watch.send(rig.list_chunk(False, [node], 3))
         step(rig, 1)
-        busy_as(rig, neighbour, lambda: way(rig, client))
+        while_busy(rig, neighbour, lambda: way(rig, client))
         rig.pass_time(0.4)
         assert not node.received("left")
 
 
 @AT_ONCE
-def test_leaves_as_the_loop_is_busy_with_another_between_the_last_look_and_the_first_byte(way: Way) -> None:
-    """What the look found is true of the bytes only if these leave at once, not at the end of a long turn."""
+def test_disconnects_while_the_reactor_is_busy_between_the_last_poll_and_the_first_byte(way: Way) -> None:
+    """The poll before the first byte is valid only if the bytes are written at once."""
     with gateway_rig() as rig:
         warm(rig, 2)
         node, client, neighbour = rig.nodes[0], rig.client(), rig.client()
@@ -459,14 +459,14 @@
             seen.append(node.received("left"))
             way(rig, client)
 
-        busy_as(rig, neighbour, leave)
+        while_busy(rig, neighbour, leave)
         rig.pass_time(0.3)
         assert seen and node.received("left") == seen[0]
 
 
 @AT_ONCE
-def test_leaves_as_the_loop_is_busy_with_another_before_the_end_of_its_large_body(way: Way) -> None:
-    """It is with its brick, all but the end, and waits for a slot."""
+def test_disconnects_while_the_reactor_is_busy_before_the_end_of_its_large_body(way: Way) -> None:
+    """The node has the body except for its end; the request waits for a slot."""
     with gateway_rig() as rig:
         fill(rig)
         node, client, neighbour = rig.nodes[0], rig.client(), rig.client()
@@ -482,14 +482,14 @@
             way(rig, client)
 
         rig.turn()
-        busy_as(rig, neighbour, leave)
+        while_busy(rig, neighbour, leave)
         rig.pass_time(0.3)
         assert seen and node.read_all().count(b"b") == seen[0]
 
 
 @pytest.mark.parametrize("end", [fin, rst], ids=lambda end: end.__name__)
-def test_what_leaves_at_once_is_not_sent_into_a_connection_that_its_brick_has_closed(end: Way) -> None:
-    """The brick's end is in the kernel as the connection is taken: it is read first, and nothing was sent."""
+def test_a_request_is_not_written_to_a_connection_that_its_node_has_closed(end: Way) -> None:
+    """The node's FIN is in the kernel as its connection is taken: it is read first and nothing is written."""
     with gateway_rig() as rig:
         warm(rig, 1)
         node, client = rig.nodes[0], rig.client()
@@ -503,7 +503,7 @@
         client.read_until(b"\r\n\r\nok")
 
 
-def test_a_request_larger_than_the_system_takes_at_once_comes_whole() -> None:
+def test_a_request_larger_than_the_socket_buffer_arrives_complete() -> None:
     with gateway_rig() as rig:
         warm(rig, 1)
         node, client, body = rig.nodes[0], rig.client(), bytes(range(256)) * 255
@@ -512,15 +512,17 @@
         inside.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(rig.request("large", "write", body=body))
         rig.pass_time(0.02)
-        assert not inside.written, "all has left at once: the test forces nothing"
+        assert not inside.written, "all was written at once: the test forces nothing"
         assert rig.until(lambda: body in node.read_all()) and rig.until(lambda: inside.written)
         node.answer("large")
         client.read_until(b"\r\n\r\nok")
 
 
 @AT_ONCE
-def test_leaves_as_many_are_sent_in_one_turn_of_the_module(way: Way, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the module says at once is carried out one by one: each has its own last look."""
+def test_disconnects_while_several_requests_of_one_policy_run_are_sent(
+    way: Way, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Actions that the policy returns together are executed one by one, each after its own poll."""
     with gateway_rig() as rig:
         warm(rig, 4)
         node, clients, sent = rig.nodes[0], [rig.client() for _ in range(3)], list[bytes]()
@@ -528,13 +530,13 @@
         plain = net.send_now
 
         def slowly(link: Any, data: bytes) -> bool:
-            whole = plain(link, data)
+            complete = plain(link, data)
             sent.append(data)
             if len(sent) == 1:
                 for client in clients[1:]:
                     way(rig, client)
                 rig.leap(0.15)
-            return whole
+            return complete
 
         monkeypatch.setattr(node_connection, "send_now", slowly)
         for n, client in enumerate(clients):
@@ -548,12 +550,12 @@
 
 
 @pytest.mark.parametrize("sockets", ["1024", "72"])
-def test_under_load_no_attempt_begins_long_after_its_client_has_left(
+def test_under_load_no_attempt_starts_long_after_its_client_disconnected(
     sockets: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A flood of clients, of which many leave, and some that send megabytes, with places for all or not.
-    Turns of the loop last far longer than the bound, as each byte that is read takes its time by the rig's
-    clock; a close counts from the latest look before it."""
+    """A flood of clients of which many disconnect, and some that send megabytes, within the connection limit
+    or above it.  Iterations of the reactor last far longer than the bound, as each byte read takes time on
+    the rig's clock.  A disconnect counts from the latest poll before it."""
     rig, longest = GatewayRig(limits__sockets=sockets).start(), [0.0]
     read = ClientConnection.dataReceived
 
@@ -569,9 +571,9 @@
     health, chance = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n" * 1700, Random(3)
 
     def sent(link: Any, data: bytes) -> bool:
-        whole, name = plain(link, data), data.partition(b"Request-Id: ")[2].partition(b"\r\n")[0].decode()
+        complete, name = plain(link, data), data.partition(b"Request-Id: ")[2].partition(b"\r\n")[0].decode()
         began.setdefault(name, rig.clock.now_us())
-        return whole
+        return complete
 
     monkeypatch.setattr(node_connection, "send_now", sent)
     loud, served, number = [rig.client() for _ in range(4)], 0, 0
@@ -616,8 +618,8 @@
 
 
 @pytest.mark.parametrize("way", [fin, half, rst], ids=lambda way: way.__name__)
-def test_leaves_while_its_request_is_still_being_written(way: Way) -> None:
-    """A node counts an attempt from its last byte: what is not with it by then does not go on."""
+def test_disconnects_while_its_request_is_being_written(way: Way) -> None:
+    """An attempt counts from its last byte: one that is not written completely is aborted."""
     with gateway_rig() as rig:
         warm(rig, 1)
         node, client, body = rig.nodes[0], rig.client(), b"b" * 65_000
@@ -626,11 +628,11 @@
         inside.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(rig.request("left", "write", body=body))
         rig.pass_time(0.02)
-        assert not inside.written, "all has left at once: the test forces nothing"
+        assert not inside.written, "all was written at once: the test forces nothing"
         way(rig, client)
         rig.pass_time(0.1)
         assert rig.until(lambda: node.connections[0].closed() or body in node.read_all(), 1.0)
         assert body not in node.read_all() and rig.gateway.engine.counts["attempt_not_started"] == 1
-        again = rig.client()  # its id and its slot are free again
+        again = rig.client()  # id and slot are free again
         again.send(rig.request("left"))
         node.wait_for("left")
--- a/tests/http/test_connection_edges.py
+++ b/tests/http/test_connection_edges.py
@@ -1,4 +1,4 @@
-"""Bytes in the very moment in which a connection is shut or closed; messages in every form, bit by bit."""
+"""Input that arrives as a connection is shut down or closed; every message form in pieces of one byte."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-def at_once(end: PeerSocket) -> PeerSocket:
-    """Its small writes are sent when they are made."""
+def no_delay(end: PeerSocket) -> PeerSocket:
+    """Send small writes at once (TCP_NODELAY)."""
     end.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return end
 
 
 def reset(end: PeerSocket) -> bool:
-    """Behind an end in order a reset is seen by asking alone."""
+    """Whether the connection was reset; a reset after an orderly close is only visible in SO_ERROR."""
     return end.was_reset or bool(end.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
 
 
@@ -32,7 +32,7 @@
 
 
 def served(rig: GatewayRig, name: str = "first") -> PeerSocket:
-    """A client whose connection rests after one request."""
+    """Return a client whose connection is idle after one request."""
     client = rig.client()
     client.send(rig.request(name))
     rig.nodes[0].answer(name)
@@ -41,11 +41,11 @@
     return client
 
 
-# ---- a client's connection as it is shut ----
+# ---- shutdown of a client connection ----
 
 
-def test_a_request_that_comes_as_its_idle_connection_is_shut_is_neither_sent_on_nor_reset() -> None:
-    """It was looked at and nothing lay unread; the request comes before the system hears of the end."""
+def test_a_request_that_arrives_as_its_idle_connection_is_shut_down_is_neither_forwarded_nor_reset() -> None:
+    """The poll found nothing unread; the request arrives before the shutdown of the socket."""
     with gateway_rig() as rig:
         client = served(rig)
         (connection,) = rig.gateway.front._open
@@ -57,9 +57,9 @@
 
 
 @pytest.mark.parametrize("after", [0.05, 1.0, 3.0])
-def test_bytes_behind_the_last_answer_do_not_reset_it(after: float) -> None:
-    """An answer ends its connection; its client reads slowly and has sent on meanwhile.  What of the answer
-    is still in our kernel must reach it."""
+def test_input_after_the_last_answer_does_not_reset_it(after: float) -> None:
+    """The answer ends its connection while the client reads slowly and keeps sending.  The part that is still
+    in the gateway's kernel must reach the client."""
     with gateway_rig() as rig:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -78,8 +78,8 @@
         assert rig.until(client.closed, 3.0) and not client.was_reset and not rig.nodes[0].received("b")
 
 
-def test_a_request_that_is_read_after_the_shutdown_is_not_sent_on() -> None:
-    """Its client was told of an error, and sends on."""
+def test_a_request_read_after_the_shutdown_is_not_forwarded() -> None:
+    """The client got an error and keeps sending."""
     with gateway_rig() as rig:
         client = rig.client()
         client.send(b"NOISE\r\n\r\n")
@@ -89,7 +89,7 @@
         assert client.closed() and not client.was_reset and not rig.nodes[0].received("after")
 
 
-def test_a_connection_that_was_shut_ends_though_its_client_never_closes() -> None:
+def test_a_connection_that_was_shut_down_ends_though_its_client_never_closes() -> None:
     with gateway_rig() as rig:
         client = served(rig)
         rig.gateway.stop()
@@ -98,28 +98,28 @@
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.003, 0.05])
-def test_clients_send_on_every_connection_that_stays_open_up_to_the_kill(gap: float) -> None:
-    """One request at a time: each has its answer, or its connection ended in order before it was read."""
+def test_clients_send_on_open_connections_until_the_kill(gap: float) -> None:
+    """Each request gets its answer, or its connection is closed in order before the request is read."""
     with gateway_rig() as rig:
         clients = [served(rig, f"first{n}") for n in range(4)]
-        asked, answered = dict[PeerSocket, int](), 0
+        pending, answered = dict[PeerSocket, int](), 0
         rig.gateway.stop()
         began, number = rig.now, 0
         while rig.now - began < KILL_S and not rig.stopped:
             for client in clients:
-                if client in asked and b"\r\n\r\nok" in client.read():
+                if client in pending and b"\r\n\r\nok" in client.read():
                     answered += 1
                     client.text = b""
-                    del asked[client]
-                if client not in asked and not client.ended:
-                    # Without a look at what has come: its end may be on the way.
+                    del pending[client]
+                if client not in pending and not client.ended:
+                    # Without reading first: a FIN may be on its way.
                     try:
                         client.sock.send(rig.request(f"n{number}"))
                     except OSError:
                         client.ended = True
                         continue
-                    asked[client], number = number, number + 1
-            for n in list(asked.values()):
+                    pending[client], number = number, number + 1
+            for n in list(pending.values()):
                 if rig.nodes[0].received(f"n{n}"):
                     rig.nodes[0].answer(f"n{n}")
             rig.turn(2)
@@ -127,7 +127,7 @@
             rig.now += 0.002
         rig.pass_time(0.1)
         assert rig.stopped and answered >= 4
-        for client, n in asked.items():
+        for client, n in pending.items():
             text = client.read()
             assert b"\r\n\r\nok" in text or (client.ended and not client.was_reset), (n, text)
             assert b"\r\n\r\nok" in text or not rig.nodes[0].received(f"n{n}")
@@ -136,7 +136,7 @@
 # ---- TCP_NODELAY ----
 
 
-def test_no_connection_holds_small_writes_back() -> None:
+def test_all_connections_set_tcp_nodelay() -> None:
     with gateway_rig() as rig:
         client = served(rig)
         (ours,) = rig.gateway.front._open
@@ -147,14 +147,14 @@
             assert link.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY), link
 
 
-def test_a_connection_that_was_handed_over_holds_no_small_writes_back() -> None:
+def test_a_connection_that_was_handed_over_sets_tcp_nodelay() -> None:
     from gaugesail.net import attach
 
     with gateway_rig() as rig:
-        place = Listener(rig)
+        listener = Listener(rig)
         for made in (rig.gateway.front.buildProtocol(None),):
-            far = socket.create_connection(place.listener.getsockname())
-            near = place.accept()
+            far = socket.create_connection(listener.listener.getsockname())
+            near = listener.accept()
             attach(rig.reactor, near.sock.detach(), made)
             assert made.link.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             far.close()
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("unread", [True, False])
-def test_its_bytes_and_the_reset_found_in_one_turn_are_no_answer(unread: bool) -> None:
+def test_bytes_and_a_reset_found_in_one_iteration_are_no_answer(unread: bool) -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -196,7 +196,7 @@
         assert b"whole" not in client.read_until(b"\r\n\r\nagain")
 
 
-def test_an_answer_with_no_length_is_served_at_its_end_in_order() -> None:
+def test_an_answer_with_no_length_is_served_after_an_orderly_close() -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("way", ["fin", "rst"])
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_a_large_one_that_is_passed_on_ends_for_its_client_as_it_ended(way: str, version: bytes) -> None:
+def test_a_streamed_answer_ends_for_its_client_as_the_node_ended_it(way: str, version: bytes) -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a").replace(b"HTTP/1.1", b"HTTP/" + version, 1))
@@ -220,15 +220,15 @@
         getattr(end, way)()
         rig.pass_time(0.1)
         text = client.read()
-        whole = text.endswith(b"0\r\n\r\n") if version == b"1.1" else client.ended and not client.was_reset
-        assert whole == (way == "fin")
+        complete = text.endswith(b"0\r\n\r\n") if version == b"1.1" else client.ended and not client.was_reset
+        assert complete == (way == "fin")
         if way == "rst":
             assert client.was_reset
 
 
 @pytest.mark.parametrize("way", ["fin", "rst"])
-def test_its_end_while_the_client_reads_nothing(way: str) -> None:
-    """Reading it is paused: a reset is found by its end alone, an end in order behind all its bytes."""
+def test_a_streamed_answer_ends_while_its_client_reads_nothing(way: str) -> None:
+    """Reading from the node is paused: a reset is detected at once, a FIN only behind all its bytes."""
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -246,11 +246,11 @@
         getattr(end, way)()
         rig.pass_time(0.3)
         rig.until(lambda: client.closed() or client.text.endswith(b"\r\n0\r\n\r\n"), 20.0)
-        whole = client.text.endswith(b"\r\n0\r\n\r\n") and client.text.count(b"p") == sent
-        assert whole == (way == "fin") and client.was_reset == (way == "rst")
+        complete = client.text.endswith(b"\r\n0\r\n\r\n") and client.text.count(b"p") == sent
+        assert complete == (way == "fin") and client.was_reset == (way == "rst")
 
 
-# ---- every form, in pieces of one byte ----
+# ---- message forms in pieces of one byte ----
 
 FIELDS = (
     b"Request-Id: %b\r\nRequest-Class: read\r\nX-Plan: basic\r\nCookie: block=1\r\n"
@@ -286,8 +286,8 @@
 @pytest.mark.parametrize("form", sorted(REQUESTS))
 def test_a_request_in_pieces_of_one_byte(form: str) -> None:
     with gateway_rig() as rig:
-        client, node = at_once(rig.client()), rig.nodes[0]
-        for name in ("a", "b"):  # and the next one on the same connection
+        client, node = no_delay(rig.client()), rig.nodes[0]
+        for name in ("a", "b"):  # then another request on the same connection
             for byte in REQUESTS[form] % name.encode():
                 client.send(bytes([byte]))
                 rig.turn()
@@ -307,7 +307,7 @@
         client, node = rig.client(), rig.nodes[0]
         for name in ("a", "b"):
             client.send(rig.request(name))
-            end = at_once(node.wait_for(name))
+            end = no_delay(node.wait_for(name))
             end.text = b""
             for byte in ANSWERS[form]:
                 assert not client.read()
@@ -318,12 +318,12 @@
             rig.pass_time(0.02)
 
 
-# ---- too late ----
+# ---- late events ----
 
 
 @pytest.mark.parametrize("half", [0, 20])
-def test_an_answer_long_after_reaches_nobody(half: int) -> None:
-    """Its request was answered long ago; part of it may have come before."""
+def test_a_late_answer_is_discarded(half: int) -> None:
+    """The request was answered long before; a part of the node's answer may have arrived in time."""
     with gateway_rig(settings__categories__0__effect="fragile") as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -333,7 +333,7 @@
         client.read_until(b"HTTP/1.1 5")
         rig.pass_time(4.0)
         before = client.read()
-        assert end.closed(), "the attempt is still out"
+        assert end.closed(), "the attempt is still in flight"
         client.send(rig.request("b"))
         assert node.wait_for("b") is not end
         node.answer("b", b"b!")
@@ -341,12 +341,12 @@
 
 
 def test_a_reload_followed_by_a_drain() -> None:
-    """The new discovery tells a drain with its first list, and another one right behind it."""
+    """The new discovery sends its list, and a drain right after it."""
     with gateway_rig() as rig:
-        client, node, place = rig.client(), rig.nodes[0], Listener(rig)
-        config: dict[str, Any] = rig.config | {"discovery": place.address}
+        client, node, listener = rig.client(), rig.nodes[0], Listener(rig)
+        config: dict[str, Any] = rig.config | {"discovery": listener.address}
         rig.gateway.reload_from(lambda: configuration.read(config, {}))
-        rig.watch = rig.accept_watch(place)
+        rig.watch = rig.accept_watch(listener)
         rig.watch.send(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + rig.list_chunk(True, [node], 1)
         )
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -1,7 +1,8 @@
-"""Told after 6 s: whatever calls to discovery come to, the list is fresh 6 s after it could be had.
+"""The gateway counts as notified of a change after 6 s, so its endpoint list must be up to date 6 s after
+discovery can be reached, whatever calls failed before.
 
-The first part forces each chain on real sockets, always with the latest draw of the module's jitter; the
-second plays drawn ones in virtual time.
+The first part forces each chain of failures on real sockets, always with the longest jitter of the policy.
+The second part plays random chains in virtual time.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
 from ..support.gateway_driver import settings as driver_settings
 from ..support.live_head import HEAD, GatewayRig, Listener, PeerSocket, chunk, gateway_rig, served
 
-TOLD_S = 6.0
-ANSWER_S = 2.0  # that a call may wait until its answer begins
-SOON_S = 1.0  # that is left for the answer at least, where a call was given up halfway
+NOTIFIED_S = 6.0
+ANSWER_S = 2.0  # longest time until the answer to a call starts
+SOON_S = 1.0  # time left for the answer if a call was ended halfway
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 PUSHED = {"settings__discovery": "push"}
 
 
 class LatestDraw(random.Random):
-    """Each wait is as long as it may be drawn."""
+    """Draws the longest possible delay."""
 
     def random(self) -> float:
         return 1 - 1e-9
@@ -50,23 +51,23 @@
 
 
 def failing(rig: GatewayRig, times: int = 6) -> None:
-    """So many calls in a row are turned away at once; the watch that was open is reset."""
+    """Reset the open watch, then reject this many calls in a row at once."""
     rig.watch.rst()
     for _ in range(times):
         rig.accept_watch().send(UNAVAILABLE)
 
 
 def wait(rig: GatewayRig, seconds: float, done: Callable[[], bool] = lambda: False) -> bool:
-    """Nobody says anything for so long, or until then."""
+    """Let time pass without input from discovery, until ``done``."""
     return rig.until(done, seconds)
 
 
-def told_by(rig: GatewayRig, again: PeerSocket, reachable: float, answer: float) -> None:
-    """The call is answered after so long, with a drain, and that is in time."""
+def assert_notified(rig: GatewayRig, again: PeerSocket, reachable: float, answer: float) -> None:
+    """Answer the call after ``answer`` seconds with a drain, and check that this is in time."""
     wait(rig, answer)
     again.send(HEAD + rig.drain(rig.nodes[0], 2))
     rig.turn(3)
-    assert rig.now - reachable < TOLD_S
+    assert rig.now - reachable < NOTIFIED_S
     assert not served(rig, "after")
 
 
@@ -75,27 +76,27 @@
     rig.gateway.reload_from(lambda: configuration.read(fresh, {}))
 
 
-# ---- the sum of what a head waits ----
+# ---- the sum of the gateway's delays ----
 
 
 def test_a_call_that_hangs_after_many_failures() -> None:
-    """Discovery can be reached from the moment in which a call has just hung itself up."""
+    """Discovery becomes reachable just after a call has started to hang."""
     with gateway_rig() as rig:
         failing(latest(rig))
         rig.accept_watch()  # never answered
         reachable = rig.now
-        told_by(rig, rig.accept_watch(), reachable, ANSWER_S - 0.1)
+        assert_notified(rig, rig.accept_watch(), reachable, ANSWER_S - 0.1)
 
 
-def test_many_refusals_at_once_and_then_a_call_that_waits_for_its_answer() -> None:
+def test_many_rejections_at_once_and_then_a_call_that_waits_for_its_answer() -> None:
     with gateway_rig() as rig:
         failing(latest(rig))
         reachable = rig.now
-        told_by(rig, rig.accept_watch(), reachable, ANSWER_S - 0.1)
+        assert_notified(rig, rig.accept_watch(), reachable, ANSWER_S - 0.1)
 
 
 def test_a_dial_that_hangs_after_many_failures() -> None:
-    """The queue of the listening port is full, so that the system answers no SYN."""
+    """The accept queue of the listening port is full, so the kernel answers no SYN."""
     with gateway_rig() as rig:
         failing(latest(rig), 5)
         rig.discovery.listener.listen(0)
@@ -106,11 +107,11 @@
         rig.discovery.listener.listen(64)
         again = rig.accept_watch()
         filler.close()
-        told_by(rig, again, reachable, ANSWER_S - 0.1)
+        assert_notified(rig, again, reachable, ANSWER_S - 0.1)
 
 
-def test_a_watch_that_falls_silent_after_calls_had_failed_and_nothing_had_changed() -> None:
-    """A watch that says only that nothing has changed is a good one: the failures before it are past."""
+def test_a_watch_that_falls_silent_after_failed_calls_and_no_change() -> None:
+    """A watch with only empty lines is successful and resets the count of failures."""
     with gateway_rig() as rig:
         failing(latest(rig))
         watch = rig.accept_watch()
@@ -120,11 +121,11 @@
         silent = rig.now
         again = rig.accept_watch()
         assert watch.closed()
-        told_by(rig, again, silent, SOON_S)
+        assert_notified(rig, again, silent, SOON_S)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_only_says_that_nothing_has_changed_stays(pushed: bool) -> None:
+def test_a_watch_with_only_empty_lines_stays(pushed: bool) -> None:
     with gateway_rig(**PUSHED if pushed else {}) as rig:
         rig.pass_time(30.0)
         assert not rig.watch.closed() and rig.discovery.accept_now() is None
@@ -133,7 +134,7 @@
         assert not served(rig, "after")
 
 
-def test_a_watch_on_which_changes_come_and_no_empty_line_stays() -> None:
+def test_a_watch_with_changes_and_no_empty_line_stays() -> None:
     with gateway_rig() as rig:
         for revision in range(2, 8):
             rig.watch.send(rig.list_chunk(False, rig.nodes, revision))
@@ -141,18 +142,18 @@
         assert not rig.watch.closed() and rig.discovery.accept_now() is None
 
 
-# ---- what comes in pieces ----
+# ---- input in pieces ----
 
 
 def trickle(rig: GatewayRig, end: PeerSocket, data: bytes, gap: float) -> float:
-    """A byte at a time until the head gives the connection up; how long that took."""
+    """Send a byte at a time until the gateway ends the connection; return the seconds that this took."""
     began = rig.now
     for at in range(len(data)):
         if end.closed():
             return rig.now - began
         end.send(data[at : at + 1])
         wait(rig, gap, end.closed)
-    raise AssertionError("it was not given up")
+    raise AssertionError("the connection was not ended")
 
 
 TEXT = json.dumps({"revision": 2, "complete": False, "members": ["x" * 200]}).encode()
@@ -175,7 +176,7 @@
         watch = rig.accept_watch()
         reachable = rig.now
         trickle(rig, watch, data, gap)
-        told_by(rig, rig.accept_watch(), reachable, SOON_S)
+        assert_notified(rig, rig.accept_watch(), reachable, SOON_S)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -188,16 +189,16 @@
         changed = rig.now
         trickle(rig, rig.watch, chunk(TEXT), 1.0)
         again = rig.accept_watch()
-        if pushed:  # one that was not answered at once has been given up, and another follows
+        if pushed:  # a call that was not answered at once has ended, and another follows
             again.send(HEAD + rig.drain(rig.nodes[0], 2))
             rig.turn(3)
-            assert rig.now - changed < TOLD_S - SOON_S and not served(rig, "after")
+            assert rig.now - changed < NOTIFIED_S - SOON_S and not served(rig, "after")
         else:
-            told_by(rig, again, changed, SOON_S)
+            assert_notified(rig, again, changed, SOON_S)
 
 
 @pytest.mark.parametrize("line", [b"\n", b" \r\n", b'"x",\n'])
-def test_lines_that_come_while_an_object_is_never_closed(line: bytes) -> None:
+def test_lines_within_an_object_that_is_never_closed(line: bytes) -> None:
     with gateway_rig() as rig:
         latest(rig)
         rig.watch.send(chunk(b'{"revision": 2, "complete": false, "members": [\n'))
@@ -207,15 +208,15 @@
                 break
             rig.watch.send(chunk(line))
             wait(rig, 0.5, rig.watch.closed)
-        told_by(rig, rig.accept_watch(), changed, SOON_S)
+        assert_notified(rig, rig.accept_watch(), changed, SOON_S)
 
 
-def test_a_list_in_pieces_that_comes_whole_in_time_is_no_silence() -> None:
+def test_a_list_in_pieces_that_is_complete_in_time_is_no_silence() -> None:
     with gateway_rig() as rig:
         rig.nodes[0].phase = "Terminating"
-        news = rig.list_chunk(False, rig.nodes, 2)
-        for at in range(0, len(news), 1 + len(news) // 8):
-            rig.watch.send(news[at : at + 1 + len(news) // 8])
+        update = rig.list_chunk(False, rig.nodes, 2)
+        for at in range(0, len(update), 1 + len(update) // 8):
+            rig.watch.send(update[at : at + 1 + len(update) // 8])
             wait(rig, 0.5)
         rig.turn(3)
         assert not rig.watch.closed() and not served(rig, "after")
@@ -230,7 +231,7 @@
         assert rig.watch.closed() and not served(rig, "after")
 
 
-# ---- another address, a discovery that counts anew, calls beside the watch ----
+# ---- another address, restarted revisions, polls beside the watch ----
 
 
 def test_to_a_dead_address_and_back() -> None:
@@ -244,14 +245,14 @@
         reload(rig, rig.discovery.address)
         again = rig.accept_watch()
         assert rig.now - back < 0.1
-        told_by(rig, again, back, 0.0)
-        wait(rig, 2.0)  # the wait that had begun before is over
+        assert_notified(rig, again, back, 0.0)
+        wait(rig, 2.0)  # the delay that had started before is over
         assert rig.discovery.accept_now() is None, "a second watch"
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_another_address_while_calls_to_the_old_one_hang(pushed: bool) -> None:
-    """Where lists are pushed, what the new agent has counts 4 s after the signal."""
+    """Where lists are pushed, the new agent's list counts 4 s after the signal."""
     with gateway_rig(**PUSHED if pushed else {}) as rig:
         failing(latest(rig), 2)
         rig.accept_watch()
@@ -259,7 +260,7 @@
         moved = rig.now
         reload(rig, new.address)
         again = new.accept()
-        assert b"since=0" in again.read_until(b"\r\n\r\n"), "another service may count otherwise"
+        assert b"since=0" in again.read_until(b"\r\n\r\n"), "revisions of another service are not comparable"
         again.send(HEAD + rig.drain(rig.nodes[0], 2))
         rig.turn(3)
         assert rig.now - moved < 0.1 and not served(rig, "after")
@@ -274,11 +275,11 @@
         reload(rig, new.address)
         assert wait(rig, 10.0, lambda: rig.log.getvalue().count("discovery_failed") >= 6)
         back = rig.now
-        told_by(rig, rig.accept_watch(Listener(rig, (host, int(port)))), back, ANSWER_S - 0.1)
+        assert_notified(rig, rig.accept_watch(Listener(rig, (host, int(port)))), back, ANSWER_S - 0.1)
 
 
-def test_changes_of_a_discovery_that_counts_anew() -> None:
-    """It has lost its revisions, gives no full list by itself, and drains a node at its revision 2."""
+def test_changes_of_a_discovery_with_restarted_revisions() -> None:
+    """Discovery has lost its revisions, sends no full list by itself, and drains a node at revision 2."""
     with gateway_rig() as rig:
         rig.watch.send(rig.list_chunk(True, rig.nodes, 40))
         rig.turn(2)
@@ -289,15 +290,15 @@
         rig.turn(2)
         again.send(rig.drain(rig.nodes[0], 2))
         rig.turn(3)
-        told = rig.now
+        restarted_at = rig.now
         assert not served(rig, "after")
         assert b"since=0" in rig.discovery.accept().read_until(b"\r\n\r\n"), (
-            "what changed before is not known"
+            "earlier changes may have been missed"
         )
-        assert again.closed() and rig.now - told < 1.5
+        assert again.closed() and rig.now - restarted_at < 1.5
 
 
-def test_a_full_list_of_a_discovery_that_counts_anew() -> None:
+def test_a_full_list_of_a_discovery_with_restarted_revisions() -> None:
     with gateway_rig() as rig:
         rig.watch.send(rig.list_chunk(True, rig.nodes, 40))
         rig.turn(2)
@@ -336,7 +337,7 @@
         assert not rig.watch.closed() and not served(rig, "after")
 
 
-def test_a_full_list_that_never_comes_leaves_the_watch_alone() -> None:
+def test_a_poll_that_is_never_answered_does_not_affect_the_watch() -> None:
     with gateway_rig() as rig:
         latest(rig)
         rig.gateway.discovery.poll()
@@ -349,10 +350,10 @@
         assert not served(rig, "after")
 
 
-# ---- a head that stood still ----
+# ---- a stalled process ----
 
 
-def test_a_watch_that_broke_during_a_standstill() -> None:
+def test_a_watch_that_broke_during_a_stall() -> None:
     with gateway_rig() as rig:
         latest(rig)
         rig.watch.send(chunk(b"\n"))
@@ -361,11 +362,11 @@
         woke = rig.now
         again = rig.accept_watch()
         assert rig.now - woke < 0.5
-        told_by(rig, again, woke, ANSWER_S - 0.1)
+        assert_notified(rig, again, woke, ANSWER_S - 0.1)
 
 
-def test_a_standstill_while_a_call_is_answered() -> None:
-    """All of the answer is in our kernel as we wake: it counts, and no other call is made."""
+def test_a_stall_while_a_call_is_answered() -> None:
+    """The answer is in the kernel when the process continues: it counts, and no other call is made."""
     with gateway_rig() as rig:
         failing(latest(rig))
         again = rig.accept_watch()
@@ -375,23 +376,23 @@
         assert not again.closed() and not served(rig, "after")
 
 
-def test_a_standstill_in_the_middle_of_a_list() -> None:
-    """The rest is in our kernel as we wake."""
+def test_a_stall_in_the_middle_of_a_list() -> None:
+    """The rest is in the kernel when the process continues."""
     with gateway_rig() as rig:
-        news = rig.drain(rig.nodes[0], 2)
-        rig.watch.send(news[:30])
+        update = rig.drain(rig.nodes[0], 2)
+        rig.watch.send(update[:30])
         rig.turn(2)
-        rig.watch.send(news[30:])
+        rig.watch.send(update[30:])
         rig.leap(7.0)
         rig.turn(4)
         assert not rig.watch.closed() and not served(rig, "after")
 
 
-# ---- not in step ----
+# ---- jitter ----
 
 
-def test_heads_whose_calls_fail_at_once_do_not_come_back_in_step() -> None:
-    """Fifty that failed alike: later each time up to a second, and spread over as long."""
+def test_gateways_whose_calls_fail_together_do_not_retry_together() -> None:
+    """Fifty gateways with the same failures: their delays are about a second and spread over a second."""
     waits: list[float] = []
     for seed in range(50):
         gateway = Gateway(driver_settings(subscribes_to_endpoints=True), seed, 0)
@@ -400,14 +401,14 @@
         assert isinstance(timer, SetTimer)
         waits.append(timer.at_us / 1e6)
     assert min(waits) >= 0.5 and max(waits) <= 1.5
-    assert len({int(wait * 20) for wait in waits}) >= 14, "they would come in a wave"
+    assert len({int(wait * 20) for wait in waits}) >= 14, "the calls are synchronized"
 
 
-# ---- drawn chains, in virtual time ----
+# ---- random chains in virtual time ----
 
 
-class Stalling:
-    """A reactor whose timers, for the head alone, all come late after a standstill."""
+class StallingReactor:
+    """The gateway's reactor: during a stall its timers are delayed."""
 
     def __init__(self, memory: MemoryReactor) -> None:
         self._memory, self.until = memory, 0.0
@@ -427,9 +428,9 @@
 
 
 class Caller(Connection):
-    """One call as discovery sees it; how it goes is settled as it comes."""
+    """One call on the side of discovery, whose course depends on the mood as it arrives."""
 
-    def __init__(self, world: Troubled) -> None:
+    def __init__(self, world: FailingDiscovery) -> None:
         self.world, self.mood = world, world.mood
         self.follow = False
 
@@ -444,7 +445,7 @@
             self.later(draw.uniform(0, 4.4), transport.abortConnection)
         elif self.mood == "trickle":
             self.trickle(HEAD * draw.randrange(2) + chunk(TEXT), draw.choice([0.05, 0.5, 1.5, 1.95]))
-        elif self.mood == "half":  # good so far, and then silent
+        elif self.mood == "half":  # starts well, then silent
             transport.write(HEAD + chunk(b"\n") * draw.randrange(2))
         elif self.mood == "good":
             self.later(draw.uniform(0, self.world.answer_s), self.answer)
@@ -452,30 +453,30 @@
     def later(self, delay: float, call: Callable[..., Any], *args: Any) -> None:
         self.world.memory.callLater(delay, call, *args)
 
-    def say(self, data: bytes) -> None:
-        """What a head that stands still is told, it reads when it wakes."""
-        late = self.world.head_reactor.until - self.world.memory.seconds()
+    def write_when_awake(self, data: bytes) -> None:
+        """Write now, or when a stalled gateway continues."""
+        late = self.world.gateway_reactor.until - self.world.memory.seconds()
         self.later(max(0.0, late), self.link.write, data)
 
     def trickle(self, data: bytes, gap: float) -> None:
         if data and not self.link.disconnected:
-            self.say(data[:1])
+            self.write_when_awake(data[:1])
             self.later(gap, self.trickle, data[1:], gap)
 
     def answer(self) -> None:
         if self.mood == "good":
-            self.say(HEAD + chunk(self.world.text() + b"\n"))
+            self.write_when_awake(HEAD + chunk(self.world.text() + b"\n"))
             self.world.watches.append(self)
             self.later(2.0, self.beat)
 
     def beat(self) -> None:
         if self.mood == "good" and not self.link.disconnected:
-            self.say(chunk(b"\n"))
+            self.write_when_awake(chunk(b"\n"))
             self.later(2.0, self.beat)
 
 
-class Troubled:
-    """A head, and a discovery at two addresses that fails in drawn ways until it is good for ever."""
+class FailingDiscovery:
+    """A gateway, and a discovery at two addresses that fails in random ways and then stays good."""
 
     MOODS = ("refuse", "503", "hang", "dial", "trickle", "half", "reset", "good", "move", "standstill")
 
@@ -483,7 +484,7 @@
         self.draw, self.answer_s = random.Random(seed), answer_s
         self.memory = MemoryReactor()
         self.memory.advance(1_000_000.0)
-        self.head_reactor = Stalling(self.memory)
+        self.gateway_reactor = StallingReactor(self.memory)
         self.mood, self.version = "good", 1
         self.calls: list[float] = []
         self.callers: list[Caller] = []
@@ -500,11 +501,11 @@
         if pushed:
             defaults.change(self.config, "settings.discovery", "push")
         clock = ReactorClock(
-            self.head_reactor, lambda: round(self.memory.seconds() * 1e9), lambda: 1_700_000_000 * 10**9
+            self.gateway_reactor, lambda: round(self.memory.seconds() * 1e9), lambda: 1_700_000_000 * 10**9
         )
         self.log = io.StringIO()
         self.gateway = PlatformGateway(
-            self.head_reactor, configuration.read(self.config, {}), make_logger(self.log), clock
+            self.gateway_reactor, configuration.read(self.config, {}), make_logger(self.log), clock
         )
         if seed % 2:
             self.gateway.engine.policy.gateway.state.random = LatestDraw()
@@ -525,16 +526,16 @@
         self.ports = [self.memory.listenTCP(at[1], factory, interface=at[0]) for at in self.addresses * on]
 
     def become(self, mood: str) -> None:
-        """What is open now stays as it was, but that all are reset where discovery goes down, and no longer
-        told anything where it does not work."""
+        """Change the mood.  Open calls keep theirs, except that all are reset if discovery goes down, and
+        good ones become silent if it fails."""
         if mood == "move":
             self.here = 1 - self.here
             fresh = self.config | {"discovery": f"127.0.0.1:{501 + self.here}"}
             self.gateway.reload_from(lambda: configuration.read(fresh, {}))
             return
         if mood == "standstill":
-            self.head_reactor.until = self.memory.seconds() + self.draw.uniform(0.5, 8.0)
-            self.memory.advance(self.head_reactor.until - self.memory.seconds())
+            self.gateway_reactor.until = self.memory.seconds() + self.draw.uniform(0.5, 8.0)
+            self.memory.advance(self.gateway_reactor.until - self.memory.seconds())
             return
         self.mood = mood
         self.listen(mood != "refuse")
@@ -547,7 +548,7 @@
                     caller.mood = "hang"
 
     def play(self) -> float:
-        """How long after discovery could be reached for good, and had its last change, the head has it."""
+        """Return the seconds until the gateway has a change that is made once discovery stays good."""
         for _ in range(self.draw.randrange(1, 9)):
             self.become(self.draw.choice(self.MOODS))
             self.memory.advance(self.draw.choice([0.01, 0.3, 1.0, 3.0, 7.0]) * self.draw.uniform(0.5, 1.5))
@@ -556,22 +557,22 @@
         reachable = self.memory.seconds()
         for watch in self.watches:
             if watch.mood == "good" and not watch.link.disconnected:
-                watch.say(chunk(self.text() + b"\n"))
+                watch.write_when_awake(chunk(self.text() + b"\n"))
         known = lambda: self.gateway.discovery.latest["revision"] == self.version  # noqa: E731
-        assert self.memory.run_until(known, 30.0), "never"
+        assert self.memory.run_until(known, 30.0), "the gateway never received the change"
         return self.memory.seconds() - reachable
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("block", range(4))
-def test_drawn_chains_of_failures(block: int, pushed: bool) -> None:
-    """300 of them with asked lists and 300 with pushed ones; a good answer comes within a second."""
+def test_random_chains_of_failures(block: int, pushed: bool) -> None:
+    """300 chains with polled lists and 300 with pushed ones; a good answer arrives within a second."""
     late: dict[int, float] = {}
     for seed in range(block * 75, block * 75 + 75):
-        world = Troubled(seed, 0.0 if pushed else SOON_S, pushed)
-        if (took := world.play()) > TOLD_S - 0.1:
+        world = FailingDiscovery(seed, 0.0 if pushed else SOON_S, pushed)
+        if (took := world.play()) > NOTIFIED_S - 0.1:
             late[seed] = took
-        least = 0.04 if pushed else 0.12  # a call is never followed by another at once
+        least = 0.04 if pushed else 0.12  # shortest gap between two calls
         gaps = [b - a for a, b in zip(world.calls, world.calls[1:], strict=False)]
-        assert sum(gap < least for gap in gaps) <= 8, "but after a move"
+        assert sum(gap < least for gap in gaps) <= 8, "only a change of address repeats calls at once"
     assert not late
--- a/tests/http/test_endpoint_list_edges.py
+++ b/tests/http/test_endpoint_list_edges.py
@@ -1,4 +1,4 @@
-"""The watch on the list: silence, resets, another discovery, and lists that come in odd forms."""
+"""The watch on the endpoint list: silence, resets, a change of discovery, and unusual list formats."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 from ..support.live_head import HEAD, GatewayRig, HeldDials, Listener, PeerSocket, chunk, gateway_rig, served
 
-TOLD_S = 6.0  # after a watch fell silent all that it missed counts as told
+NOTIFIED_S = 6.0  # after a watch falls silent, the gateway counts as notified of the changes it missed
 PUSHED = {"settings__discovery": "push"}
 
 
-def quiet(rig: GatewayRig, seconds: float) -> None:
-    """Time goes by, and nobody says anything on any watch."""
+def stay_silent(rig: GatewayRig, seconds: float) -> None:
+    """Let time pass without input on any watch."""
     end = rig.now + seconds
     rig.until(lambda: rig.now >= end, seconds + 1)
 
 
-def missed(rig: GatewayRig, began: float) -> None:
-    """A drain that only a new watch tells is kept in time."""
+def assert_drained_by_next_watch(rig: GatewayRig, began: float) -> None:
+    """Check that a drain sent on the next watch takes effect in time."""
     again = rig.accept_watch()
-    assert rig.now - began < TOLD_S - 0.5, "it was opened anew too late"
+    assert rig.now - began < NOTIFIED_S - 0.5, "the next watch was opened too late"
     again.send(HEAD + rig.drain(rig.nodes[0], 2))
     rig.turn(3)
-    assert rig.now - began < TOLD_S
+    assert rig.now - began < NOTIFIED_S
     assert not served(rig, "after")
 
 
 def test_a_watch_that_is_silent_from_its_first_second() -> None:
     with gateway_rig() as rig:
-        missed(rig, rig.now)
+        assert_drained_by_next_watch(rig, rig.now)
 
 
 def test_a_watch_that_was_never_answered() -> None:
@@ -41,7 +41,7 @@
     try:
         rig.gateway.start()
         rig.watch = rig.accept_watch()
-        missed(rig, rig.now)
+        assert_drained_by_next_watch(rig, rig.now)
     finally:
         rig.close()
 
@@ -51,19 +51,19 @@
         line = json.dumps(rig.endpoint_list(rig.nodes, 2, False)).encode()
         rig.watch.send(chunk(line[: len(line) // 2]))
         rig.turn(2)
-        missed(rig, rig.now)
+        assert_drained_by_next_watch(rig, rig.now)
 
 
 def test_a_watch_that_goes_silent_late() -> None:
     with gateway_rig() as rig:
         rig.pass_time(7.0)
-        missed(rig, rig.now)
+        assert_drained_by_next_watch(rig, rig.now)
 
 
-def test_a_watch_silent_while_a_new_one_waits_for_its_answer() -> None:
-    """The first is silent; the call that replaces it has to wait, is given up in turn, and made again."""
+def test_a_silent_watch_whose_successor_is_not_answered() -> None:
+    """The first watch is silent; the call that replaces it is not answered, ends and is repeated."""
     with gateway_rig() as rig:
-        rig.accept_watch()  # accepted, and never answered
+        rig.accept_watch()  # accepted but never answered
         waited = rig.now
         again = rig.accept_watch()
         assert rig.now - waited < 3.0
@@ -72,7 +72,7 @@
         assert not served(rig, "after")
 
 
-def test_a_standstill_of_the_head_is_not_taken_for_silence_of_the_watch() -> None:
+def test_a_stall_of_the_process_is_not_taken_for_silence_of_the_watch() -> None:
     with gateway_rig() as rig:
         rig.watch.send(chunk(b"\n"))
         rig.leap(5.5)
@@ -95,17 +95,17 @@
         assert not served(rig, "after")
 
 
-def test_a_list_cut_in_the_middle_changes_nothing_and_is_asked_for_again() -> None:
+def test_a_list_cut_in_the_middle_changes_nothing_and_is_requested_again() -> None:
     with gateway_rig() as rig:
         rig.nodes[0].phase = "Terminating"
-        news = HEAD + rig.list_chunk(False, rig.nodes, 2)
+        update = HEAD + rig.list_chunk(False, rig.nodes, 2)
         rig.nodes[0].phase = "Ready"
-        rig.watch.send(news[len(HEAD) : len(HEAD) + 60])
+        rig.watch.send(update[len(HEAD) : len(HEAD) + 60])
         rig.turn(2)
         rig.watch.rst()
         again = rig.accept_watch()
         assert served(rig, "before")
-        again.send(news)
+        again.send(update)
         rig.turn(3)
         assert not served(rig, "after")
 
@@ -128,7 +128,7 @@
         assert not served(rig, "after") and not rig.watch.closed()
 
 
-def test_what_is_no_list_ends_the_watch_and_the_next_one_counts() -> None:
+def test_malformed_input_ends_the_watch_and_the_next_one_counts() -> None:
     with gateway_rig() as rig:
         rig.watch.send(chunk(b'{"revision": 2, "complete": false, "members": [}\n'))
         again = rig.accept_watch()
@@ -138,14 +138,14 @@
         assert not served(rig, "after")
 
 
-def test_an_answer_of_the_old_discovery_on_its_way_when_another_is_configured() -> None:
-    """SIGHUP comes while a list of the old address is in our kernel: the new address's alone counts."""
+def test_a_list_of_the_old_discovery_in_the_kernel_as_another_is_configured() -> None:
+    """SIGHUP arrives while a list of the old address is in the kernel: only the new address counts."""
     with gateway_rig() as rig:
         new = Listener(rig)
         rig.nodes[0].phase = "Terminating"
-        old_news = rig.list_chunk(True, rig.nodes, 9)
+        old_list = rig.list_chunk(True, rig.nodes, 9)
         rig.nodes[0].phase = "Ready"
-        rig.watch.send(old_news)
+        rig.watch.send(old_list)
         reload(rig, new)
         watch = rig.accept_watch(new)
         assert rig.watch.closed()
@@ -157,7 +157,7 @@
         assert not served(rig, "last")
 
 
-def test_another_discovery_while_the_old_one_is_being_dialled(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_change_of_discovery_while_the_old_one_is_being_dialled(monkeypatch: pytest.MonkeyPatch) -> None:
     with gateway_rig() as rig:
         dials = HeldDials(monkeypatch, discovery)
         rig.watch.rst()
@@ -174,20 +174,20 @@
         assert not served(rig, "after")
 
 
-def reload(rig: GatewayRig, place: Listener) -> None:
-    fresh = rig.config | {"discovery": place.address}
+def reload(rig: GatewayRig, listener: Listener) -> None:
+    fresh = rig.config | {"discovery": listener.address}
     rig.gateway.reload_from(lambda: configuration.read(fresh, {}))
 
 
-def test_discovery_down_into_the_first_second_of_a_process() -> None:
-    """It serves by the list that it knows, and the first answer at the return counts at once."""
+def test_discovery_down_during_the_first_second_of_a_process() -> None:
+    """The gateway serves by the known list, and discovery's first answer counts at once."""
     rig = GatewayRig()
     try:
         rig.discovery.listener.close()
         rig.gateway.start()
         rig.turn(3)
         assert rig.gateway.front.listening and served(rig, "before")
-        quiet(rig, 1.0)
+        stay_silent(rig, 1.0)
         host, port = rig.discovery.address.split(":")
         watch = rig.accept_watch(Listener(rig, (host, int(port))))
         watch.send(HEAD + rig.drain(rig.nodes[0], 2))
@@ -211,14 +211,14 @@
         assert not served(rig, "after")
 
 
-def test_where_lists_are_pushed_nothing_is_sent_before_what_the_agent_has_is_known() -> None:
-    """What it has counts from the first moment of a process: the list of the configuration may be old."""
+def test_where_lists_are_pushed_nothing_is_sent_before_the_agents_list_is_received() -> None:
+    """The agent's list counts from the start of the process: the configured list may be outdated."""
     rig = GatewayRig(**PUSHED)
     try:
         watch = pushed(rig)
         watch.send(HEAD)
-        quiet(rig, 0.1)
-        assert not rig.gateway.front.listening, "the head of an answer is no list yet"
+        stay_silent(rig, 0.1)
+        assert not rig.gateway.front.listening, "the head of an answer is not a list"
         watch.send(rig.drain(rig.nodes[0], 2))
         assert rig.until(lambda: rig.gateway.front.listening, 1.0)
         assert not served(rig, "after")
@@ -226,11 +226,11 @@
         rig.close()
 
 
-def test_what_an_agent_gets_at_the_return_of_its_source_is_known_within_the_time_that_drains_leave() -> None:
-    """Its source is down: it says nothing on the watch, nor to any call, and then answers what comes next."""
+def test_an_agents_list_is_received_within_the_drain_grace_after_its_source_returns() -> None:
+    """The agent has lost its source: it is silent on the watch and on calls, then answers the next call."""
     with gateway_rig(**PUSHED, settings__guarantees__drain_grace_us="1000000") as rig:
         rig.until(rig.watch.closed)
-        for _ in range(8):  # far longer than a wait that doubles would need to be long
+        for _ in range(8):  # enough for a doubling delay to become long
             rig.accept_watch()
         back = rig.now
         again = rig.accept_watch()
@@ -239,7 +239,7 @@
         assert rig.now - back < 0.5 and not served(rig, "after")
 
 
-def test_an_agent_that_is_silent_keeps_a_head_from_serving_for_a_few_seconds_at_most() -> None:
+def test_a_silent_agent_delays_serving_for_a_few_seconds_at_most() -> None:
     rig = GatewayRig(**PUSHED)
     try:
         pushed(rig)
--- a/tests/http/test_kernel_wait.py
+++ b/tests/http/test_kernel_wait.py
@@ -1,4 +1,4 @@
-"""A request's time runs from when it came, also where it waited unread in our kernel."""
+"""A request's time starts when it arrives, even if it then waits unread in the gateway's kernel."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 
 SLACK_MS = 150
 TIMEOUT_MS = 1500
-AIM_US = "1300000"  # so that what has waited is still worth sending
+AIM_US = "1300000"  # long enough that a request is still sent after its wait
 
 
-def told_ms(node: HangingNode) -> int:
-    """What the node was told of the time left by the latest request that came."""
+def forwarded_timeout_ms(node: HangingNode) -> int:
+    """Return the Request-Timeout-Ms of the latest request at the node, in milliseconds."""
     text = b"".join(node._text.values())
     return int(re.findall(rb"Request-Timeout-Ms: (\d+)", text)[-1])
 
 
-def too_much_ms(head: FaultyHead, node: HangingNode, waited_s: float) -> float:
-    """By how much that is more than its client has left, for a request that has waited so long unread."""
-    assert wait_until(lambda: node.requests > 0, 2.0), head.text
-    return told_ms(node) - (TIMEOUT_MS - 1000 * waited_s)
+def excess_ms(gateway: FaultyHead, node: HangingNode, waited_s: float) -> float:
+    """Return by how much that exceeds the client's remaining time, after ``waited_s`` unread."""
+    assert wait_until(lambda: node.requests > 0, 2.0), gateway.text
+    return forwarded_timeout_ms(node) - (TIMEOUT_MS - 1000 * waited_s)
 
 
 def test_while_no_descriptor_is_free(tmp_path: Path, library: Path) -> None:
     node = HangingNode(0)
-    with faulty(tmp_path, library, [node], categories__0__aim_us=AIM_US) as head:
-        head.faults.fail(Call.ACCEPT, errno.EMFILE, 1000)
-        head.ask("waits", 0, TIMEOUT_MS)
+    with faulty(tmp_path, library, [node], categories__0__aim_us=AIM_US) as gateway:
+        gateway.faults.fail(Call.ACCEPT, errno.EMFILE, 1000)
+        gateway.ask("waits", 0, TIMEOUT_MS)
         time.sleep(0.5)
-        head.faults.clear()
-        assert too_much_ms(head, node, 0.5) < SLACK_MS
+        gateway.faults.clear()
+        assert excess_ms(gateway, node, 0.5) < SLACK_MS
 
 
-def test_while_the_process_stands_still(tmp_path: Path, library: Path) -> None:
+def test_while_the_process_is_stopped(tmp_path: Path, library: Path) -> None:
     node = HangingNode(0)
-    with faulty(tmp_path, library, [node], categories__0__aim_us=AIM_US) as head:
-        head.process.send_signal(signal.SIGSTOP)
-        head.ask("waits", 0, TIMEOUT_MS)
+    with faulty(tmp_path, library, [node], categories__0__aim_us=AIM_US) as gateway:
+        gateway.process.send_signal(signal.SIGSTOP)
+        gateway.ask("waits", 0, TIMEOUT_MS)
         time.sleep(0.5)
-        head.process.send_signal(signal.SIGCONT)
-        assert too_much_ms(head, node, 0.5) < SLACK_MS
+        gateway.process.send_signal(signal.SIGCONT)
+        assert excess_ms(gateway, node, 0.5) < SLACK_MS
 
 
-def test_while_all_places_are_in_use(tmp_path: Path, library: Path) -> None:
+def test_while_all_client_connections_are_in_use(tmp_path: Path, library: Path) -> None:
     node = HangingNode(0)
-    with faulty(tmp_path, library, [node], limits__sockets="40", categories__0__aim_us=AIM_US) as head:
-        others = [socket.create_connection((HOST, head.port)) for _ in range(40)]
+    with faulty(tmp_path, library, [node], limits__sockets="40", categories__0__aim_us=AIM_US) as gateway:
+        others = [socket.create_connection((HOST, gateway.port)) for _ in range(40)]
         time.sleep(0.02)
-        head.ask("waits", 0, TIMEOUT_MS)
+        gateway.ask("waits", 0, TIMEOUT_MS)
         began = time.monotonic()
         time.sleep(0.5)
-        for one in others:
-            one.close()
-        assert wait_until(lambda: node.requests > 0, 3.0), head.text
-        came_s = time.monotonic() - began
-        assert told_ms(node) < TIMEOUT_MS - 1000 * came_s + SLACK_MS
+        for other in others:
+            other.close()
+        assert wait_until(lambda: node.requests > 0, 3.0), gateway.text
+        arrived_after_s = time.monotonic() - began
+        assert forwarded_timeout_ms(node) < TIMEOUT_MS - 1000 * arrived_after_s + SLACK_MS
--- a/tests/http/test_node_connections.py
+++ b/tests/http/test_node_connections.py
@@ -1,4 +1,4 @@
-"""Connections to bricks that end, come up or answer at the wrong instant."""
+"""Connections to nodes that end, open or answer at the wrong moment."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 def effect(name: str, **more: str) -> dict[str, str]:
-    """The class ``read`` has this effect."""
+    """Return the changes of settings that give the class ``read`` this effect."""
     return {"settings__categories__0__effect": name} | {
         f"settings__categories__0__{key}": value for key, value in more.items()
     }
 
 
-def out(rig: GatewayRig) -> Attempt:
+def attempt_in_flight(rig: GatewayRig) -> Attempt:
     (attempt,) = rig.gateway.engine._table.attempts.values()
     return attempt
 
 
 def served_once(rig: GatewayRig) -> tuple[PeerSocket, PeerSocket]:
-    """A client, and the connection that its first request was served by and that is kept."""
+    """Return a client and the reusable node connection that served its first request."""
     client = rig.client()
     client.send(rig.request("first"))
     kept = rig.nodes[0].wait_for("first")
@@ -40,17 +40,17 @@
     return client, kept
 
 
-def test_a_given_up_attempt_is_off_its_connection_before_anything_else_can_be_written() -> None:
+def test_an_aborted_attempt_closes_its_connection_within_the_call() -> None:
     with gateway_rig() as rig:
         client = rig.client()
         client.send(rig.request("a"))
         end = rig.nodes[0].wait_for("a")
-        rig.gateway.engine.attempts.abort(out(rig), AttemptResult.TIMEOUT)
+        rig.gateway.engine.attempts.abort(attempt_in_flight(rig), AttemptResult.TIMEOUT)
         assert end.closed(), "its connection is still open when the call returns"
 
 
-def test_attempts_are_never_two_out_when_the_process_stood_still() -> None:
-    """Time-outs, pauses and ticks all come due at once: an attempt's end is there before the next."""
+def test_after_a_stall_no_two_attempts_are_in_flight() -> None:
+    """Timeouts, delays and ticks are due together: an attempt ends before the next one starts."""
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -64,11 +64,11 @@
                 break
 
 
-def test_the_brick_closes_in_the_turn_in_which_the_connection_is_taken() -> None:
+def test_the_node_closes_in_the_iteration_in_which_the_connection_is_taken() -> None:
     with gateway_rig() as rig:
         client, kept = served_once(rig)
         client.send(rig.request("second"))
-        rig.reactor.doIteration(0)  # the request is read, and is to go out in this turn
+        rig.reactor.doIteration(0)  # the request is read, and would be sent in this iteration
         kept.fin()
         rig.pass_time(0.02)
         assert rig.nodes[0].received("second") == 1 and not rig.gateway.engine.counts["attempt_no_connection"]
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("read_first", [True, False])
-def test_a_second_answer_on_a_kept_connection_reaches_nobody(read_first: bool) -> None:
+def test_a_second_answer_on_an_idle_connection_is_discarded(read_first: bool) -> None:
     with gateway_rig() as rig:
         client, kept = served_once(rig)
         client.send(rig.request("second"))
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("way", ["fin", "rst"])
-def test_an_unrepeatable_request_whose_outcome_is_unknown_ends_as_failed_and_is_sent_once(way: str) -> None:
+def test_an_unrepeatable_request_with_an_unknown_result_fails_and_is_sent_once(way: str) -> None:
     with gateway_rig(**effect("fragile")) as rig:
         client = rig.client()
         client.send(rig.request("a"))
@@ -104,7 +104,7 @@
         assert not rig.nodes[0].received("a")
 
 
-def test_an_unrepeatable_request_that_was_turned_away_unrun_goes_again() -> None:
+def test_an_unrepeatable_request_that_was_rejected_unrun_is_repeated() -> None:
     with gateway_rig(**effect("fragile")) as rig:
         client = rig.client()
         client.send(rig.request("a"))
@@ -119,7 +119,7 @@
 def test_a_connection_that_is_late_while_the_deadline_passes(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has not run and never will: a refusal in time, whatever its class; and nothing is written later."""
+    """The request cannot have run: it is rejected in time, whatever its class, and not written later."""
     with gateway_rig(**LATE_DIALS, **effect(kind, aim_us="200000", give_up_us="400000")) as rig:
         dials, client = HeldDials(monkeypatch), rig.client()
         began = rig.now
@@ -135,8 +135,10 @@
         client.read_until(b"\r\n\r\nb!")
 
 
-def test_what_may_have_run_goes_again_within_its_window_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its further attempt was sent in time, and then its connection came up after the window."""
+def test_a_request_that_may_have_run_is_repeated_only_within_its_window(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The next attempt was made in time, but its connection opened after the window."""
     window = {"window_us": "600000", "group": "all", "aim_us": "2500000"}
     with gateway_rig(**LATE_DIALS, **effect("dedup", **window)) as rig:
         client = rig.client()
@@ -152,7 +154,7 @@
         assert not rig.nodes[0].received("a")
 
 
-def test_a_drain_told_between_the_choice_and_the_first_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_drain_received_between_the_choice_and_the_first_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     with gateway_rig(**LATE_DIALS) as rig:
         dials, client = HeldDials(monkeypatch), rig.client()
         client.send(rig.request("a"))
@@ -165,7 +167,7 @@
         client.read_until(b"HTTP/1.1 503 ")
 
 
-def test_a_drain_told_while_an_attempt_rests_for_its_further_one() -> None:
+def test_a_drain_received_before_the_next_attempt() -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -211,8 +213,8 @@
 
 @pytest.mark.parametrize("answer_first", [True, False])
 @pytest.mark.parametrize("wait", [1.45, 2.997])
-def test_an_answer_and_the_time_out_in_one_turn(answer_first: bool, wait: float) -> None:
-    """One answer to the client, whichever comes first; and what was not taken reaches nobody."""
+def test_an_answer_and_the_timeout_in_one_iteration(answer_first: bool, wait: float) -> None:
+    """The client gets one answer, whichever event is first; a late answer of the node is discarded."""
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -236,7 +238,7 @@
 
 
 @pytest.mark.parametrize("half", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"])
-def test_a_reset_under_a_request_that_has_begun_is_repeated_once_and_answered_once(half: bytes) -> None:
+def test_a_request_reset_during_its_answer_is_repeated_once_and_answered_once(half: bytes) -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -252,7 +254,7 @@
         assert not node.received("a") and not client.read()
 
 
-def test_a_client_gone_between_the_nodes_answer_and_ours() -> None:
+def test_a_client_that_disconnects_between_the_nodes_answer_and_its_own() -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -267,7 +269,7 @@
         assert rig.gateway.engine.idle and rig.gateway.buffers.out == 0
 
 
-def test_a_client_back_at_once_with_the_same_request_is_no_second_copy() -> None:
+def test_a_client_that_repeats_its_request_at_once_gets_409() -> None:
     with gateway_rig() as rig:
         client, node = rig.client(), rig.nodes[0]
         client.send(rig.request("a"))
@@ -280,7 +282,7 @@
         assert node.received("a") == 1
 
 
-def test_the_time_to_come_back_is_told_only_where_the_settings_allow_it() -> None:
+def test_retry_after_is_sent_only_if_the_settings_allow_it() -> None:
     for allowed in ("1", ""):
         change: dict[str, Any] = {"settings__permissions__retry_after": allowed or "0"}
         with gateway_rig(**change) as rig:
@@ -292,34 +294,37 @@
             assert (b"Retry-After" in client.read()) == bool(allowed)
 
 
-def test_what_a_client_says_besides_is_passed_on_to_the_brick_and_what_is_the_connections_own_is_not() -> (
-    None
-):
-    """Clients of a class that may be repeated under its key alone send that key, and bricks read it."""
+def test_unknown_header_fields_are_forwarded_and_connection_specific_ones_are_not() -> None:
+    """Clients of a class with deduplication by key send that key, and nodes read it."""
     more = (
         "Idempotency-Key: cd96000fde0eeb55\r\nX-Later: a, b\r\nCookie: other=1\r\nConnection: keep-alive, "
         "X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nKeep-Alive: timeout=5\r\n"
     )
     with gateway_rig(**effect("dedup", window_us="5000000", group="all")) as rig:
         client, node = rig.client(), rig.nodes[0]
-        for end_it in (True, False):  # a further attempt says the same
-            if end_it:
+        for is_first in (True, False):  # the next attempt sends the same fields
+            if is_first:
                 client.send(rig.request("a", body=b"body", more=more))
             end = node.wait_for("a")
-            said = end.text.lower()
-            assert b"idempotency-key: cd96000fde0eeb55\r\n" in said and b"x-later: a, b\r\n" in said
-            assert b"cookie: block=1; other=1\r\n" in said
-            assert not any(name in said for name in (b"x-hop", b"te:", b"keep-alive", b"connection:"))
-            assert said.count(b"host:") == said.count(b"content-length:") == said.count(b"request-id:") == 1
-            if end_it:
+            fields = end.text.lower()
+            assert b"idempotency-key: cd96000fde0eeb55\r\n" in fields and b"x-later: a, b\r\n" in fields
+            assert b"cookie: block=1; other=1\r\n" in fields
+            assert not any(name in fields for name in (b"x-hop", b"te:", b"keep-alive", b"connection:"))
+            assert (
+                fields.count(b"host:")
+                == fields.count(b"content-length:")
+                == fields.count(b"request-id:")
+                == 1
+            )
+            if is_first:
                 end.text = b""
                 end.send(FULL)
         node.answer("a")
         client.read_until(b"\r\n\r\nok")
 
 
-def test_a_brick_that_reads_nothing_holds_no_request_beyond_its_time() -> None:
-    """The request is never written whole: it has not run, and its client hears so in time."""
+def test_a_node_that_reads_nothing_holds_no_request_beyond_its_deadline() -> None:
+    """The request is never written completely, so it has not run: its client gets an answer in time."""
     with gateway_rig(**effect("fragile", aim_us="200000", give_up_us="400000")) as rig:
         client, node = rig.client(), rig.nodes[0]
         node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -1,4 +1,4 @@
-"""The HTTP parser, the buffers and the configuration: what is taken and what is not."""
+"""The HTTP parser, the buffers and the configuration: accepted and rejected input, and back-pressure."""
 
 from __future__ import annotations
 
@@ -56,14 +56,14 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_messages_are_the_same_however_they_are_cut(cuts: list[int]) -> None:
+def test_messages_do_not_depend_on_how_input_is_split(cuts: list[int]) -> None:
     edges = [0, *sorted(cuts), len(STREAM)]
     pieces = [STREAM[a:b] for a, b in pairwise(edges)]
     assert read(pieces) == [("/api?q=1", b"hello", True), ("/x", b"", False), ("/c", b"abcde", True)]
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused_and_never_raise_else(data: bytes) -> None:
+def test_any_bytes_are_parsed_or_raise_bad_message(data: bytes) -> None:
     for answers in (False, True):
         try:
             read([data], answers)
@@ -85,19 +85,19 @@
         b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc", b"x" * 17000,
     ],
 )  # fmt: skip
-def test_what_two_parties_could_read_differently_is_refused(bad: bytes) -> None:
+def test_ambiguous_messages_are_rejected(bad: bytes) -> None:
     with pytest.raises(BadMessage):
         read([bad])
 
 
 @pytest.mark.parametrize("bad", [b"HTTP/1.1 2000 OK\r\n\r\n", b"HTTP/1.1\r\n\r\n", b"ICY 200 OK\r\n\r\n"])
-def test_a_bad_status_line_is_refused(bad: bytes) -> None:
+def test_a_malformed_status_line_is_rejected(bad: bytes) -> None:
     with pytest.raises(BadMessage):
         read([bad], answers=True)
 
 
 @given(st.lists(st.binary(max_size=40), max_size=8))
-def test_a_body_gives_back_what_went_in_and_all_its_buffers(pieces: list[bytes]) -> None:
+def test_a_body_returns_its_content_and_releases_its_buffers(pieces: list[bytes]) -> None:
     pool = BufferPool(1000, size=16)
     body = Body(pool)
     for piece in pieces:
@@ -108,7 +108,7 @@
     assert pool.out == 0
 
 
-def test_an_answer_that_comes_before_the_requests_last_byte_is_not_its_answer() -> None:
+def test_an_answer_before_the_requests_last_byte_is_not_its_answer() -> None:
     ends: list[Any] = []
     clock = SimpleNamespace(now_us=lambda: 1)
     pool: Any = SimpleNamespace(clock=clock, buffers=BufferPool(9), connection_freed=ends.append)
@@ -118,13 +118,13 @@
         connection, link = NodeConnection(pool, cast(Any, None), 0), cast(Any, StringTransport)()
         connection.transport = link
         connection.start(cast(Any, SimpleNamespace(attempt=None)), b"GET / HTTP/1.1\r\n\r\n")
-        for _ in range(2 if written else 1):  # the first pull comes with registering
+        for _ in range(2 if written else 1):  # registering makes the first call
             connection.resumeProducing()
         connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         assert ends.pop()[0] is result and link.disconnected is not written
 
 
-def test_the_pool_is_bounded_and_its_buffers_come_back() -> None:
+def test_the_pool_is_bounded_and_released_buffers_are_reused() -> None:
     pool = BufferPool(2, size=4)
     body = Body(pool)
     with pytest.raises(PoolEmpty):
@@ -134,7 +134,7 @@
     assert pool.out == 2
 
 
-def test_a_burst_is_accepted_only_as_far_as_there_is_room() -> None:
+def test_a_burst_is_accepted_only_up_to_the_capacity_left() -> None:
     class Port:
         numberAccepts = 100  # noqa: N815
 
@@ -145,17 +145,17 @@
             seen.append(self.numberAccepts)
 
     seen: list[int] = []
-    port, room = Port(), [7]
-    clock: Any = None  # nothing is short
-    ListeningPort(port, clock, lambda: room[0], lambda: True)
+    port, capacity = Port(), [7]
+    clock: Any = None  # not used while descriptors are free
+    ListeningPort(port, clock, lambda: capacity[0], lambda: True)
     port.doRead()
-    room[0] = -2
+    capacity[0] = -2
     port.doRead()
     assert seen == [7, 1]
     port.socket.close()
 
 
-def test_the_list_keeps_zero_and_turns_milliseconds_into_the_clocks_microseconds() -> None:
+def test_start_times_of_the_list_become_microseconds_and_zero_stays() -> None:
     row = {"id": "n", "host_port": "10.0.0.1:9", "cell": 3, "phase": "Ready", "up_since_ms": 0}
     gone = {"id": "g", "cell": 1, "phase": "Gone", "up_since_ms": 1_700_000_000_123}
     listed = read_list({"revision": 4, "complete": False, "members": [row, gone]}, [], [])
@@ -166,18 +166,18 @@
 
 
 @pytest.mark.parametrize("bad", [{}, {"revision": 1, "complete": True, "members": [{"id": "n"}]}, []])
-def test_a_list_that_is_none_is_refused(bad: Any) -> None:
+def test_a_malformed_list_is_rejected(bad: Any) -> None:
     with pytest.raises(BadList):
         read_list(bad, [], [])
 
 
 @pytest.mark.parametrize("bad", ["host:80", "1.2.3.4", "1.2.3.4:99999", "1.2.3.400:1", None])
-def test_an_address_is_numbers(bad: object) -> None:
+def test_an_address_must_be_ipv4_and_port(bad: object) -> None:
     with pytest.raises(BadList):
         split_address(bad)
 
 
-def test_a_configuration_is_read_and_what_is_wrong_is_named(tmp_path: Path) -> None:
+def test_configuration_errors_name_the_setting(tmp_path: Path) -> None:
     data = {"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f30d27a5be964",
             "limits": {"sockets": 100}, "settings": defaults.settings()}  # fmt: skip
     path = tmp_path / "config.json"
@@ -211,7 +211,7 @@
     assert head.buffers.out == 0
 
 
-def test_a_large_body_is_read_no_faster_than_its_brick_reads() -> None:
+def test_a_large_body_is_read_no_faster_than_its_node_reads() -> None:
     asks = "send c1 request a class=write large=8000000\nsend c1 part 70000\nexpect b1 begins a\n"
     many = "send b1 stall\n" + "send c1 part 100000\nwait 0.1\n" * 20
     world = play(LARGE + asks + many + "wait 30\nexpect c1 nothing")
@@ -220,12 +220,12 @@
     assert len(client._upload._connection.link._out) < 400_000 and world.head.buffers.out == 0
 
 
-def test_a_large_answer_gets_through_a_client_that_reads_now_and_then() -> None:
+def test_a_large_answer_reaches_a_client_that_reads_now_and_then() -> None:
     text = LARGE + "send c1 request a\nexpect b1 request a\nsend b1 big a 5000000\nexpect c1 begins 200\n"
     play(text + "send c1 stall\nwait 7\nsend c1 read\nwait 0.1\n" * 3 + 'expect c1 200 "5000000 bytes"')
 
 
-def test_a_pipelined_requests_time_runs_from_its_own_last_byte() -> None:
+def test_a_pipelined_requests_time_starts_at_its_own_last_byte() -> None:
     front = play("client c1\nsend c1 get /_health\nexpect c1 200").head.front
     connection = front.buildProtocol(None)
     connection.transport = Mock()
@@ -245,7 +245,7 @@
     assert taken == [("a", 0), ("b", 2_000_000), ("c", 3_000_000)]
 
 
-def test_a_trailer_without_end_is_refused() -> None:
+def test_a_trailer_without_end_is_rejected() -> None:
     parser = Parser(answers=False)
     parser.feed(b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n")
     list(parser.parts())
@@ -255,7 +255,7 @@
             list(parser.parts())
 
 
-def test_connections_idle_for_as_long_as_those_that_were_reset_are_not_used() -> None:
+def test_idle_times_with_many_resets_are_not_used() -> None:
     times = IdleTimes()
     for _ in range(50):
         times.record(30_000, False)
@@ -266,15 +266,15 @@
     assert times.limit_us() == 160_000
     for _ in range(200):
         times.decay()
-    assert times.limit_us() > 15_000_000, "it is forgotten"
+    assert times.limit_us() > 15_000_000, "the resets have decayed"
     for _ in range(9):
         times.record(2_000, True)
-    assert times.limit_us() > 15_000_000, "what is reset at once is not reset for having been idle"
+    assert times.limit_us() > 15_000_000, "resets after a short idle time have another cause"
 
 
-def test_a_brick_that_closes_early_and_unseen_soon_gets_fresh_connections() -> None:
+def test_a_node_that_closes_early_and_unseen_soon_gets_new_connections() -> None:
     text = "brick b1\nclient c1\n"
-    for n in range(5):  # the second use of each connection, after 0.3 s, breaks it
+    for n in range(5):  # the second use of each connection, after 0.3 s, is reset
         for name in ("a", "b"):
             text += f"send c1 request {name}{n}\nexpect b1 request {name}{n}\n"
             text += f"close b1 b{n}\nexpect b1 request b{n} within 0.02\n" if name == "b" else ""
--- a/tests/http/test_process_stall.py
+++ b/tests/http/test_process_stall.py
@@ -1,4 +1,4 @@
-"""A head that stood still: what came meanwhile is read before a timer that is overdue acts."""
+"""After a stall of the process, input that arrived meanwhile is read before overdue timers run."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from ..support.live_head import GatewayRig, HeldDials, PeerSocket, gateway_rig
 
-STOOD_S = [0.3, 0.5, 1.0, 2.0]  # each longer than the time that drains leave
+STALL_S = [0.3, 0.5, 1.0, 2.0]  # each longer than the drain grace
 
 
-def resting(rig: GatewayRig, count: int) -> list[PeerSocket]:
-    """So many clients, and a connection to the brick for each, that has rested."""
+def with_idle_connections(rig: GatewayRig, count: int) -> list[PeerSocket]:
+    """Return this many clients, each with an idle, settled connection to the node."""
     clients = [rig.client() for _ in range(count)]
     for number, client in enumerate(clients):
         client.send(rig.request(f"before{number}"))
@@ -26,43 +26,43 @@
     return clients
 
 
-def drained(rig: GatewayRig, seconds: float) -> None:
-    """A drain is in our kernel while we stand still."""
+def drain_and_stall(rig: GatewayRig, seconds: float) -> None:
+    """Send a drain, which stays in the kernel during the stall."""
     rig.watch.send(rig.drain(rig.nodes[0], 2))
     rig.leap(seconds)
     rig.turn(8)
 
 
-@pytest.mark.parametrize("seconds", STOOD_S)
-def test_a_pause_after_a_failure_is_over_as_we_wake(seconds: float) -> None:
+@pytest.mark.parametrize("seconds", STALL_S)
+def test_a_retry_delay_ends_during_the_stall(seconds: float) -> None:
     with gateway_rig() as rig:
-        clients, node = resting(rig, 3), rig.nodes[0]
+        clients, node = with_idle_connections(rig, 3), rig.nodes[0]
         clients[0].send(rig.request("name"))
         end = node.wait_for("name")
         end.send(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
         rig.turn(3)
-        drained(rig, seconds)
+        drain_and_stall(rig, seconds)
         assert node.received("name") == 1, "it was sent again to a node that drains"
 
 
-@pytest.mark.parametrize("seconds", STOOD_S)
-def test_a_connection_has_rested_as_we_wake(seconds: float, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("seconds", STALL_S)
+def test_a_connection_settles_during_the_stall(seconds: float, monkeypatch: pytest.MonkeyPatch) -> None:
     with gateway_rig() as rig:
         node, clients = rig.nodes[0], [rig.client(), rig.client()]
         clients[0].send(rig.request("first"))
         node.wait_for("first")
-        HeldDials(monkeypatch, node_pool)  # there is this one connection alone
+        HeldDials(monkeypatch, node_pool)  # no other connection opens
         rig.pass_time(0.05)
         node.answer("first")
         clients[0].read_until(b"\r\n\r\nok")
         clients[1].send(rig.request("name"))
         rig.turn(6)
         assert not node.received("name")
-        drained(rig, seconds)
+        drain_and_stall(rig, seconds)
         assert not node.received("name"), "it was sent to a node that drains"
 
 
-def test_an_answer_is_there_as_its_attempt_would_be_given_up() -> None:
+def test_an_answer_in_the_kernel_is_read_before_the_attempts_timeout() -> None:
     with gateway_rig() as rig:
         client = rig.client()
         client.send(rig.request("name"))
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM at every instant: nothing that was taken goes without its answer, and the process ends."""
+"""SIGTERM at any moment: every accepted request is answered, and the process ends."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from ..support.live_head import GatewayRig, Listener, PeerSocket, gateway_rig
 
-LONGEST_S = 5.0  # of the settings' deadlines
+LONGEST_S = 5.0  # longest deadline in the settings
 KILL_S = LONGEST_S + 0.7
 
 
-def ends(rig: GatewayRig, within: float = KILL_S) -> None:
+def assert_stops(rig: GatewayRig, within: float = KILL_S) -> None:
     assert rig.until(lambda: bool(rig.stopped), within), rig.log.getvalue()[-500:]
 
 
-@pytest.mark.parametrize("cut", [1, 20, -3])
-def test_a_request_half_read_at_the_signal_is_served(cut: int) -> None:
+@pytest.mark.parametrize("split", [1, 20, -3])
+def test_a_request_half_read_at_the_signal_is_served(split: int) -> None:
     with gateway_rig() as rig:
         client, text = rig.client(), rig.request("a", "write", body=b"body")
-        client.send(text[:cut])
+        client.send(text[:split])
         rig.turn(3)
         rig.gateway.stop()
         rig.pass_time(0.9)
-        client.send(text[cut:])
+        client.send(text[split:])
         rig.nodes[0].answer("a")
         assert b"Connection: close" in client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
 def test_a_request_that_was_only_accepted_by_the_kernel_at_the_signal() -> None:
@@ -37,11 +37,11 @@
         rig.gateway.stop()
         rig.nodes[0].answer("a")
         client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
 def test_a_request_in_the_kernel_as_the_port_closes() -> None:
-    """It connects and sends in the very turn in which the port is to close."""
+    """A client connects and sends in the iteration in which the port is closed."""
     with gateway_rig() as rig:
         rig.gateway.stop()
         rig.pass_time(0.4)
@@ -50,10 +50,10 @@
         rig.leap(0.2)
         rig.nodes[0].answer("a")
         client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
-def test_more_wait_in_the_kernel_than_there_are_places_as_the_port_closes() -> None:
+def test_more_clients_than_connections_wait_in_the_kernel_as_the_port_closes() -> None:
     with gateway_rig(limits__sockets="48") as rig:
         front = rig.gateway.front
         many = front._max_with_overflow + 4
@@ -62,7 +62,7 @@
         clients = [rig.client() for _ in range(many)]
         for n, client in enumerate(clients):
             client.send(rig.request(f"r{n}"))
-        rig.leap(0.02)  # the port is to close before any of them was accepted
+        rig.leap(0.02)  # the port is due to close before any of them is accepted
 
         def answered() -> bool:
             for n in range(many):
@@ -72,11 +72,11 @@
 
         assert rig.until(answered, 3.0), [client.read()[:20] for client in clients]
         assert not any(client.was_reset for client in clients)
-        ends(rig)
+        assert_stops(rig)
 
 
 def test_a_request_that_arrives_as_idle_connections_are_closed() -> None:
-    """A kept connection between two requests; the next one is in our kernel when it would be closed."""
+    """The connection is between two requests; the next one is in the kernel when it would be closed."""
     with gateway_rig() as rig:
         client = rig.client()
         client.send(rig.request("a"))
@@ -88,11 +88,11 @@
         rig.leap(0.05)
         rig.nodes[0].answer("b", b"b!")
         assert b"Connection: close" in client.read_until(b"\r\n\r\nb!")
-        ends(rig)
+        assert_stops(rig)
 
 
-def test_requests_on_connections_that_stay_open_up_to_the_kill() -> None:
-    """One that asks and asks behind its answers is served until there is no time left, and then told so."""
+def test_requests_on_a_connection_that_stays_open_until_the_kill() -> None:
+    """A client that sends request after request is served until no time is left, then its connection ends."""
     with gateway_rig() as rig:
         client = rig.client()
         client.send(rig.request("n0"))
@@ -100,7 +100,7 @@
         rig.gateway.stop()
         began, number, got = rig.now, 0, b""
         while rig.now - began < KILL_S and not client.ended:
-            client.send_available(rig.request(f"n{number + 1}"))  # before the answer to the one before
+            client.send_available(rig.request(f"n{number + 1}"))  # before the previous answer
             rig.pass_time(0.1)
             if not rig.nodes[0].received(f"n{number}"):
                 break
@@ -110,7 +110,7 @@
             got = client.read()
         assert client.ended or rig.until(client.closed, KILL_S - (rig.now - began))
         assert got.count(b"HTTP/1.1 ") >= number
-        ends(rig)
+        assert_stops(rig)
 
 
 @pytest.mark.parametrize("effect", ["retryable", "fragile"])
@@ -122,10 +122,10 @@
         rig.gateway.stop()
         client.read_until(b"HTTP/1.1 ")
         assert client.text.count(b"HTTP/1.1 ") == 0
-        ends(rig)
+        assert_stops(rig)
 
 
-def test_requests_in_a_line_at_the_signal_each_have_an_answer() -> None:
+def test_queued_requests_at_the_signal_each_have_an_answer() -> None:
     with gateway_rig() as rig:
         clients = [rig.client() for _ in range(9)]
         for n, client in enumerate(clients):
@@ -140,7 +140,7 @@
             return all(client.read().count(b"HTTP/1.1 ") == 1 for client in clients)
 
         assert rig.until(answered, KILL_S)
-        ends(rig)
+        assert_stops(rig)
 
 
 def test_an_answer_in_part_at_the_signal() -> None:
@@ -154,7 +154,7 @@
         rig.pass_time(0.3)
         end.send(b"half")
         client.read_until(b"\r\n\r\nhalfhalf")
-        ends(rig)
+        assert_stops(rig)
 
 
 def test_a_second_signal_changes_nothing() -> None:
@@ -170,7 +170,7 @@
         assert not rig.stopped
         rig.nodes[0].answer("a")
         client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
 @pytest.mark.parametrize("after", [0.0, 0.5, 0.8])
@@ -184,33 +184,33 @@
         rig.gateway.reload_from(lambda: configuration.read(rig.config | {"seed": "9"}, {}))
         rig.nodes[0].answer("a")
         client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
-def test_a_signal_before_the_process_before_has_answered_ends_it_with_nothing_taken(
+def test_a_signal_before_the_previous_process_has_answered_ends_it_without_a_port(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It waits for what a running process hands over, and is told to end meanwhile."""
+    """The process waits for the handover of a running process, and gets SIGTERM meanwhile."""
     from twisted.internet.defer import Deferred
 
     rig = GatewayRig()
     try:
-        asked: Deferred[None] = Deferred()
-        monkeypatch.setattr(rig.gateway._handover, "request_takeover", lambda: asked)
+        takeover: Deferred[None] = Deferred()
+        monkeypatch.setattr(rig.gateway._handover, "request_takeover", lambda: takeover)
         rig.gateway.start()
         rig.turn(2)
         rig.gateway.stop()
         rig.pass_time(0.5)
-        asked.callback(None)
+        takeover.callback(None)
         rig.turn(3)
-        assert rig.gateway._port is None, "it listens, though it is to end"
-        ends(rig)
+        assert rig.gateway._port is None, "it listens although it must end"
+        assert_stops(rig)
     finally:
         rig.close()
 
 
-def test_the_next_process_goes_while_this_one_ends() -> None:
-    """It had accepted in place of this one: who waits in the kernel now is this one's again."""
+def test_the_next_process_dies_while_this_one_ends() -> None:
+    """The next process had accepted in place of this one, which accepts waiting clients again."""
     with gateway_rig() as rig:
         rig.gateway.replaced(True)
         rig.gateway.stop()
@@ -221,10 +221,10 @@
         rig.gateway.replaced(False)
         rig.nodes[0].answer("a")
         client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
-def test_the_next_process_says_that_it_serves_and_goes_when_the_port_is_closed() -> None:
+def test_the_next_process_serves_and_dies_when_the_port_is_closed() -> None:
     with gateway_rig() as rig:
         client = rig.client()
         client.send(rig.request("a"))
@@ -235,12 +235,12 @@
         rig.gateway.replaced(False)
         rig.nodes[0].answer("a")
         client.read_until(b"\r\n\r\nok")
-        ends(rig)
+        assert_stops(rig)
 
 
 @pytest.mark.parametrize("for_s", [1.0, KILL_S, 9.0])
-def test_the_address_is_waited_for_while_a_process_before_is_on_its_way_out(for_s: float) -> None:
-    """It may be killed only as long after its signal as a request may take."""
+def test_the_address_is_awaited_while_the_previous_process_ends(for_s: float) -> None:
+    """The previous process may serve until a request's longest deadline after its signal."""
     rig = GatewayRig()
     try:
         before = Listener(rig)
@@ -260,7 +260,7 @@
         rig.close()
 
 
-def test_an_address_that_is_never_free_is_said_so_in_the_end() -> None:
+def test_an_address_that_is_never_free_fails_the_start() -> None:
     rig = GatewayRig()
     try:
         host, port = Listener(rig).address.split(":")
@@ -272,7 +272,7 @@
         rig.close()
 
 
-def test_the_second_address_is_waited_for_too() -> None:
+def test_the_management_address_is_awaited_too() -> None:
     rig = GatewayRig()
     try:
         before = Listener(rig)
@@ -300,8 +300,8 @@
         rig.pass_time(0.2)
         before.listener.close()
         rig.pass_time(0.1)
-        assert rig.gateway._port is None, "it listens, though it is to end"
-        ends(rig, 1.0)
+        assert rig.gateway._port is None, "it listens although it must end"
+        assert_stops(rig, 1.0)
     finally:
         rig.close()
 
@@ -312,12 +312,12 @@
         rig.gateway.start()
         rig.turn(2)
         rig.gateway.stop()
-        ends(rig)
+        assert_stops(rig)
     finally:
         rig.close()
 
 
-def test_a_client_that_leaves_during_shutdown_does_not_hold_it_up() -> None:
+def test_a_client_that_disconnects_during_shutdown_does_not_delay_it() -> None:
     with gateway_rig() as rig:
         client: PeerSocket = rig.client()
         client.send(rig.request("a"))
@@ -325,4 +325,4 @@
         rig.gateway.stop()
         rig.pass_time(0.2)
         client.rst()
-        ends(rig, 1.5)
+        assert_stops(rig, 1.5)
