--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -12,7 +12,7 @@
 from .answer_heads import CONTINUE, answer_head, stream_head
 from .answer_stream import AnswerStream
 from .client_input import ClientInput
-from .client_limits import MAX_DISCARDED
+from .client_limits import MAX_DISCARDED_BYTES
 from .client_owner import ClientOwner
 from .client_reply import ClientReply
 from .forwarded_request import origin_form
@@ -108,7 +108,7 @@
 
     def _discard(self, data: bytes) -> None:
         self._discarded += len(data)
-        if self._discarded > MAX_DISCARDED:
+        if self._discarded > MAX_DISCARDED_BYTES:
             self.pause()
 
     def pauseProducing(self) -> None:
@@ -143,7 +143,7 @@
         engine, retry_after_us = self.owner.engine, self.owner.retry_after_us
         try:
             self._read_requests()
-            if self.input.truncated and self._reads_on():
+            if self.input.truncated and self._may_read():
                 engine.counts["pipelined_too_much"] += 1
                 self.fail_input(429, "too much at once", retry_after_us)
         except BadMessage as error:
@@ -158,11 +158,11 @@
         finally:
             self._reading = False
 
-    def _reads_on(self) -> bool:
+    def _may_read(self) -> bool:
         return self._request_id is None and not (self.output_full or self.closing or self.lost)
 
     def _read_requests(self) -> None:
-        while self._reads_on():
+        while self._may_read():
             before = self.input.parser.buffered
             for part in self.input.parser.parts():
                 if isinstance(part, Head):
@@ -378,7 +378,7 @@
     def close(
         self, reason: CloseReason = CloseReason.IDLE, linger: bool = False, at_once: bool = False
     ) -> None:
-        """Close the sending side, and discard further input up to MAX_DISCARDED.
+        """Close the sending side, and discard further input up to MAX_DISCARDED_BYTES.
 
         The client may still be sending.  Closing both sides then resets the connection, and the client loses
         the part of the answer that is still in the kernel's buffers.  ``linger`` and ``at_once`` override the
--- a/gaugesail/http/client_input.py
+++ b/gaugesail/http/client_input.py
@@ -6,7 +6,7 @@
 
 from ..net import waited_us
 from .arrival_times import ArrivalTimes
-from .client_limits import MAX_PIPELINED, MAX_PIPELINED_EXCESS
+from .client_limits import MAX_PIPELINED_BYTES, MAX_PIPELINED_EXCESS_BYTES
 from .client_owner import ClientOwner
 from .parser import Parser
 
@@ -19,12 +19,10 @@
         self._arrivals = ArrivalTimes()
         self.parser = Parser(answers=False)
         self.truncated = False  # the client exceeded its bound: further input is discarded
-        self.excess = 0  # bytes beyond MAX_PIPELINED
+        self.excess = 0  # bytes beyond MAX_PIPELINED_BYTES
         self.paused = False
         self._paused_at_us = 0
-        self.since_us = (
-            0  # when the part of the request that is arriving started, or became the next to be read
-        )
+        self.since_us = 0  # when the arriving part of a request started, or became the next to be read
 
     def feed(self, data: bytes, link: Any, now_us: int) -> None:
         """Add input received from a transport at ``now_us``."""
@@ -43,9 +41,7 @@
     def resume(self, link: Any) -> int:
         """Continue reading; return the present time."""
         now_us = self._owner.clock.now_us()
-        self.since_us += (
-            now_us - self._paused_at_us
-        )  # a pause by the gateway does not count against the client
+        self.since_us += now_us - self._paused_at_us  # the gateway's pauses do not count
         self.paused = False
         link.resumeProducing()
         return now_us
@@ -61,10 +57,10 @@
         is discarded, and the connection ends after the requests before it.
         """
         owner = self._owner
-        excess = max(0, self.parser.buffered - MAX_PIPELINED) if active else 0
+        excess = max(0, self.parser.buffered - MAX_PIPELINED_BYTES) if active else 0
         owner.excess_input += excess - self.excess
         self.excess = excess
-        if excess and (excess > MAX_PIPELINED_EXCESS or owner.excess_input > owner.max_excess_input):
+        if excess and (excess > MAX_PIPELINED_EXCESS_BYTES or owner.excess_input > owner.max_excess_input):
             self.truncated = True
 
     def release(self) -> None:
--- a/gaugesail/http/client_limits.py
+++ b/gaugesail/http/client_limits.py
@@ -11,9 +11,9 @@
 USED_CONNECTION_US = 2_000_000
 UNUSED_CONNECTION_US = 250_000  # no request received; clients send one as soon as they connect
 LINGER_US = 1_000_000  # after an error: time for the client to read it, whatever it still sends
-MAX_DISCARDED = 256 * 1024  # bytes discarded on a closing connection before reading stops
-MAX_PIPELINED = 16 * 1024  # bytes behind the pending request that each client may always have buffered
-MAX_PIPELINED_EXCESS = 256 * 1024  # bytes beyond that, per client
+MAX_DISCARDED_BYTES = 256 * 1024  # discarded on a closing connection before reading stops
+MAX_PIPELINED_BYTES = 16 * 1024  # behind the pending request that each client may always have buffered
+MAX_PIPELINED_EXCESS_BYTES = 256 * 1024  # beyond that, per client
 PIPELINED_EXCESS_DIVISOR = 8  # all clients together: 1/8 of the buffer pool's limit
 
 
--- a/gaugesail/http/discovery_call.py
+++ b/gaugesail/http/discovery_call.py
@@ -16,7 +16,7 @@
 from .parser import Parser
 
 SILENCE_TIMEOUT_US = 4_500_000  # discovery sends an empty line every 2 s; two missing ones end the watch
-MAX_LINE = 4 * 1024 * 1024  # bytes of a line, or of an object that spans several lines
+MAX_LINE_BYTES = 4 * 1024 * 1024  # of a line, or of an object that spans several lines
 _JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -56,10 +56,10 @@
         self._depth = 0  # open brackets in it
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes.  Raises BadList if a line is longer than MAX_LINE."""
+        """Add received bytes.  Raises BadList if a line is longer than MAX_LINE_BYTES."""
         self._text += data
-        if len(self._text) > MAX_LINE:
-            raise BadList(f"a line is longer than {MAX_LINE} bytes")
+        if len(self._text) > MAX_LINE_BYTES:
+            raise BadList(f"a line is longer than {MAX_LINE_BYTES} bytes")
 
     def end_line(self) -> None:
         """Terminate the last line at the end of the stream."""
@@ -83,8 +83,8 @@
 
     def _add(self, line: bytes) -> None:
         self._object += line
-        if len(self._object) > MAX_LINE:
-            raise BadList(f"an object is longer than {MAX_LINE} bytes")
+        if len(self._object) > MAX_LINE_BYTES:
+            raise BadList(f"an object is longer than {MAX_LINE_BYTES} bytes")
         # JSON strings contain no line breaks, so brackets can be counted line by line.
         bare = _JSON_STRING.sub(b"", line)
         self._depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
@@ -109,9 +109,7 @@
         self.ended = False
         self._answered = False
         self.started_us = owner.now()
-        self.last_message_us = (
-            self.started_us
-        )  # when the last object or empty line was complete, or the call started
+        self.last_message_us = self.started_us  # when the last object or empty line was complete
 
     @property
     def due_us(self) -> int:
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -157,7 +157,7 @@
     def resumeProducing(self) -> None:
         """The transport's buffer is empty."""
         if self._first_pull:
-            self._first_pull = False  # registering calls once, before anything was written
+            self._first_pull = False  # the call that registerProducer makes
             return
         self.written = True
         self.link.unregisterProducer()
--- a/gaugesail/http/parser.py
+++ b/gaugesail/http/parser.py
@@ -10,9 +10,9 @@
 from .head_reader import VALUE, read_head
 from .messages import BadMessage, Data, EndOfMessage, Head, Part
 
-MAX_HEAD = 16 * 1024  # bytes of a header section, or of a trailer section
-MAX_BODY = 32 * 1024 * 1024  # bytes
-MAX_CHUNK_LINE = 4096  # bytes, chunk extensions included
+MAX_HEAD_BYTES = 16 * 1024  # of a header section, or of a trailer section
+MAX_BODY_BYTES = 32 * 1024 * 1024
+MAX_CHUNK_LINE_BYTES = 4096  # chunk extensions included
 
 _CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,16}\Z")
 
@@ -52,7 +52,9 @@
     bytes.
     """
 
-    def __init__(self, answers: bool, max_body: int | None = MAX_BODY, max_head: int = MAX_HEAD) -> None:
+    def __init__(
+        self, answers: bool, max_body: int | None = MAX_BODY_BYTES, max_head: int = MAX_HEAD_BYTES
+    ) -> None:
         self._answers = answers
         self._max_body = max_body
         self._max_head = max_head
@@ -187,7 +189,7 @@
         return True
 
     def _read_chunk_line(self) -> bool:
-        line = self._read_line(MAX_CHUNK_LINE)
+        line = self._read_line(MAX_CHUNK_LINE_BYTES)
         if line is None:
             return False
         size = line.partition(b";")[0].rstrip(b" \t")
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -312,9 +312,8 @@
         rig.turn(2)
         send_and_disconnect(rig, client, way)
         rig.turn()
-        engine._deadlines.add(
-            rig.clock.now_us() + 1, RequestDeadline(0)
-        )  # as of a request that has its answer
+        # The deadline of a request that has its answer.
+        engine._deadlines.add(rig.clock.now_us() + 1, RequestDeadline(0))
         rig.leap(0.001)
         rig.pass_time(0.3)
         assert not rig.nodes[0].received("left")
@@ -508,12 +507,14 @@
         warm(rig, 1)
         node, client, body = rig.nodes[0], rig.client(), bytes(range(256)) * 255
         node.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        inside = next(iter(next(iter(rig.gateway.transport._nodes.values())).idle))
-        inside.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        node_connection_in_use = next(iter(next(iter(rig.gateway.transport._nodes.values())).idle))
+        node_connection_in_use.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(rig.request("large", "write", body=body))
         rig.pass_time(0.02)
-        assert not inside.written, "all was written at once: the test forces nothing"
-        assert rig.until(lambda: body in node.read_all()) and rig.until(lambda: inside.written)
+        assert not node_connection_in_use.written, "all was written at once: the test forces nothing"
+        assert rig.until(lambda: body in node.read_all()) and rig.until(
+            lambda: node_connection_in_use.written
+        )
         node.answer("large")
         client.read_until(b"\r\n\r\nok")
 
@@ -566,9 +567,9 @@
     monkeypatch.setattr(ClientConnection, "dataReceived", slowly)
     began: dict[str, int] = {}
     left: dict[str, int] = {}
-    calm: dict[str, PeerSocket] = {}
+    open_clients: dict[str, PeerSocket] = {}
     plain, flood = net.send_now, 40
-    health, chance = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n" * 1700, Random(3)
+    health, rng = b"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n" * 1700, Random(3)
 
     def sent(link: Any, data: bytes) -> bool:
         complete, name = plain(link, data), data.partition(b"Request-Id: ")[2].partition(b"\r\n")[0].decode()
@@ -576,13 +577,13 @@
         return complete
 
     monkeypatch.setattr(node_connection, "send_now", sent)
-    loud, served, number = [rig.client() for _ in range(4)], 0, 0
+    heavy_senders, served, number = [rig.client() for _ in range(4)], 0, 0
     try:
         until = rig.now + 8.0
         while rig.now < until:
-            while len(calm) < flood:
+            while len(open_clients) < flood:
                 number += 1
-                calm[f"r{number}"] = client = rig.client()
+                open_clients[f"r{number}"] = client = rig.client()
                 client.send(rig.request(f"r{number}"))
             start = rig.now
             rig.turn()
@@ -595,20 +596,20 @@
                 if end.text and not end.ended:
                     end.text = b""
                     end.send_available(OK)
-            for client in loud:
+            for client in heavy_senders:
                 client.read()
                 client.text = b""
                 if not client.ended:
                     client.send_available(health)
-            for name, client in list(calm.items()):
+            for name, client in list(open_clients.items()):
                 if client.closed() or client.text:
                     served += b" 200 " in client.text
-                    del calm[name]
-                elif chance.random() < 0.05:
+                    del open_clients[name]
+                elif rng.random() < 0.05:
                     if name not in began:
                         left[name] = rig.clock.polled_us
-                    chance.choice([client.fin, client.rst])()
-                    del calm[name]
+                    rng.choice([client.fin, client.rst])()
+                    del open_clients[name]
     finally:
         rig.close()
     late = max([began[name] - at for name, at in left.items() if name in began], default=0)
@@ -624,11 +625,11 @@
         warm(rig, 1)
         node, client, body = rig.nodes[0], rig.client(), b"b" * 65_000
         node.connections[0].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        inside = next(iter(next(iter(rig.gateway.transport._nodes.values())).idle))
-        inside.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        node_connection_in_use = next(iter(next(iter(rig.gateway.transport._nodes.values())).idle))
+        node_connection_in_use.link.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(rig.request("left", "write", body=body))
         rig.pass_time(0.02)
-        assert not inside.written, "all was written at once: the test forces nothing"
+        assert not node_connection_in_use.written, "all was written at once: the test forces nothing"
         way(rig, client)
         rig.pass_time(0.1)
         assert rig.until(lambda: node.connections[0].closed() or body in node.read_all(), 1.0)
