--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -45,7 +45,7 @@
         self._answered_early = False  # before its request was complete: the rest is discarded
         self._discarded = 0  # bytes received after the end of the connection
         self.body_bytes = 0
-        self.last_byte_us = 0  # when the latest byte was received
+        self.last_received_us = 0  # when the latest byte was received
         self.blocked_since_us = 0  # when the client stopped reading, or the gateway started to close
         self.lingering = False
         self.closing = False
@@ -100,8 +100,8 @@
             return
         if self.input.truncated:
             return
-        self.last_byte_us = self.owner.clock.now_us()
-        self.input.feed(data, self.link, self.last_byte_us)
+        self.last_received_us = self.owner.clock.now_us()
+        self.input.feed(data, self.link, self.last_received_us)
         if self._request_id is None:
             self._read()
         self.input.bound(not (self.closing or self.lost))
@@ -239,7 +239,7 @@
     def resume(self) -> None:
         """Continue reading from the client."""
         if self.input.paused and not self.lost:
-            self.last_byte_us = self.input.resume(self.link)
+            self.last_received_us = self.input.resume(self.link)
 
     def stop(self) -> None:
         """Reject a request whose body has no destination, and discard the rest of the body."""
--- a/gaugesail/http/client_server.py
+++ b/gaugesail/http/client_server.py
@@ -76,11 +76,11 @@
     def _set_capacity(self, connections: int) -> None:
         self._max_connections = connections
         self._max_with_overflow = connections + self._overflow
-        if self.held and self.capacity_left > 0:
+        if self.held and self.free_places > 0:
             self.hold(False)
 
     @property
-    def capacity_left(self) -> int:
+    def free_places(self) -> int:
         """Number of further connections that may be accepted, overflow included."""
         return self._max_with_overflow - len(self._open)
 
--- a/gaugesail/http/client_sweep.py
+++ b/gaugesail/http/client_sweep.py
@@ -52,7 +52,7 @@
     """Deadline for more of the request that is arriving."""
     since_us = connection.input.since_us
     if connection.head is not None:
-        return body_due_us(since_us, connection.last_byte_us, connection.body_bytes)
+        return body_due_us(since_us, connection.last_received_us, connection.body_bytes)
     # A first request that trickles in gets its error no later than a silent connection is closed.
     return head_due_us(since_us if connection.requests_received else connection.opened_at_us)
 
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -182,7 +182,7 @@
     def dataReceived(self, data: bytes) -> None:
         if self._closing or self.lost:
             return
-        self.last_byte_us = self._front.clock.now_us()
+        self.last_received_us = self._front.clock.now_us()
         self._reader.feed(data)
         try:
             for pdu in self._reader.pdus():
@@ -597,14 +597,14 @@
 
     def limit(self, connections: int) -> None:
         self._max = connections
-        if self.held and self.capacity_left > 0:
+        if self.held and self.free_places > 0:
             self.hold(False)
 
     def closable(self) -> list[TargetConnection]:
         return [session for session in self._open if session.idle]
 
     @property
-    def capacity_left(self) -> int:
+    def free_places(self) -> int:
         return self._max + OVERFLOW - len(self._open)
 
     def next_name(self) -> str:
@@ -626,12 +626,12 @@
                 silent.close()
             else:
                 connection.unwelcome = True  # told so at its login
-        if self.capacity_left <= 0 and self.port is not None and not self.held:
+        if self.free_places <= 0 and self.port is not None and not self.held:
             self.hold(True)
 
     def closed(self, connection: TargetConnection) -> None:
         self._open.pop(connection, None)
-        if self.held and self.capacity_left > 0:
+        if self.held and self.free_places > 0:
             self.hold(False)
         if self.closing and not self._open:
             self.on_idle()
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -28,7 +28,7 @@
     """A protocol whose transport is read as ``link``: Twisted's zope interfaces say nothing to mypy."""
 
     lost = False
-    last_byte_us = 0  # when the latest bytes came, where that is kept
+    last_received_us = 0  # when the latest bytes came, where that is kept
 
     @property
     def link(self) -> Any:
@@ -39,7 +39,7 @@
         """What it has sent may lie unread: something came in the latest look itself, so that more may be
         behind, or that look was long ago, as the loop is busy with others."""
         polled = clock.polled_us
-        return self.last_byte_us >= polled or clock.now_us() - polled > LOOK_US
+        return self.last_received_us >= polled or clock.now_us() - polled > LOOK_US
 
     def gone(self, behind: bool) -> bool:
         """The other side has gone.  Reading tells so; where its end may lie behind what is not read, the
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -140,7 +140,7 @@
         self.front.port = self._port
         front = self.front
         self._listener = ListeningPort(
-            self._port, self.clock, lambda: front.capacity_left, lambda: front.accepting and not front.held
+            self._port, self.clock, lambda: front.free_places, lambda: front.accepting and not front.held
         )
         self.operations.restore()
         self.engine.start(self.initial_endpoints(takeover.state if takeover is not None else {}))
