--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -184,7 +184,7 @@
             return
         self._management = server = ManagementServer(self.operations, self.clock, self._log)
         if self.fleet is not None:
-            server.take_fleet_calls(self.fleet.call)
+            server.set_fleet_handler(self.fleet.call)
         listener = self._reactor.listenTCP(port, server, backlog=LISTEN_BACKLOG, interface=host)
         ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_TURN, lambda: True)
         self.management_address = host, listener.getHost().port
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -21,7 +21,7 @@
 from gaugesail.http.management import MAX_CONNECTIONS as MAX_MANAGEMENT_CONNECTIONS
 from gaugesail.rehearsal import defaults
 
-from ..support.live_head import HEAD, Turned, chunk
+from ..support.live_head import HEAD, GatewayRig, chunk
 
 ROOT = Path(__file__).parents[2]
 RETRY_S = 2.5  # discovery is polled again within that after failed calls, whatever clients do
@@ -176,10 +176,12 @@
         assert wait_until(watched, 8.0), gateway.log_text()
         took = time.monotonic() - back
         found[0].sendall(HEAD + chunk(json.dumps(gateway.endpoint_list()).encode() + b"\n"))
-        kept[0].sendall(Turned.ask("r2", shard=2))  # waits for the endpoint list, which alone names this node
+        kept[0].sendall(
+            GatewayRig.request("r2", shard=2)
+        )  # waits for the endpoint list, which alone names this node
         assert wait_until(gateway.nodes[2].accept_now, 3.0), gateway.log_text()
         assert b"Request-Id: r2\r\n" in read_to(gateway.nodes[2].connections[0], b"\r\n\r\n")
-        kept[1].sendall(Turned.ask("r0", shard=0))
+        kept[1].sendall(GatewayRig.request("r0", shard=0))
         time.sleep(0.3)
         assert gateway.nodes[0].accept_now() is None, "the node is draining"
         assert gateway.descriptors <= 96 and gateway.process.poll() is None
@@ -211,17 +213,17 @@
         for client in kept:
             client.sendall(HEALTH)
             assert read_to(client, b"ok").endswith(b"ok")
-        kept[0].sendall(Turned.ask("warm", shard=1))
+        kept[0].sendall(GatewayRig.request("warm", shard=1))
         assert wait_until(gateway.nodes[1].accept_now, 3.0), gateway.log_text()
         node = gateway.nodes[1].connections[0]
         read_to(node, b"\r\n\r\n")
         resource.prlimit(gateway.process.pid, resource.RLIMIT_NOFILE, (gateway.descriptors, 96))
         gateway.fill(20, HEALTH)
-        kept[1].sendall(Turned.ask("dialled", shard=0))
+        kept[1].sendall(GatewayRig.request("dialled", shard=0))
         assert b" 503 " in read_to(kept[1], b"\r\n\r\n")
         node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         assert read_to(kept[0], b"\r\n\r\nok").startswith(b"HTTP/1.1 200 ")
-        kept[2].sendall(Turned.ask("used again", shard=1))
+        kept[2].sendall(GatewayRig.request("used again", shard=1))
         assert b"Request-Id: used again\r\n" in read_to(node, b"\r\n\r\n")
         node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         assert read_to(kept[2], b"\r\n\r\nok").startswith(b"HTTP/1.1 200 ")
@@ -230,6 +232,6 @@
         resource.prlimit(gateway.process.pid, resource.RLIMIT_NOFILE, (96, 96))
         gateway.discovery.open()
         assert wait_until(gateway.discovery.accept_now, 3.0), gateway.log_text()
-        kept[3].sendall(Turned.ask("again", shard=0))
+        kept[3].sendall(GatewayRig.request("again", shard=0))
         assert wait_until(gateway.nodes[0].accept_now, 3.0), gateway.log_text()
         assert b"200 OK" in gateway.management_call("/healthcheck") and gateway.process.poll() is None
