--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -193,7 +193,7 @@
         return loaded
 
     def _log_put_aside(self, store: FleetStore) -> None:
-        for item in store.put_aside:
+        for item in store.quarantined:
             self._log.error("store_put_aside", path=item.path, why=item.why)
 
     def _retry_store_later(self) -> None:
--- a/gaugesail/fleet/ctl.py
+++ b/gaugesail/fleet/ctl.py
@@ -132,7 +132,7 @@
     Run it on the machine of the head, before the head is started there.
     """
     try:
-        FleetStore(folder, head).accept_home()
+        FleetStore(folder, head).accept_location()
     except StoreError as error:
         raise click.ClickException(str(error)) from None
     click.echo("it is at home here now")
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -67,11 +67,11 @@
 
 
 class FleetStore:
-    """One gateway's store.  ``put_aside`` tells which stores ``open`` could not use."""
+    """One gateway's store.  ``quarantined`` tells which stores ``open`` could not use."""
 
     def __init__(self, folder: str, gateway: str) -> None:
         self.path = Path(folder) / f"fleet-{gateway}.sqlite"
-        self.put_aside: list[PutAside] = []
+        self.quarantined: list[PutAside] = []
         self._db: sqlite3.Connection | None = None
 
     # ---- opening ----
@@ -147,7 +147,7 @@
             raise StoreFailed(f"{self.path}: {why}; {error}") from None
         # SQLite would play the old store's journal back into the fresh one.
         Path(f"{self.path}-journal").unlink(missing_ok=True)
-        self.put_aside.append(PutAside(str(target), why))
+        self.quarantined.append(PutAside(str(target), why))
 
     # ---- writing ----
 
@@ -189,7 +189,7 @@
 
     # ---- moving ----
 
-    def accept_home(self) -> None:
+    def accept_location(self) -> None:
         """The file was moved here, and no original of it is left.  StoreBusy, StoreFailed."""
         if not self.path.exists():
             raise StoreFailed(f"{self.path}: there is none")
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -449,7 +449,7 @@
         kind = front.operator.write_class if task.write else front.operator.read_class
         transfer = Transfer(task.write, lun_number(task.lun), task.lba, blocks, task.length, task.body)
         order = ClientRequest(
-            front.next_name(),
+            front.next_request_id(),
             front.settings,
             kind,
             task.due - task.since,
@@ -607,7 +607,7 @@
     def room(self) -> int:
         return self._max + OVERFLOW - len(self._open)
 
-    def next_name(self) -> str:
+    def next_request_id(self) -> str:
         self._names += 1
         return str(self._names)
 
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -76,24 +76,24 @@
     copy = tmp_path / "b" / "fleet-h1.sqlite"
     shutil.copy(store.path, copy)
     other, fresh = opened(tmp_path / "b")
-    assert fresh.state.store_id != found.state.store_id and "copy" in other.put_aside[0].why
-    assert Path(other.put_aside[0].path).exists(), "nothing is lost"
+    assert fresh.state.store_id != found.state.store_id and "copy" in other.quarantined[0].why
+    assert Path(other.quarantined[0].path).exists(), "nothing is lost"
     other.close()
 
 
 def test_a_moved_store_is_accepted_once_operators_say_so(tmp_path: Path) -> None:
     store, found = opened(tmp_path)
     with pytest.raises(StoreBusy):
-        FleetStore(str(tmp_path), "h1").accept_home()
+        FleetStore(str(tmp_path), "h1").accept_location()
     store.close()
     (tmp_path / "b").mkdir()
     shutil.copy(store.path, tmp_path / "b" / "fleet-h1.sqlite")
-    FleetStore(str(tmp_path / "b"), "h1").accept_home()
+    FleetStore(str(tmp_path / "b"), "h1").accept_location()
     again, loaded = opened(tmp_path / "b")
     assert loaded.state.store_id == found.state.store_id
     again.close()
     with pytest.raises(StoreFailed):
-        FleetStore(str(tmp_path), "h2").accept_home()
+        FleetStore(str(tmp_path), "h2").accept_location()
 
 
 @pytest.mark.parametrize("damage", ["truncated", "noise", "changed", "gap"])
@@ -117,7 +117,7 @@
         db.close()
     again, loaded = opened(tmp_path)
     assert loaded.state.store_id != found.state.store_id and not loaded.entries
-    assert len(again.put_aside) == 1 and Path(again.put_aside[0].path).stat().st_size
+    assert len(again.quarantined) == 1 and Path(again.quarantined[0].path).stat().st_size
     again.close()
 
 
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -95,7 +95,7 @@
 
 
 def test_a_fault_in_the_target_front_ends_the_one_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(TargetFront, "next_name", raise_told)
+    monkeypatch.setattr(TargetFront, "next_request_id", raise_told)
     text = "daemon iscsi\nnode n1\ninitiator i1\nsend i1 login\nexpect i1 login 0x0000\n"
     head = play(text + "send i1 read tag=1\nexpect i1 check 1 04/44/00\nsend i1 nop x\nexpect i1 nop").head
     assert head.engine.counts["front_raised"] == 1 and head.buffers.out == 0
