--- a/gaugesail/fleet/__init__.py
+++ b/gaugesail/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""One gateway's part in its fleet: files, sockets and clocks around the decisions of gaugesail.coordination.
+"""The I/O of a fleet member: files, sockets and timers around the decisions of gaugesail.coordination.
 
-agent.py carries the decisions out, store.py persists what they rest on, link.py and wire.py carry messages
-between gateways, settings.py reads the fleet's file, and ctl.py is the operators' command.
+agent.py executes the decisions, store.py persists the state that they depend on, link.py and wire.py
+exchange messages between gateways, settings.py reads the fleet's file, and ctl.py is the operators' command.
 """
--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -1,10 +1,10 @@
-"""Runs a gateway's part in its fleet: drives the decisions of FleetNode with its store, link and clock.
+"""Runs a gateway as a member of its fleet: drives FleetNode's decisions with a store, a link and a clock.
 
-Each step is carried out in one order: what has to be persisted is written; then the gateway's engine hears
-what it may spend; then the messages are sent.  Where the write fails nothing of the rest is done, and the
-gateway goes on as one without a store.  The store is tried again with backoff.  Once it can be written the
-gateway starts over from what it holds, as after a restart: under another process number, so that nothing
-that was sent before, or that the failed write may have stored, counts as this process's word.
+Each step is executed in a fixed order: persist the write, pass the quota to the gateway's engine, send the
+messages.  If the write fails, neither quota nor messages follow, and the gateway continues as one without a
+store.  The store is retried with backoff.  Once it can be written, the gateway restarts from its contents as
+a new process would, under another process number, so that neither the messages sent before nor the records
+that the failed write may have left are attributed to this process.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 from .store import FleetStore, StoreBusy, StoreError, StoreFailed
 from .wire import Wire
 
-DEMAND_INTERVAL_US = 100_000  # between two readings of what the gateway's clients ask for
+DEMAND_INTERVAL_US = 100_000  # between two readings of the clients' demand
 START_RETRY_US = 300_000  # while another process has the address or the store
-SWEEP_INTERVAL_US = 5_000_000  # between two sweeps of the link's connections
+SWEEP_INTERVAL_US = 5_000_000  # between two sweeps of the link's idle channels
 MIN_TICK_GAP_US = 1_000
 FIRST_STORE_RETRY_US = 500_000
 LONGEST_STORE_RETRY_US = 8_000_000
@@ -43,9 +43,9 @@
 
 
 class FleetAgent:
-    """One gateway's part in its fleet, for as long as its process lives.
+    """A gateway's membership in its fleet, during the life of one operating system process.
 
-    ``process`` is the number of this process; None draws one, as each start over does.
+    :param process: the process number; by default a random one, as each restart draws.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         self._tick_call: DelayedCall | None = None
         self._tick_at = 0
         self._closed = False
-        self._start_delayed = False  # it has been logged that another process is in the way
+        self._start_delayed = False  # that another process holds the address or the store was logged
         self._timers_started = False
         self._store_backoff = Backoff(FIRST_STORE_RETRY_US, LONGEST_STORE_RETRY_US)
         self._store_retry_pending = False
         self._operator_calls = OperatorCalls(clock, self._step, self._link_counts)
 
     def _begin_process(self, process: int) -> None:
-        """From now on this gateway speaks under this process number, by a link of its own."""
+        """Set the process number, and create the wire and the link that use it."""
         settings = self._settings
         self.process = process
         self.wire = Wire(settings.terms.name, settings.gateway, process, settings.key)
@@ -85,7 +85,7 @@
     # ---- start and end ----
 
     def start(self, engine: Engine) -> None:
-        """Take the address and the store that the file names; while another process has them, wait."""
+        """Listen, open the store and join; retry while another process has the address or the store."""
         self._engine = engine
         self._gateway_settings = engine.settings
         self._start()
@@ -108,17 +108,17 @@
             self._sweep()
 
     def _listen(self) -> tuple[str, int]:
-        """The address that the link listens at.  CannotListenError."""
+        """Listen unless the link does already, and return the address.  CannotListenError."""
         if not self.link.listening:
             host, port = self.address or self._settings.listen
             self.address = self.link.listen(host, port)
         return self.address or self._settings.listen
 
-    def _delay_start(self, why: str) -> None:
-        """The process before this one still runs: nothing of a limit is spent here until it has ended."""
+    def _delay_start(self, reason: str) -> None:
+        """Retry the start later: the previous process still runs, and alone may spend quota until it ends."""
         if not self._start_delayed:
             self._start_delayed = True
-            self._log.warning("fleet_start_delayed", why=why)
+            self._log.warning("fleet_start_delayed", why=reason)
         self._clock.call_later(START_RETRY_US, self._start)
 
     def _start_node(self, address: str, loaded: StoredState | None) -> None:
@@ -127,7 +127,7 @@
         identity = GatewayIdentity(settings.gateway, address, self.process, now // 1000)
         seed = secrets.randbits(63)
         self.node = FleetNode(settings.terms, digest(settings.terms), identity, loaded, seed, now)
-        self._pass_limits()
+        self._pass_limits_to_node()
         self._log.info(
             "fleet_started",
             fleet=settings.terms.name,
@@ -139,12 +139,12 @@
         )
 
     def retune(self, settings: Settings) -> None:
-        """This gateway's own file states other limits."""
+        """Apply the limits of a new configuration of this gateway."""
         self._gateway_settings = settings
-        self._pass_limits()
+        self._pass_limits_to_node()
 
-    def _pass_limits(self) -> None:
-        """Tell the node the limits of this gateway's own file, in thousandths."""
+    def _pass_limits_to_node(self) -> None:
+        """Pass the limits of this gateway's configuration to the node, in thousandths of a unit."""
         settings = self._gateway_settings
         if self.node is None or settings is None:
             return
@@ -156,13 +156,13 @@
         self.node.set_limits(limits, round(settings.max_request_units * 1000))
 
     def leave(self) -> None:
-        """This gateway ends in order."""
+        """Leave the fleet in order: return the quota, and notify the other members."""
         if self.node is not None and not self.node.lease_holder.leaving:
             self._log.info("fleet_leaving", head=self._settings.gateway)
             self._step(lambda node, now: node.leave(now))
 
     def close(self) -> None:
-        """Send and receive nothing any more, and give the store up."""
+        """Stop sending and receiving, and close the store."""
         self._closed = True
         self._stop_node()
         if self._store is not None:
@@ -177,7 +177,7 @@
     # ---- the store ----
 
     def _open_store(self) -> StoredState | None:
-        """What the store holds; None where there is none, or none that can be used.  StoreBusy."""
+        """Open the store and return its contents; None if there is no usable store.  StoreBusy."""
         if self._settings.folder is None:
             return None
         store = FleetStore(self._settings.folder, self._settings.gateway)
@@ -188,13 +188,13 @@
             self._retry_store_later()
             return None
         finally:
-            self._log_put_aside(store)
+            self._log_quarantined(store)
         self._store = store
         return loaded
 
-    def _log_put_aside(self, store: FleetStore) -> None:
+    def _log_quarantined(self, store: FleetStore) -> None:
         for item in store.quarantined:
-            self._log.error("store_put_aside", path=item.path, why=item.why)
+            self._log.error("store_put_aside", path=item.path, why=item.reason)
 
     def _retry_store_later(self) -> None:
         if self._store_retry_pending or self._closed:
@@ -203,7 +203,7 @@
         self._clock.call_later(self._store_backoff.next_us(), self._retry_store)
 
     def _retry_store(self) -> None:
-        """Start over from the store, if it can be read and written again."""
+        """Restart from the store if it can be read and written again; else retry later."""
         self._store_retry_pending = False
         leaving = self.node is not None and self.node.lease_holder.leaving
         if self._closed or leaving or self._settings.folder is None or self._store is not None:
@@ -211,20 +211,20 @@
         store = FleetStore(self._settings.folder, self._settings.gateway)
         try:
             store.open()
-            store.prove()
+            store.check_writable()
         except StoreError as error:
             self._log.warning("fleet_store_unavailable", why=str(error))
             self._retry_store_later()
             return
         finally:
             store.close()
-            self._log_put_aside(store)
-        self._start_over()
+            self._log_quarantined(store)
+        self._restart()
 
-    def _start_over(self) -> None:
-        """Start as a process that has just begun.
+    def _restart(self) -> None:
+        """Restart as a new process of this gateway.
 
-        What this gateway holds under its lease ends with the lease, as the leader counts it; its floor stays.
+        Quota held under the old lease ends when the leader counts the lease as expired; the floor stays.
         """
         self._log.info("fleet_restarted", head=self._settings.gateway)
         self._stop_node()
@@ -240,21 +240,21 @@
         self._receive(self._settings.gateway, self.process, message)
 
     def _step(self, call: Callable[[FleetNode, int], StepOutput]) -> None:
-        """Run one step of the node, carry out what it comes to, and plan the next tick."""
+        """Run one step of the node, execute its output, and schedule the next tick."""
         node = self.node
         if node is None:
             return
         now = self._clock.now_us()
         try:
-            self._carry_out(node, now, call(node, now))
-        except Exception as error:  # a fault of ours must not end the gateway: it serves on with what it has
+            self._execute(node, now, call(node, now))
+        except Exception as error:  # a fault in this code must not stop the gateway from serving
             self._log.error("fleet_raised", error=repr(error))
-            if node.has_store:  # what half a step promised may not be stored: nothing may rest on it
-                node.store_failed(now, "a step was not carried out")
-        self._plan_tick()
+            if node.has_store:  # a partial step may be missing from the store: do not rely on the store
+                node.store_failed(now, "a step was not completed: see fleet_raised")
+        self._schedule_tick()
 
-    def _carry_out(self, node: FleetNode, now: int, output: StepOutput) -> None:
-        """Persist, then pass on the quota, then send: what is spent or sent rests on what is persisted."""
+    def _execute(self, node: FleetNode, now: int, output: StepOutput) -> None:
+        """Persist, then pass on the quota, then send: quota and messages depend on persisted state."""
         self._log_notices(output)
         if not self._persist(node, now, output):
             return
@@ -268,7 +268,7 @@
                 self.link.send(receiver, message)
 
     def _persist(self, node: FleetNode, now: int, output: StepOutput) -> bool:
-        """Write what has to be persisted; False where that failed and the step must not be carried out."""
+        """Write what has to be persisted; False if that failed and the step must not be executed."""
         if output.write is None or self._store is None:
             return True
         try:
@@ -289,7 +289,7 @@
 
     # ---- timers ----
 
-    def _plan_tick(self) -> None:
+    def _schedule_tick(self) -> None:
         node = self.node
         if node is None or self._closed:
             return
@@ -307,7 +307,7 @@
         self._step(lambda node, now: node.tick(now))
 
     def _report_demand(self) -> None:
-        """Tell the node what the gateway's clients have asked for since the last reading."""
+        """Report the clients' demand since the last reading to the node."""
         if self._closed or self._engine is None or self._gateway_settings is None:
             return
         weights = {
@@ -328,7 +328,7 @@
     # ---- the link ----
 
     def _address_of(self, gateway: str) -> tuple[str, int] | None:
-        """Where a gateway is reached: by this gateway's own file, or else as it says itself."""
+        """Return a gateway's address: the one in the fleet's file, or else the one that it advertises."""
         configured = self._settings.peers.get(gateway)
         if configured is not None:
             return configured
@@ -344,7 +344,7 @@
     # ---- operators' calls ----
 
     def call(self, method: str, path: list[str]) -> tuple[int, str]:
-        """Answer a call at the second address: HTTP status and body (operator_calls.py)."""
+        """Answer a call at the management address with an HTTP status and a body (operator_calls.py)."""
         return self._operator_calls.answer(self.node, method, path)
 
 
--- a/gaugesail/fleet/backoff.py
+++ b/gaugesail/fleet/backoff.py
@@ -1,14 +1,18 @@
-"""Waits that grow: exponential backoff with jitter."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
 import random
 
-JITTER = 0.25  # of each wait, either way: gateways whose disks failed together do not retry in step
+JITTER = 0.25  # of each delay, up or down, so that gateways whose disks failed together retry apart
 
 
 class Backoff:
-    """The waits between attempts of one thing, in microseconds.  Each is twice the one before."""
+    """Delays between the attempts of one operation, in microseconds; each doubles the one before it.
+
+    :param first_us: the first delay, also after ``reset``.
+    :param longest_us: no delay is longer, before jitter.
+    """
 
     def __init__(self, first_us: int, longest_us: int) -> None:
         self._first_us = first_us
@@ -17,11 +21,11 @@
         self._rng = random.SystemRandom()
 
     def next_us(self) -> int:
-        """How long to wait before the next attempt."""
-        wait = int(self._next_us * self._rng.uniform(1 - JITTER, 1 + JITTER))
+        """Return the delay before the next attempt, and double the one after it."""
+        delay = int(self._next_us * self._rng.uniform(1 - JITTER, 1 + JITTER))
         self._next_us = min(self._longest_us, 2 * self._next_us)
-        return wait
+        return delay
 
     def reset(self) -> None:
-        """An attempt has succeeded."""
+        """Begin with the first delay again, after an attempt that succeeded."""
         self._next_us = self._first_us
--- a/gaugesail/fleet/ctl_pages.py
+++ b/gaugesail/fleet/ctl_pages.py
@@ -1,6 +1,6 @@
-"""The pages of `gaugesail ctl`: tables made of what a gateway answers.
+"""The pages of `gaugesail ctl`: tables made of a gateway's JSON responses.
 
-The keys of the answers are those of the second address, which stay; units are a second, and at once.
+The keys are those of the responses of operator_calls.py.  Rates are units per second, bursts units.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 from rich.table import Table
 
 Page = list[str | Table]
-View = dict[str, Any]  # a JSON object of the second address
+View = dict[str, Any]  # a JSON object of a response
 
 
 def members_page(view: View) -> Page:
-    """The fleet's members, as one of them sees them."""
+    """The fleet's members, as one gateway sees them."""
     table = Table(box=None)
-    for name in ("head", "state", "for", "address", "keeper"):
+    for name in ("gateway", "state", "for", "address", "replica"):
         table.add_column(name)
     for row in view["members"]:
-        keeps = "leads" if row["name"] == view["leader"] else "keeps" * (row["name"] in view["keepers"])
-        table.add_row(row["name"], row["state"], f"{row['for_s']:.0f} s", row["address"], keeps)
-    return [f"Seen by {view['head']}, fleet {view['fleet'] or 'not founded yet'}", table]
+        role = "leader" if row["name"] == view["leader"] else "replica" * (row["name"] in view["keepers"])
+        table.add_row(row["name"], row["state"], f"{row['for_s']:.0f} s", row["address"], role)
+    return [f"Seen by {view['head']}, fleet {view['fleet'] or 'not bootstrapped yet'}", table]
 
 
 def budgets_page(view: View) -> Page:
-    """What a gateway may spend; from a replica also the limits and all that is allocated."""
+    """A gateway's own quota; from a replica also the limits and all allocations."""
     page = _lease_lines(view)
-    page.append(_own_table(view["own"]))
+    page.append(_own_quota_table(view["own"]))
     if "wholes" not in view:
-        page.append(f"It keeps no log; ask {view['leader'] or 'a keeper'} for the whole.")
+        page.append(f"Not a replica; query {view['leader'] or 'a replica'} for all allocations.")
         return page
     if not view["settled"]:
-        page.append("held back: a whole has changed; the smaller figure holds until the old leases are over")
+        page.append("held back: a limit has changed; the smaller value applies until old leases end")
     page.append(_limits_table(view["wholes"]))
     page.append(_allocations_table(view))
     return page
@@ -41,9 +41,9 @@
 def _lease_lines(view: View) -> Page:
     own = view["own"]
     seconds = own["lease_s"]
-    lease = f"its lease runs for {seconds:.1f} s" if seconds else "it has no lease: floors alone"
+    lease = f"lease ends in {seconds:.1f} s" if seconds else "no lease, only floors"
     slot = own["slot"] if own["slot"] >= 0 else "none"
-    lines: Page = [f"{view['head']}: {lease}; floor {slot}"]
+    lines: Page = [f"{view['head']}: {lease}; floor slot {slot}"]
     if own["refused"]:
         lines.append(f"held back: {own['refused']}")
     return lines
@@ -56,36 +56,36 @@
     return table
 
 
-def _own_table(own: View) -> Table:
-    table = _table("Its own", ("amount", "kind", "a second", "at once"))
+def _own_quota_table(own: View) -> Table:
+    table = _table("Own quota", ("quota", "kind", "rate", "burst"))
     for plan, pair in own["floors"].items():
         table.add_row(plan, "floor", f"{pair['rate']:.2f}", f"{pair['burst']:.1f}")
     for quota_name, pair in own["parts"].items():
-        table.add_row(quota_name, "part", f"{pair['rate']:.2f}", f"{pair['burst']:.1f}")
+        table.add_row(quota_name, "allocation", f"{pair['rate']:.2f}", f"{pair['burst']:.1f}")
     return table
 
 
 def _limits_table(limits: View) -> Table:
-    table = _table("Wholes", ("plan", "a second", "at once", "floors of it"))
+    table = _table("Limits", ("plan", "rate", "burst", "floors"))
     for plan, row in limits.items():
         table.add_row(plan, f"{row['rate']:.1f}", f"{row['burst']:.1f}", f"{row['floors']:.1f}")
     return table
 
 
 def _allocations_table(view: View) -> Table:
-    columns = ("amount", "head", "a second", "at once", "asked for", "used", "counted for", "why not more")
-    table = _table("Granted", columns)
+    columns = ("quota", "gateway", "rate", "burst", "demand", "used", "lease left", "note")
+    table = _table("Allocations", columns)
     leases = {row["session"]: row for row in view["sessions"]}
     for quota_name, row in view["amounts"].items():
         for allocation in row["parts"]:
             lease = leases.get(allocation["session"], {})
             table.add_row(quota_name, *_allocation_cells(allocation, lease))
-        table.add_row(quota_name, "(nobody)", f"{row['free']:.2f}", "", "", "", "", "")
+        table.add_row(quota_name, "(unallocated)", f"{row['free']:.2f}", "", "", "", "", "")
     return table
 
 
 def _allocation_cells(allocation: View, lease: View) -> list[str]:
-    """One allocation; demand, use and the lease's time are known to the leader alone."""
+    """The cells of one allocation; only the leader knows demand, use and the time left of the lease."""
     return [
         allocation["head"],
         f"{allocation['rate']:.2f}",
--- a/gaugesail/fleet/link.py
+++ b/gaugesail/fleet/link.py
@@ -1,6 +1,6 @@
-"""The link between gateways: datagrams for what is small, a TCP channel for what is large.
+"""Sends and receives messages between gateways: small ones as UDP datagrams, large ones over TCP channels.
 
-Nothing here is promised to arrive.  Each gateway listens at one address for both.
+Delivery is not guaranteed.  Each gateway listens at one address for both.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .tcp_channel import IDLE_TIMEOUT_US, AcceptedChannels, DialledChannel
 from .wire import MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, Wire
 
-MAX_PACKET_BYTES = 65_536  # what a datagram can hold at all
+MAX_PACKET_BYTES = 65_536  # the largest UDP datagram
 Address = tuple[str, int]  # host and port
 
 
@@ -25,18 +25,18 @@
     """The part of a Twisted reactor that the link uses."""
 
     def callLater(self, delay: float, call: Callable[..., Any], /, *args: Any) -> Any:
-        """Call after ``delay`` seconds."""
+        """Schedule a call after ``delay`` seconds."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Listen; CannotListenError."""
+        """Accept connections.  CannotListenError."""
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:  # noqa: N803
-        """Receive datagrams; CannotListenError."""
+        """Receive datagrams.  CannotListenError."""
 
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None  # noqa: N803
     ) -> Any:  # fmt: skip
-        """Dial."""
+        """Connect to an address."""
 
 
 class _Datagrams(DatagramProtocol):
@@ -50,10 +50,12 @@
 
 
 class Link:
-    """One process's way to the other gateways.
+    """Exchanges one process's messages with the other gateways.
 
-    ``address_of`` tells where a gateway is reached, or None; ``receive`` takes each message with its sender
-    and the sender's process.  ``counts`` are operators' counters of bytes, and of what could not be sent.
+    ``counts`` are the operators' counters of bytes, and of messages that could not be sent.
+
+    :param address_of: returns the address of a gateway by its name; None if it is not known.
+    :param receive: called with the sender, the sender's process and the message.
     """
 
     def __init__(
@@ -84,7 +86,7 @@
         return bool(self._ports)
 
     def listen(self, host: str, port: int) -> Address:
-        """Listen at one address for both; returns it.  CannotListenError where it cannot be had."""
+        """Listen for TCP and UDP at one address, and return it.  CannotListenError."""
         accepting = self._reactor.listenTCP(port, self._accepted, interface=host)
         port = accepting.getHost().port
         try:
@@ -98,7 +100,7 @@
         return host, port
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message to a gateway, as far as it can be reached; nobody hears whether it arrived."""
+        """Send a message to a gateway if its address is known; there is no acknowledgement."""
         address = self._address_of(to)
         if address is None or self._closed:
             self.counts["no_address"] += 1
@@ -118,7 +120,7 @@
         transport: Any = self._datagrams.transport
         try:
             transport.write(frame, address)
-        except OSError:  # a full buffer, or no route: as if it were lost on the way
+        except OSError:  # a full buffer or no route: as if the network had lost it
             self.counts["not_sent"] += 1
 
     def _channel(self, address: Address) -> DialledChannel:
@@ -135,16 +137,16 @@
             self._receive(*received)
 
     def sweep(self) -> None:
-        """End channels that nobody uses."""
+        """Close idle channels."""
         now = self._clock.now_us()
         for address, channel in list(self._channels.items()):
             if now - channel.used_at > IDLE_TIMEOUT_US:
                 channel.close()
                 del self._channels[address]
-        self._accepted.end_idle(now)
+        self._accepted.close_idle(now)
 
     def close(self) -> None:
-        """Send and receive nothing any more."""
+        """Stop listening, and close all channels."""
         self._closed = True
         for port in self._ports:
             port.stopListening()
--- a/gaugesail/fleet/operator_calls.py
+++ b/gaugesail/fleet/operator_calls.py
@@ -1,6 +1,6 @@
-"""What operators ask of a gateway's fleet at its second address, and how it is answered.
+"""The operators' calls to a gateway's fleet, at its management address.
 
-The names of the calls and the keys of their answers are those of operators' scripts, and stay.
+The names of the calls and the keys of their answers are an interface for operators' scripts.
 """
 
 from __future__ import annotations
@@ -21,20 +21,26 @@
 class OperatorCalls:
     """Answers GET members, budgets, link, petitions/N; POST trust-store, forget/NAME.
 
-    ``take_step`` runs one step of the node and carries out what it comes to.
+    :param clock: the time for the views.
+    :param run_step: runs one step of the node and executes its output.
+    :param link_counts: returns the counters of the link and the wire.
     """
 
     def __init__(
-        self, clock: Clock, take_step: Callable[[Step], None], link_counts: Callable[[], dict[str, Any]]
+        self, clock: Clock, run_step: Callable[[Step], None], link_counts: Callable[[], dict[str, Any]]
     ) -> None:
         self._clock = clock
-        self._take_step = take_step
+        self._run_step = run_step
         self._link_counts = link_counts
 
     def answer(self, node: FleetNode | None, method: str, path: list[str]) -> Answer:
-        """One call."""
+        """Execute one call.
+
+        :param node: None before the gateway has joined the fleet.
+        :param path: the parts of the path below ``/fleet``.
+        """
         if node is None:
-            return 503, "not in the fleet yet"
+            return 503, "this gateway has not joined its fleet yet"
         match method, path:
             case "GET", ["members"]:
                 return 200, json.dumps(node.view_members(self._clock.now_us()))
@@ -45,14 +51,14 @@
             case "GET", ["petitions", number] if number.isdigit():
                 return 200, json.dumps(_command_result(node, int(number)))
             case "POST", ["trust-store"]:
-                self._take_step(lambda node, now: node.trust_store(now))
-                return 200, "this store is taken for the latest"
+                self._run_step(lambda node, now: node.trust_store(now))
+                return 200, "this gateway's store is trusted as the latest"
             case "POST", ["forget", name]:
                 return 202, json.dumps({"petition": self._forget(name)})
-        return _refusal(path)
+        return _error_answer(path)
 
     def _forget(self, gateway: str) -> int:
-        """Submit the command that a gateway is gone for good; returns its number."""
+        """Submit the command that removes a gateway for good; return its number for ``petitions/N``."""
         numbers: list[int] = []
 
         def submit(node: FleetNode, now: int) -> StepOutput:
@@ -60,7 +66,7 @@
             numbers.append(number)
             return output
 
-        self._take_step(submit)
+        self._run_step(submit)
         return numbers[0]
 
 
@@ -71,7 +77,7 @@
     return {"known": True, "done": result.done, "why": result.reason}
 
 
-def _refusal(path: list[str]) -> Answer:
+def _error_answer(path: list[str]) -> Answer:
     match path:
         case ["members" | "budgets" | "link"] | ["petitions", _]:
             return 405, "use GET"
--- a/gaugesail/fleet/replay_window.py
+++ b/gaugesail/fleet/replay_window.py
@@ -1,28 +1,28 @@
-"""Which of the latest message numbers of one sender have come, as one bit each."""
+"""Replay protection: a sliding window over the message numbers of one sender, one bit each."""
 
 from __future__ import annotations
 
-WINDOW_SIZE = 1024  # numbers that are told apart, however far out of order they come
+WINDOW_SIZE = 1024  # numbers that are remembered, counted back from the highest: older ones are dropped
 
 
 class ReplayWindow:
-    """The numbers of one process that were taken."""
+    """The message numbers of one process that were accepted."""
 
-    __slots__ = ("_newest", "_seen")
+    __slots__ = ("_highest", "_seen")
 
     def __init__(self) -> None:
-        self._newest = -1
-        self._seen = 0  # bit n: ``_newest - n`` has come
+        self._highest = -1
+        self._seen = 0  # bit n: ``_highest - n`` was accepted
 
-    def take(self, number: int) -> bool:
-        """Whether a number has not come before; one that is too old to tell counts as if it had."""
-        if number > self._newest:
-            shift = min(WINDOW_SIZE, number - self._newest)
+    def accept(self, number: int) -> bool:
+        """Record a number; False for a replay, and for a number that is older than the window."""
+        if number > self._highest:
+            shift = min(WINDOW_SIZE, number - self._highest)
             self._seen = (self._seen << shift) & ((1 << WINDOW_SIZE) - 1) | 1
-            self._newest = number
+            self._highest = number
             return True
-        behind = self._newest - number
-        if behind >= WINDOW_SIZE or self._seen >> behind & 1:
+        age = self._highest - number
+        if age >= WINDOW_SIZE or self._seen >> age & 1:
             return False
-        self._seen |= 1 << behind
+        self._seen |= 1 << age
         return True
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -1,6 +1,6 @@
-"""The fleet's file: read and checked as a whole, so that all that is wrong with it is told at once.
+"""The fleet's file: reads and checks all of it, and reports all errors at once.
 
-Its keys are the operators', and stay; they are mapped to FleetTerms and FleetSettings here.
+The fields of the structs are the file's keys; they are mapped to FleetTerms and FleetSettings here.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class FleetError(ValueError):
-    """The file cannot be used; the text names each entry that is wrong, a line for each."""
+    """The file cannot be used; each line of the text is an error, with its entry and what is expected."""
 
 
 class _Fleet(msgspec.Struct, forbid_unknown_fields=True):
@@ -70,113 +70,112 @@
     terms: FleetTerms
     gateway: str
     listen: Address
-    advertise: Address | None  # where others reach it; None: where it listens
+    advertise: Address | None  # where other gateways reach it; None: at ``listen``
     key: bytes  # shared by the fleet
-    folder: str | None  # of its store; None: it has none
-    peers: dict[str, Address]  # where this gateway reaches others
+    folder: str | None  # of its store; None: no store
+    peers: dict[str, Address]  # addresses of other gateways, by name
 
 
 class _FileReader:
-    """Reads one file's contents.  What is wrong is collected in ``faults``, and read as if it were absent."""
+    """Reads the tables of one file.  ``errors`` collects all errors; a wrong value is read as if absent."""
 
     def __init__(self, data: dict[str, Any]) -> None:
         self._data = data
-        self.faults: list[str] = []
+        self.errors: list[str] = []
 
-    def unknown_tables(self) -> None:
-        """Tables that no file has."""
-        for word in self._data.keys() - {"fleet", "budgets", "peer"}:
-            self.faults.append(f"{word}: unknown; known are [fleet], [budgets] and [[peer]]")
+    def check_table_names(self) -> None:
+        """Report unknown tables."""
+        for name in self._data.keys() - {"fleet", "budgets", "peer"}:
+            self.errors.append(f"{name}: unknown table; expected [fleet], [budgets] or [[peer]]")
 
     def table(self, key: str, kind: type[_Row]) -> _Row:
-        """One table, each field checked by itself."""
+        """Read one table; each field is checked by itself."""
         return self._row(self._data.get(key, {}), kind, f"[{key}]")
 
     def _row(self, row: Any, kind: type[_Row], where: str) -> _Row:
         if not isinstance(row, dict):
-            self.faults.append(f"{where}: a table is needed, not {row!r}")
+            self.errors.append(f"{where}: expected a table, got {row!r}")
             row = {}
         known = {field.name: field for field in msgspec.structs.fields(kind)}
         for name in row.keys() - known.keys():
-            self.faults.append(f"{where} {name}: unknown; known are {', '.join(sorted(known))}")
+            self.errors.append(f"{where} {name}: unknown key; expected one of {', '.join(sorted(known))}")
         values = {name: self._value(row, field, where) for name, field in known.items()}
         return kind(**values)
 
     def _value(self, row: dict[str, Any], field: msgspec.structs.FieldInfo, where: str) -> Any:
-        """One field; None, or its default, where it is wrong or missing."""
+        """Read one field; its default, or None if it has none, if it is wrong or missing."""
         if field.name in row:
             try:
                 return msgspec.convert(row[field.name], field.type)
             except msgspec.ValidationError as error:
-                self.faults.append(f"{where} {field.name}: {error}, not {row[field.name]!r}")
+                self.errors.append(f"{where} {field.name}: {error}, got {row[field.name]!r}")
         elif field.required:
-            self.faults.append(f"{where} {field.name}: it is missing")
+            self.errors.append(f"{where} {field.name}: missing, but required")
         return None if field.required else field.default
 
     def peers(self) -> dict[str, Address]:
-        """The rows of [[peer]]."""
+        """Read the rows of [[peer]]: addresses by gateway name."""
         rows = self._data.get("peer", [])
         if not isinstance(rows, list):
-            self.faults.append("[[peer]]: rows are needed")
+            self.errors.append(f"[[peer]]: expected an array of tables, got {rows!r}")
             rows = []
         peers: dict[str, Address] = {}
         for number, item in enumerate(rows, 1):
             row = self._row(item, _Peer, f"[[peer]] {number}")
             address = self.address(row.address, f"[[peer]] {number} address")
             if row.name in peers:
-                self.faults.append(f"[[peer]] {number} name: {row.name!r} comes twice")
+                self.errors.append(f"[[peer]] {number} name: expected a name once, got {row.name!r} again")
             if row.name is not None:
                 peers[row.name] = address
         return peers
 
     def address(self, text: str | None, where: str) -> Address:
-        """HOST:PORT, of which the host is an IPv4 address: names are not looked up."""
+        """Read HOST:PORT, where the host is an IPv4 address: names are not resolved."""
         if text is None:
-            return "", 0  # a fault that is told already
+            return "", 0  # reported already
         try:
             host, port = split_address(text)
             return str(ipaddress.IPv4Address(host)), port
         except (BadList, ValueError) as error:
-            self.faults.append(f"{where}: {error}")
+            self.errors.append(f"{where}: {error}")
             return "", 0
 
     def key(self, fleet: _Fleet) -> bytes:
-        """The shared key, from the file itself or from the one that it names."""
+        """Read the shared key, from the file itself or from the one that ``key_file`` names."""
         if bool(fleet.key) == bool(fleet.key_file):
-            self.faults.append("[fleet] key: either key or key_file is needed")
+            self.errors.append("[fleet] key: expected either key or key_file, got both or neither")
             return b""
         try:
             key = fleet.key.encode() if fleet.key else Path(fleet.key_file).read_bytes().strip()
         except OSError as error:
-            self.faults.append(f"[fleet] key_file: {error}")
+            self.errors.append(f"[fleet] key_file: {error}")
             return b""
         if len(key) < MIN_KEY_BYTES:
-            self.faults.append(
-                f"[fleet] key: {len(key)} bytes are too few; at least {MIN_KEY_BYTES} are needed"
-            )
+            self.errors.append(f"[fleet] key: {len(key)} bytes given, expected at least {MIN_KEY_BYTES}")
         return key
 
     def check_replicas(self, fleet: _Fleet, replicas: list[str], peers: dict[str, Address]) -> None:
-        """An odd number of replicas, each once and reachable, and a store where this gateway is one."""
+        """Check that replicas are odd in number, distinct and reachable, and that this one has a store."""
         if len(set(replicas)) < len(replicas):
-            self.faults.append("[fleet] keepers: one comes twice")
+            self.errors.append(f"[fleet] keepers: expected each name once, got {replicas!r}")
         for name in replicas:
             if name != fleet.head and name not in peers:
-                self.faults.append(
-                    f"[fleet] keepers: {name!r} has no [[peer]] row, so that it cannot be reached"
+                self.errors.append(
+                    f"[fleet] keepers: {name!r} has no [[peer]] row with the address to reach it at"
                 )
         if replicas and len(replicas) % 2 == 0:
-            self.faults.append(
-                f"[fleet] keepers: {len(replicas)} bear no more failures than {len(replicas) - 1}"
+            self.errors.append(
+                f"[fleet] keepers: {len(replicas)} tolerate no more failures than {len(replicas) - 1};"
+                " expected an odd number"
             )
         if fleet.head in replicas and not fleet.folder:
-            self.faults.append("[fleet] folder: a keeper needs one")
+            self.errors.append(f"[fleet] folder: missing, but required: {fleet.head!r} is a keeper")
 
 
 def read_fleet(data: dict[str, Any]) -> FleetSettings:
-    """The settings of a file's contents; FleetError tells all that is wrong."""
+    """Return the settings of a file's parsed contents.  FleetError lists all errors."""
     reader = _FileReader(data)
-    reader.unknown_tables()
+    reader.check_table_names()
     fleet = reader.table("fleet", _Fleet)
     budgets = reader.table("budgets", _Budgets)
     peers = reader.peers()
@@ -185,8 +184,8 @@
     key = reader.key(fleet)
     replicas = fleet.keepers or []
     reader.check_replicas(fleet, replicas, peers)
-    if reader.faults:
-        raise FleetError("\n".join(reader.faults))
+    if reader.errors:
+        raise FleetError("\n".join(reader.errors))
     peers.pop(fleet.head, None)
     terms = _terms(fleet, budgets)
     return FleetSettings(terms, fleet.head, listen, advertise, key, fleet.folder or None, peers)
@@ -205,7 +204,7 @@
 
 
 def load_fleet(path: str) -> FleetSettings:
-    """The settings of the file at a path; FleetError names it and all that is wrong with it."""
+    """Read the file at a path.  FleetError has the path and an error in each line."""
     try:
         return read_fleet(tomllib.loads(Path(path).read_text()))
     except (OSError, ValueError) as error:
@@ -214,6 +213,6 @@
 
 
 def digest(terms: FleetTerms) -> str:
-    """Short, and the same at each gateway whose file has the same terms: a hash of their values in order."""
+    """Return a short hash of the terms' values in order, which gateways compare to agree on their terms."""
     values = msgspec.json.encode([getattr(terms, name) for name in terms.__slots__])
     return hashlib.blake2b(values, digest_size=8).hexdigest()
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -1,8 +1,8 @@
-"""What a gateway persists for its fleet: votes, log, starts and floor, in one SQLite file of one process.
+"""A gateway's persistent fleet state: votes, log, starts and floor, in one SQLite file locked by one process.
 
-A write is one transaction, on the disk before ``write`` returns.  The file knows where it was made: one that
-is found elsewhere is a copy, and a copy beside its original must not spend the same floor.  What is damaged
-or a copy is put aside under another name, never deleted, and a fresh store is made in its place.
+A write is one transaction, synced to disk before ``write`` returns.  The file records where it was created:
+one that is found elsewhere is a copy, and a copy beside its original must not spend the same floor.  A
+damaged store or a copy is quarantined, that is renamed, never deleted, and replaced by a new empty store.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 LOCK_TIMEOUT_S = 0.05
 
 # Names of the stored records.
-HOME = "home"  # where the file was made
+LOCATION = "home"  # host, device and inode of the file when it was created
 STATE = "kept"  # a PersistentState
 SNAPSHOT = "snapshot"
-PROOF = "proof"  # written to see that the store can be written
+WRITE_CHECK = "proof"  # random bytes of ``check_writable``
 
 
 class StoreError(Exception):
-    """The store is not to be had; the text says why."""
+    """The store cannot be used; the text names its path and the reason."""
 
 
 class StoreBusy(StoreError):
-    """Another process has it."""
+    """Another process holds the store's lock."""
 
 
 class StoreFailed(StoreError):
-    """It cannot be read or written."""
+    """The store cannot be read or written."""
 
 
 class _StoredSnapshot(msgspec.Struct):
-    """A snapshot as it is stored; the names of the stored keys are those of the first version."""
+    """A stored snapshot; its keys are those of the first version of the format."""
 
     index: int
     term: int
@@ -53,11 +53,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PutAside:
-    """A store that could not be used: where it is now, and why."""
+class QuarantinedStore:
+    """A store that could not be used and was renamed to ``path``, for a reason."""
 
     path: str
-    why: str
+    reason: str
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -67,39 +67,43 @@
 
 
 class FleetStore:
-    """One gateway's store.  ``quarantined`` tells which stores ``open`` could not use."""
+    """One gateway's store.  ``quarantined`` lists the stores that ``open`` could not use and has renamed.
+
+    :param folder: where the file is.
+    :param gateway: the gateway's name, which is part of the file's name.
+    """
 
     def __init__(self, folder: str, gateway: str) -> None:
         self.path = Path(folder) / f"fleet-{gateway}.sqlite"
-        self.quarantined: list[PutAside] = []
+        self.quarantined: list[QuarantinedStore] = []
         self._db: sqlite3.Connection | None = None
 
     # ---- opening ----
 
     def open(self) -> StoredState:
-        """Take the store and read all of it.  StoreBusy, StoreFailed."""
+        """Lock the store, creating it if there is none, and return its contents.  StoreBusy, StoreFailed."""
         for _ in range(2):
             try:
                 return self._open()
             except DamagedStore as damage:
-                self._put_aside(str(damage))
-        raise StoreFailed(f"{self.path}: a fresh store cannot be read either")
+                self._quarantine(str(damage))
+        raise StoreFailed(f"{self.path}: the new store that replaced a damaged one cannot be read either")
 
     def _open(self) -> StoredState:
         try:
-            return self._take()
+            return self._lock_and_read()
         except sqlite3.OperationalError as error:
             self.close()
             raise _operational_error(self.path, error) from None
         except (sqlite3.DatabaseError, msgspec.MsgspecError) as error:
             self.close()
-            raise DamagedStore(f"torn: {error}") from None
+            raise DamagedStore(f"damaged: {error}") from None
         except OSError as error:
             self.close()
             raise StoreFailed(f"{self.path}: {error}") from None
 
-    def _take(self) -> StoredState:
-        """Lock the file for as long as the process lives, and read it.  Its lock goes with the process."""
+    def _lock_and_read(self) -> StoredState:
+        """Lock the file until ``close`` or the end of the process, and read it."""
         db = sqlite3.connect(self.path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
         self._db = db
         db.execute("pragma locking_mode = exclusive")
@@ -112,31 +116,33 @@
         return stored
 
     def _read(self, tables: StoreTables) -> StoredState:
-        home = tables.record(HOME)
+        location = tables.record(LOCATION)
         state = tables.record(STATE)
-        if home is None and state is None and not tables.has_entries():
-            return self._begin_store(tables)
-        if home is None or state is None:
-            raise DamagedStore("torn: a part is missing")
-        if home != self._home():
-            raise DamagedStore(f"a copy: it was made at {home.decode(errors='replace')}")
+        if location is None and state is None and not tables.has_entries():
+            return self._initialize(tables)
+        if location is None or state is None:
+            raise DamagedStore(f"damaged: both records {LOCATION!r} and {STATE!r} are needed")
+        if location != self._location():
+            raise DamagedStore(
+                f"a copy: created at {location.decode(errors='replace')!r} (host, device, inode)"
+            )
         snapshot = _read_snapshot(tables)
         entries = [_entry_decoder.decode(data) for data in tables.entries(snapshot.index + 1)]
         return StoredState(_decode_state(state), snapshot, entries)
 
-    def _begin_store(self, tables: StoreTables) -> StoredState:
-        tables.put_record(HOME, self._home())
+    def _initialize(self, tables: StoreTables) -> StoredState:
+        tables.put_record(LOCATION, self._location())
         fresh = PersistentState(secrets.token_hex(6))
         tables.put_record(STATE, _encode(fresh))
         return StoredState(fresh)
 
-    def _home(self) -> bytes:
-        """Where the file is: a copy of it has another."""
+    def _location(self) -> bytes:
+        """Return host name, device and inode of the file, which differ for a copy."""
         stat = self.path.stat()
         return f"{socket.gethostname()} {stat.st_dev} {stat.st_ino}".encode()
 
-    def _put_aside(self, why: str) -> None:
-        """Keep what cannot be used, under another name.  StoreFailed."""
+    def _quarantine(self, reason: str) -> None:
+        """Rename a store that cannot be used, to keep it.  StoreFailed."""
         self.close()
         number = 1
         while (target := self.path.with_suffix(f".aside-{number}")).exists():
@@ -144,15 +150,15 @@
         try:
             self.path.rename(target)
         except OSError as error:
-            raise StoreFailed(f"{self.path}: {why}; {error}") from None
-        # SQLite would play the old store's journal back into the fresh one.
+            raise StoreFailed(f"{self.path}: {reason}; it cannot be renamed: {error}") from None
+        # SQLite would replay the old store's journal into the new one.
         Path(f"{self.path}-journal").unlink(missing_ok=True)
-        self.quarantined.append(PutAside(str(target), why))
+        self.quarantined.append(QuarantinedStore(str(target), reason))
 
     # ---- writing ----
 
     def write(self, write: StoreWrite) -> None:
-        """Persist all of it before this returns.  StoreFailed: all of it is stored, or nothing."""
+        """Persist a write, synced to disk on return.  StoreFailed: all of it is stored, or nothing."""
         db = self._opened()
         try:
             db.execute("begin")
@@ -161,42 +167,45 @@
         except (sqlite3.Error, OSError) as error:
             self._fail(error)
 
-    def prove(self) -> None:
-        """Write something and sync it, to see that it is possible.  StoreFailed."""
+    def check_writable(self) -> None:
+        """Check that the store can be written, by a synced write of a record of its own.  StoreFailed."""
         db = self._opened()
         try:
             db.execute("begin")
-            StoreTables(db).put_record(PROOF, secrets.token_bytes(8))
+            StoreTables(db).put_record(WRITE_CHECK, secrets.token_bytes(8))
             db.execute("commit")
         except (sqlite3.Error, OSError) as error:
             self._fail(error)
 
     def _opened(self) -> sqlite3.Connection:
         if self._db is None:
-            raise StoreFailed(f"{self.path}: it is closed")
+            raise StoreFailed(f"{self.path}: the store is closed")
         return self._db
 
     def _fail(self, error: Exception) -> None:
-        """Nobody can say how much of the write is stored: this process writes no more.  StoreFailed."""
+        """Close the store, as it is unknown whether the failed write was stored, and raise StoreFailed."""
         self.close()
         raise StoreFailed(f"{self.path}: {error}") from None
 
     def close(self) -> None:
-        """Give the store up."""
+        """Close the file and release its lock."""
         db, self._db = self._db, None
         if db is not None:
             db.close()
 
     # ---- moving ----
 
-    def accept_location(self) -> None:
-        """The file was moved here, and no original of it is left.  StoreBusy, StoreFailed."""
+    def accept_move(self) -> None:
+        """Record the present location of a file that was moved here without leaving its original.
+
+        Raises StoreBusy or StoreFailed.
+        """
         if not self.path.exists():
-            raise StoreFailed(f"{self.path}: there is none")
+            raise StoreFailed(f"{self.path}: the store does not exist")
         try:
             with closing(sqlite3.connect(self.path, timeout=LOCK_TIMEOUT_S, isolation_level=None)) as db:
                 db.execute("begin exclusive")
-                StoreTables(db).put_record(HOME, self._home())
+                StoreTables(db).put_record(LOCATION, self._location())
                 db.execute("commit")
         except sqlite3.OperationalError as error:
             raise _operational_error(self.path, error) from None
@@ -206,7 +215,7 @@
 
 def _operational_error(path: Path, error: sqlite3.OperationalError) -> StoreError:
     if "locked" in str(error):
-        return StoreBusy(f"{path}: another process holds it")
+        return StoreBusy(f"{path}: another process holds its lock")
     return StoreFailed(f"{path}: {error}")
 
 
@@ -219,7 +228,7 @@
 
 
 def _write(tables: StoreTables, write: StoreWrite) -> None:
-    """One write, within its transaction."""
+    """Apply a write within the caller's transaction."""
     if write.replaces_store:
         tables.delete_all_entries()
         tables.delete_record(SNAPSHOT)
--- a/gaugesail/fleet/store_tables.py
+++ b/gaugesail/fleet/store_tables.py
@@ -1,6 +1,6 @@
-"""The tables of a fleet store: named records and log entries, each beside its checksum.
+"""The tables of a fleet store: named records and log entries, each with its checksum.
 
-Nothing here commits: a transaction is its caller's.
+The caller begins and commits transactions.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class DamagedStore(Exception):
-    """What is stored cannot be used as it is; the text is why."""
+    """The stored data cannot be used; the text is the reason."""
 
 
 def _checksum(data: bytes) -> str:
@@ -26,61 +26,61 @@
 
 
 class StoreTables:
-    """Reads and writes within the transactions of one connection.  All calls raise sqlite3.Error."""
+    """Reads and writes records and log entries through one connection.  All methods raise sqlite3.Error."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
 
     def create(self) -> None:
-        """Make the tables where there are none."""
+        """Create the tables that do not exist."""
         for statement in _TABLES:
             self._db.execute(statement)
 
     # ---- named records ----
 
     def record(self, name: str) -> bytes | None:
-        """A record; None where there is none.  DamagedStore where its checksum differs."""
+        """Return a record; None if there is none.  DamagedStore if its checksum differs."""
         row = self._db.execute("select data, sum from one where name = ?", (name,)).fetchone()
         if row is None:
             return None
         data, checksum = row
         if _checksum(data) != checksum:
-            raise DamagedStore(f"torn: {name}")
+            raise DamagedStore(f"damaged: the checksum of record {name!r} differs from the stored one")
         return bytes(data)
 
     def put_record(self, name: str, data: bytes) -> None:
-        """Write a record in place of the one of this name."""
+        """Insert or replace a record."""
         self._db.execute("insert or replace into one values (?, ?, ?)", (name, data, _checksum(data)))
 
     def delete_record(self, name: str) -> None:
-        """Remove a record, if there is one."""
+        """Delete a record if it exists."""
         self._db.execute("delete from one where name = ?", (name,))
 
     # ---- log entries ----
 
     def has_entries(self) -> bool:
-        """Whether there is any entry."""
+        """Return whether the log has any entry."""
         return self._db.execute("select 1 from log").fetchone() is not None
 
     def entries(self, first_index: int) -> Iterator[bytes]:
-        """All entries, in order.  DamagedStore unless they begin at this index and none is missing."""
+        """Yield all entries in order.  DamagedStore if one is damaged, or missing from this index on."""
         expected = first_index
         for index, data, checksum in self._db.execute("select at, data, sum from log order by at"):
             if index != expected or _checksum(data) != checksum:
-                raise DamagedStore(f"torn: entry {index}")
+                raise DamagedStore(f"damaged: log entry {index}, expected entry {expected} and its checksum")
             expected += 1
             yield data
 
     def replace_entries(self, first_index: int, entries: Iterable[bytes]) -> None:
-        """Write entries from this index on, in place of all that stood there."""
+        """Replace all entries from this index on."""
         self._db.execute("delete from log where at >= ?", (first_index,))
         rows = [(index, data, _checksum(data)) for index, data in enumerate(entries, first_index)]
         self._db.executemany("insert into log values (?, ?, ?)", rows)
 
     def delete_entries_up_to(self, index: int) -> None:
-        """Remove what a snapshot covers."""
+        """Delete the entries up to this index, which a snapshot replaces."""
         self._db.execute("delete from log where at <= ?", (index,))
 
     def delete_all_entries(self) -> None:
-        """Remove the whole log."""
+        """Delete all entries."""
         self._db.execute("delete from log")
--- a/gaugesail/fleet/tcp_channel.py
+++ b/gaugesail/fleet/tcp_channel.py
@@ -1,7 +1,7 @@
-"""Messages too large for a datagram, over TCP.
+"""TCP channels for messages too large for a datagram.
 
-A channel carries frames one way, from who dialled, so that a cut of one direction is one direction's.  Each
-frame is preceded by its length in four bytes, the most significant first.
+A channel carries frames in one direction, from the gateway that dialled, so that a network fault in one
+direction does not stop the other.  Each frame is preceded by its length: four bytes, big-endian.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from ..net import Connection, dial
 from .wire import MAX_MESSAGE_BYTES
 
-MAX_QUEUED_BYTES = 4 * 1024 * 1024  # that wait for one channel; the oldest frames are dropped beyond
-MAX_ACCEPTED = 256  # channels that others have open here
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # for one channel; beyond that the oldest frames are dropped
+MAX_ACCEPTED = 256  # open channels that other gateways dialled
 DIAL_TIMEOUT_S = 1.0
 IDLE_TIMEOUT_US = 10_000_000
 LENGTH_BYTES = 4
 
 
 class AcceptedChannel(Int32StringReceiver):
-    """The end of a channel that another gateway dialled; what cannot be a frame ends it."""
+    """The receiving end of a channel; an oversized frame closes it."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
 
@@ -36,31 +36,31 @@
 
     @property
     def pipe(self) -> Any:
-        """The transport, which Twisted's interfaces do not type."""
+        """The transport, untyped: Twisted's interfaces are not known to mypy."""
         return self.transport
 
     def connectionMade(self) -> None:
-        """Twisted: it is open."""
+        """Twisted: the channel is open."""
         self.used_at = self._channels.clock.now_us()
         self._channels.open[self] = None
 
     def stringReceived(self, string: bytes) -> None:
-        """Twisted: a frame has come."""
+        """Twisted: a frame was received."""
         self.used_at = self._channels.clock.now_us()
         self._channels.receive(string)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Twisted: a frame would be too large."""
+        """Twisted: the announced length is over MAX_LENGTH."""
         self._channels.counts["too_large"] += 1
         self.pipe.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: it has ended."""
+        """Twisted: the channel was closed."""
         self._channels.open.pop(self, None)
 
 
 class AcceptedChannels(Factory):
-    """All channels that others have dialled.  ``receive`` takes each frame."""
+    """All channels that other gateways dialled; ``receive`` is called with each frame."""
 
     noisy = False
 
@@ -72,26 +72,26 @@
         self._closed = False
 
     def buildProtocol(self, addr: Any) -> AcceptedChannel | None:
-        """Twisted: another gateway dials; None refuses."""
+        """Twisted: a connection was accepted; None closes it, at MAX_ACCEPTED and after ``close``."""
         if self._closed or len(self.open) >= MAX_ACCEPTED:
             return None
         return AcceptedChannel(self)
 
-    def end_idle(self, now: int) -> None:
-        """End those on which nothing came for twice as long as their dialler lets them idle."""
+    def close_idle(self, now: int) -> None:
+        """Close channels without a frame for twice the idle time after which the dialling end closes them."""
         idle = [channel for channel in self.open if now - channel.used_at > 2 * IDLE_TIMEOUT_US]
         for channel in idle:
             channel.pipe.abortConnection()
 
     def close(self) -> None:
-        """End all of them, and accept no more."""
+        """Close all channels and accept no more."""
         self._closed = True
         for channel in list(self.open):
             channel.pipe.abortConnection()
 
 
 class _DialledConnection(Connection):
-    """The end that dialled: it sends, and whatever comes back ends it."""
+    """The sending end of a channel; any data received closes it."""
 
     def __init__(self, channel: DialledChannel) -> None:
         self._channel = channel
@@ -104,7 +104,7 @@
 
 
 class DialledChannel:
-    """What goes to one address: dialled when there is something to send, and again once it was lost."""
+    """The sending side towards one address: dials when there is a frame to send, and again after a loss."""
 
     def __init__(self, reactor: Any, clock: Clock, address: tuple[str, int], counts: Counter[str]) -> None:
         self._reactor = reactor
@@ -118,16 +118,16 @@
         self.used_at = 0
 
     def send(self, frame: bytes) -> None:
-        """Send a frame, in order; nobody hears whether it arrived."""
+        """Queue a frame; frames are sent in order, without acknowledgement."""
         self.used_at = self._clock.now_us()
         self._queue.append(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
         self._queued_bytes += len(frame)
         while self._queued_bytes > MAX_QUEUED_BYTES and len(self._queue) > 1:
-            self._take_oldest()
+            self._pop_oldest()
             self._counts["queue_full"] += 1
         self._flush()
 
-    def _take_oldest(self) -> bytes:
+    def _pop_oldest(self) -> bytes:
         oldest = self._queue.popleft()
         self._queued_bytes -= len(oldest) - LENGTH_BYTES
         return oldest
@@ -135,7 +135,7 @@
     def _flush(self) -> None:
         if self._connection is not None:
             while self._queue:
-                self._connection.link.write(self._take_oldest())
+                self._connection.link.write(self._pop_oldest())
         elif not self._dialling:
             self._dialling = True
             connecting = dial(self._reactor, self._address, DIAL_TIMEOUT_S, lambda: _DialledConnection(self))
@@ -148,18 +148,18 @@
         self._flush()
 
     def _not_connected(self, failure: Failure) -> None:
-        """What waits is dropped: whoever wants a response sends its request again."""
+        """Drop the queue: the decisions that need a response send their request again."""
         self._dialling = False
         self._counts["no_exchange"] += 1
         self._queue.clear()
         self._queued_bytes = 0
 
     def connection_lost(self, connection: _DialledConnection) -> None:
-        """The next frame dials again."""
+        """Forget a lost connection; the next frame dials again."""
         if connection is self._connection:
             self._connection = None
 
     def close(self) -> None:
-        """End its connection."""
+        """Abort the connection."""
         if self._connection is not None:
             self._connection.link.abortConnection()
--- a/gaugesail/fleet/wire.py
+++ b/gaugesail/fleet/wire.py
@@ -1,8 +1,9 @@
-"""The envelope of what gateways send each other: bounded, versioned, addressed, tagged under a shared key.
+"""The frames that gateways exchange: size-limited, versioned, addressed, authenticated by a shared key.
 
-A frame is MAGIC, one byte VERSION, the tag, and the envelope as msgpack.  What is foreign, damaged, too
-large, for another gateway or replayed is dropped and counted; it reaches no decision.  Dropping replays only
-saves work: every message is safe to take in twice.
+A frame is MAGIC, one byte VERSION, the tag, and the envelope as msgpack.  The tag is a truncated HMAC-SHA256
+of the envelope.  A frame that is foreign, damaged, malformed, for another gateway or replayed is dropped and
+counted; link.py and tcp_channel.py enforce the size limits.  Dropping replays only saves work: every message
+is idempotent.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 VERSION = 1
 TAG_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 1
-MAX_DATAGRAM_BYTES = 1200  # what is larger goes by TCP
+MAX_DATAGRAM_BYTES = 1200  # larger frames go by TCP
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-MAX_SENDERS = 4096  # processes whose replay windows are remembered
+MAX_SENDERS = 4096  # processes whose replay windows are kept
 
 
 class DropReason(StrEnum):
-    """Why a frame was dropped, as operators see it counted."""
+    """Why a frame was dropped; the values are the names of the operators' counters."""
 
-    FOREIGN = "foreign"  # not a frame
+    FOREIGN = "foreign"  # shorter than a frame, or another magic number
     VERSION = "version"
-    TAG = "tag"  # damaged, or under another key
+    TAG = "tag"  # damaged, or authenticated by another key
     FLEET = "fleet"
     NOT_OURS = "not_ours"  # addressed to another gateway
     OWN = "own"  # sent by this process
@@ -41,18 +42,18 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What a message travels in; the order of the fields is that on the wire."""
+    """The envelope of a message; the order of the fields is that on the wire."""
 
     fleet: str
     sender: str
-    process: int  # of the sender, drawn at each of its starts
-    number: int  # goes up by one
+    process: int  # of the sender, drawn at random when it starts
+    number: int  # increases by one with each message of the process
     to: str
     body: msgspec.Raw
 
 
 class ReceivedMessage(NamedTuple):
-    """A message of another gateway's process, whose tag was right."""
+    """An authenticated message of another process."""
 
     sender: str
     process: int
@@ -60,7 +61,7 @@
 
 
 class _Dropped(Exception):
-    """A frame must not be taken in."""
+    """A frame is rejected, for ``reason``."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason)
@@ -68,7 +69,13 @@
 
 
 class Wire:
-    """Packs and unpacks the messages of one process of one gateway."""
+    """Packs and unpacks the messages of one process.
+
+    :param fleet: the fleet's name; frames of other fleets are dropped.
+    :param gateway: the name of this gateway.
+    :param process: the number of this process.
+    :param key: the fleet's shared key.
+    """
 
     def __init__(self, fleet: str, gateway: str, process: int, key: bytes) -> None:
         self._fleet = fleet
@@ -76,25 +83,25 @@
         self._process = process
         self._key = key
         self._number = 0
-        self._windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()  # by sender and process
+        self._windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()  # by sender, process
         self.dropped: Counter[str] = Counter()  # by DropReason
         self._encode = msgspec.msgpack.Encoder().encode
-        self._envelopes = msgspec.msgpack.Decoder(Envelope)
-        self._messages: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
+        self._envelope_decoder = msgspec.msgpack.Decoder(Envelope)
+        self._message_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
 
     def pack(self, to: str, message: Message) -> bytes:
-        """The frame of a message for one gateway."""
+        """Return the frame that carries a message to one gateway."""
         self._number += 1
         body = msgspec.Raw(self._encode(message))
         envelope = Envelope(self._fleet, self._gateway, self._process, self._number, to, body)
-        text = self._encode(envelope)
-        return MAGIC + bytes([VERSION]) + self._tag(text) + text
+        payload = self._encode(envelope)
+        return MAGIC + bytes([VERSION]) + self._tag(payload) + payload
 
-    def _tag(self, text: bytes) -> bytes:
-        return hmac.digest(self._key, text, "sha256")[:TAG_BYTES]
+    def _tag(self, payload: bytes) -> bytes:
+        return hmac.digest(self._key, payload, "sha256")[:TAG_BYTES]
 
     def unpack(self, frame: bytes) -> ReceivedMessage | None:
-        """The message of a frame; None, and counted in ``dropped``, where it must not be taken in."""
+        """Return the message of a frame; None if the frame is dropped, which ``dropped`` counts by reason."""
         try:
             envelope = self._open(frame)
             return self._accept(envelope)
@@ -105,32 +112,32 @@
         return None
 
     def _open(self, frame: bytes) -> Envelope:
-        """The envelope of a frame whose tag is right."""
+        """Authenticate a frame and return its envelope.  _Dropped."""
         if len(frame) < HEADER_BYTES + TAG_BYTES or frame[: len(MAGIC)] != MAGIC:
             raise _Dropped(DropReason.FOREIGN)
         if frame[len(MAGIC)] != VERSION:
             raise _Dropped(DropReason.VERSION)
         tag = frame[HEADER_BYTES : HEADER_BYTES + TAG_BYTES]
-        text = frame[HEADER_BYTES + TAG_BYTES :]
-        if not hmac.compare_digest(tag, self._tag(text)):
+        payload = frame[HEADER_BYTES + TAG_BYTES :]
+        if not hmac.compare_digest(tag, self._tag(payload)):
             raise _Dropped(DropReason.TAG)
-        return self._envelopes.decode(text)
+        return self._envelope_decoder.decode(payload)
 
     def _accept(self, envelope: Envelope) -> ReceivedMessage:
-        """The message of an envelope for this gateway; its number is used up last, once all is right."""
+        """Return the message of an envelope; its number is recorded last, if all else is right.  _Dropped."""
         if envelope.fleet != self._fleet:
             raise _Dropped(DropReason.FLEET)
         if envelope.to != self._gateway:
             raise _Dropped(DropReason.NOT_OURS)
         if envelope.sender == self._gateway and envelope.process == self._process:
             raise _Dropped(DropReason.OWN)
-        message: Message = self._messages.decode(envelope.body)
-        if not self._window(envelope.sender, envelope.process).take(envelope.number):
+        message: Message = self._message_decoder.decode(envelope.body)
+        if not self._window(envelope.sender, envelope.process).accept(envelope.number):
             raise _Dropped(DropReason.REPLAYED)
         return ReceivedMessage(envelope.sender, envelope.process, message)
 
     def _window(self, sender: str, process: int) -> ReplayWindow:
-        """The window of one process; those that were heard of longest ago are forgotten."""
+        """Return the replay window of one process; beyond MAX_SENDERS the least recently used is evicted."""
         key = sender, process
         window = self._windows.get(key)
         if window is None:
--- a/tests/compatibility/test_fleet_records.py
+++ b/tests/compatibility/test_fleet_records.py
@@ -76,7 +76,7 @@
 
 def test_a_store_is_read_whole(tmp_path: Path) -> None:
     shutil.copy(DATA / STORE_NAME, tmp_path / STORE_NAME)
-    FleetStore(str(tmp_path), "h1").accept_location()  # the file was moved here, which only an operator can know
+    FleetStore(str(tmp_path), "h1").accept_move()  # the file was moved here, which only an operator can know
     store = FleetStore(str(tmp_path), "h1")
     loaded = store.open()
     store.close()
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""Agents on a reactor in memory: what is persisted, passed to the engine and sent, in this order."""
+"""Fleet agents on a reactor in memory: start, restart, a failing store or step, and operators' calls."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Engine:
-    """The engine as an agent sees it."""
+    """A stand-in for the engine: a demand to report, and a record of the quota received."""
 
     def __init__(self) -> None:
         self.settings = Settings(
@@ -34,18 +34,18 @@
             fleet_quota=True,
         )
         self.quota_events: list[QuotaChanged] = []
-        self.asked = 0.0
+        self.demand = 0.0
 
     def change_quota(self, event: QuotaChanged) -> None:
         self.quota_events.append(event)
 
     def take_quota_demand(self) -> list[tuple[str, int, float, float, float]]:
-        return [("p", 1, self.asked, self.asked, 0.0)] if self.asked else []
+        return [("p", 1, self.demand, self.demand, 0.0)] if self.demand else []
 
     def rate(self) -> float:
-        """The rate that it was last told of, 0.0 before."""
-        told = [part[2] for event in self.quota_events for part in event.allocations]
-        return told[-1] if told else 0.0
+        """The rate of the latest allocation received; 0.0 before the first."""
+        rates = [allocation[2] for event in self.quota_events for allocation in event.allocations]
+        return rates[-1] if rates else 0.0
 
 
 class Fleet:
@@ -88,7 +88,7 @@
         return f"127.0.0.1:{30_001 + ord(name)}"
 
     def leaders(self) -> set[str]:
-        """Who leads, as each thinks."""
+        """The leaders that the gateways know of."""
         return {json.loads(one.call("GET", ["budgets"])[1])["leader"] for one in self.agents.values()}
 
     def run(self, seconds: float) -> None:
@@ -102,15 +102,15 @@
 def test_gateways_bootstrap_a_fleet_and_the_busy_one_gets_the_quota(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(6)
-    fleet.engines["b"].asked = 15.0  # in each tenth of a second
+    fleet.engines["b"].demand = 15.0  # in each tenth of a second
     fleet.run(3)
     assert fleet.engines["b"].rate() > 80
     floors = [event.floors for event in fleet.engines["c"].quota_events if event.floors]
     assert floors[-1] == (("p", 2.5, 10.0),)
     status, text = fleet.agents["a"].call("GET", ["budgets"])
-    told = json.loads(text)
-    assert status == 200 and sum(p["rate"] for p in told["amounts"]["p/1"]["parts"]) <= 90
-    leader = told["leader"]
+    view = json.loads(text)
+    assert status == 200 and sum(row["rate"] for row in view["amounts"]["p/1"]["parts"]) <= 90
+    leader = view["leader"]
     fleet.agents[leader].close()
     fleet.agents.pop(leader)
     fleet.run(6)
@@ -121,36 +121,38 @@
     fleet.end()
 
 
-def test_a_store_that_fails_stops_what_rests_on_it(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_gateway_whose_store_fails_is_no_replica_but_keeps_its_lease(
+    tmp_path: Path, monkeypatch: Any
+) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(4)
     agent = fleet.agents["a"]
     before = json.loads(agent.call("GET", ["budgets"])[1])["own"]["floors"]
 
-    def full(self: FleetStore, save: Any) -> None:
+    def disk_full(self: FleetStore, write: Any) -> None:
         raise StoreFailed("full")
 
-    monkeypatch.setattr(agent._store, "write", full.__get__(agent._store))
+    monkeypatch.setattr(agent._store, "write", disk_full.__get__(agent._store))
     node = agent.node
     assert node is not None
     fleet.run(5)
-    told = json.loads(agent.call("GET", ["budgets"])[1])
-    assert not node.is_replica and not told["keeper"] and not told["leads"]
-    assert told["own"]["floors"] == before and told["own"]["lease_s"] > 0, "it goes on, as a holder"
+    view = json.loads(agent.call("GET", ["budgets"])[1])
+    assert not node.is_replica and not view["keeper"] and not view["leads"]
+    assert view["own"]["floors"] == before and view["own"]["lease_s"] > 0, "it still holds a lease"
     assert "fleet_store_failed" in fleet.log.getvalue()
     fleet.end()
 
 
-def test_a_gateway_that_leaves_does_not_start_over_for_its_store(tmp_path: Path, monkeypatch: Any) -> None:
+def test_a_gateway_that_leaves_does_not_restart_for_its_store(tmp_path: Path, monkeypatch: Any) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(4)
     agent = fleet.agents["a"]
 
-    def full(self: FleetStore, save: Any) -> None:
+    def disk_full(self: FleetStore, write: Any) -> None:
         self.close()  # as a write that fails does
         raise StoreFailed("full")
 
-    monkeypatch.setattr(agent._store, "write", full.__get__(agent._store))
+    monkeypatch.setattr(agent._store, "write", disk_full.__get__(agent._store))
     assert fleet.reactor.run_until(lambda: "fleet_store_failed" in fleet.log.getvalue(), 10.0)
     agent.leave()
     fleet.run(10)
@@ -164,11 +166,11 @@
     agent = fleet.agents["a"]
     assert agent.node is not None
 
-    def wrong(*_: Any) -> Any:
+    def raising(*_: Any) -> Any:
         raise ZeroDivisionError
 
     with monkeypatch.context() as patch:
-        patch.setattr(agent.node, "receive", wrong)
+        patch.setattr(agent.node, "receive", raising)
         fleet.run(0.5)
     assert "fleet_raised" in fleet.log.getvalue() and not agent.node.is_replica
     fleet.run(8)
@@ -191,7 +193,7 @@
     fleet.end()
 
 
-def test_calls_are_told_apart(tmp_path: Path) -> None:
+def test_each_operator_call_has_its_status_and_answer(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
     fleet.run(4)
     agent = fleet.agents["a"]
@@ -201,17 +203,17 @@
     status, text = agent.call("POST", ["forget", "b"])
     number = json.loads(text)["petition"]
     fleet.run(1)
-    told = json.loads(agent.call("GET", ["petitions", str(number)])[1])
-    assert status == 202 and told["known"] and not told["done"] and "not gone" in told["why"]
+    result = json.loads(agent.call("GET", ["petitions", str(number)])[1])
+    assert status == 202 and result["known"] and not result["done"] and "not gone" in result["why"]
     fleet.end()
 
 
 def test_large_messages_go_by_tcp_and_those_too_large_are_dropped() -> None:
     reactor = UdpReactor()
     clock = ReactorClock(reactor, lambda: round(reactor.seconds() * 1e9), lambda: 0)
-    heard: list[Any] = []
+    received: list[Any] = []
     links: dict[str, Link] = {}
-    where = {"a": ("127.0.0.1", 30_001), "b": ("127.0.0.1", 30_002)}
+    addresses = {"a": ("127.0.0.1", 30_001), "b": ("127.0.0.1", 30_002)}
     for n, name in enumerate("ab"):
         wire = Wire("f", name, n, KEY.encode())
         links[name] = Link(
@@ -219,23 +221,23 @@
             clock,
             wire,
             make_logger(io.StringIO()),
-            where.get,
-            lambda sender, process, message: heard.append(message),
+            addresses.get,
+            lambda sender, process, message: received.append(message),
         )
-        links[name].listen(*where[name])
+        links[name].listen(*addresses[name])
     large = m.OperatorCommand(1, m.ForgetHead("x" * 5 * MAX_DATAGRAM_BYTES))
     links["a"].send("b", large)
     links["a"].send("b", m.DigestOffer(1))
     links["a"].send("c", m.DigestOffer(2))
     reactor.run_until(lambda: False, 1)
-    assert m.DigestOffer(1) in heard and large in heard and len(heard) == 2
+    assert m.DigestOffer(1) in received and large in received and len(received) == 2
     assert links["a"].counts["no_address"] == 1
     links["b"].close()
     links["a"].send("b", large)
     reactor.run_until(lambda: False, 1)
     links["a"].send("b", m.OperatorCommand(1, m.ForgetHead("x" * 9_000_000)))
     reactor.run_until(lambda: False, 1)
-    assert len(heard) == 2 and links["a"].counts["too_large"] == 1
+    assert len(received) == 2 and links["a"].counts["too_large"] == 1
     reactor.run_until(lambda: False, 30)
     links["a"].sweep()
     assert not links["a"]._channels
