--- a/gaugesail/importer/__init__.py
+++ b/gaugesail/importer/__init__.py
@@ -1,1 +1,1 @@
-"""Reads Apache balancer blocks and mod_jk worker files into the operator's file."""
+"""Converts Apache balancer blocks and mod_jk worker files to the operator's file."""
--- a/gaugesail/importer/__main__.py
+++ b/gaugesail/importer/__main__.py
@@ -1,4 +1,4 @@
-"""Reads a balancer's configuration into the operator's file."""
+"""Converts a balancer's configuration to the operator's file."""
 
 import sys
 
