--- a/gaugesail/fleet/operator_calls.py
+++ b/gaugesail/fleet/operator_calls.py
@@ -40,7 +40,7 @@
         :param path: the parts of the path below ``/fleet``.
         """
         if node is None:
-            return 503, "this gateway has not joined its fleet yet"
+            return 503, "not in the fleet yet"
         match method, path:
             case "GET", ["members"]:
                 return 200, json.dumps(node.view_members(self._clock.now_us()))
@@ -52,7 +52,7 @@
                 return 200, json.dumps(_command_result(node, int(number)))
             case "POST", ["trust-store"]:
                 self._run_step(lambda node, now: node.trust_store(now))
-                return 200, "this gateway's store is trusted as the latest"
+                return 200, "this store is taken for the latest"
             case "POST", ["forget", name]:
                 return 202, json.dumps({"petition": self._forget(name)})
         return _error_answer(path)
