--- a/gaugesail/fleet/ctl_pages.py
+++ b/gaugesail/fleet/ctl_pages.py
@@ -1,6 +1,6 @@
-"""The pages of `gaugesail ctl`: tables made of what a gateway answers.
+"""The pages of `gaugesail ctl`: tables made of a gateway's JSON responses.
 
-The keys of the answers are those of the second address, which stay; units are a second, and at once.
+The keys are those of the responses of operator_calls.py.  Rates are units per second, bursts units.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 from rich.table import Table
 
 Page = list[str | Table]
-View = dict[str, Any]  # a JSON object of the second address
+View = dict[str, Any]  # a JSON object of a response
 
 
 def members_page(view: View) -> Page:
-    """The fleet's members, as one of them sees them."""
+    """The fleet's members, as one gateway sees them."""
     table = Table(box=None)
     for name in ("head", "state", "for", "address", "keeper"):
         table.add_column(name)
     for row in view["members"]:
-        keeps = "leads" if row["name"] == view["leader"] else "keeps" * (row["name"] in view["keepers"])
-        table.add_row(row["name"], row["state"], f"{row['for_s']:.0f} s", row["address"], keeps)
+        role = "leads" if row["name"] == view["leader"] else "keeps" * (row["name"] in view["keepers"])
+        table.add_row(row["name"], row["state"], f"{row['for_s']:.0f} s", row["address"], role)
     return [f"Seen by {view['head']}, fleet {view['fleet'] or 'not founded yet'}", table]
 
 
 def budgets_page(view: View) -> Page:
-    """What a gateway may spend; from a replica also the limits and all that is allocated."""
+    """A gateway's own quota; from a replica also the limits and all allocations."""
     page = _lease_lines(view)
-    page.append(_own_table(view["own"]))
+    page.append(_own_quota_table(view["own"]))
     if "wholes" not in view:
         page.append(f"It keeps no log; ask {view['leader'] or 'a keeper'} for the whole.")
         return page
@@ -56,7 +56,7 @@
     return table
 
 
-def _own_table(own: View) -> Table:
+def _own_quota_table(own: View) -> Table:
     table = _table("Its own", ("amount", "kind", "a second", "at once"))
     for plan, pair in own["floors"].items():
         table.add_row(plan, "floor", f"{pair['rate']:.2f}", f"{pair['burst']:.1f}")
@@ -85,7 +85,7 @@
 
 
 def _allocation_cells(allocation: View, lease: View) -> list[str]:
-    """One allocation; demand, use and the lease's time are known to the leader alone."""
+    """The cells of one allocation; only the leader knows demand, use and the time left of the lease."""
     return [
         allocation["head"],
         f"{allocation['rate']:.2f}",
