--- a/gaugesail/importer/apache.py
+++ b/gaugesail/importer/apache.py
@@ -167,15 +167,15 @@
 
 def _status(config: ImportedConfig, member: Member, value: str, line: int) -> None:
     """Read status flags like +D-S; a member that is disabled, stopped or draining gets no new requests."""
-    enabled = True
+    is_set = True
     for letter in value:
         if letter in "+-":
-            enabled = letter == "+"
+            is_set = letter == "+"
         elif letter.upper() in "DSN":
-            member.phase = "Terminating" if enabled else "Ready"
+            member.phase = "Terminating" if is_set else "Ready"
         elif letter.upper() in "HR":
             config.warn(line, "a standby gets no requests: each node holds its own data")
-            member.phase = "Terminating" if enabled else "Ready"
+            member.phase = "Terminating" if is_set else "Ready"
         elif letter.upper() in "IEC":
             config.warn(line, f"status {letter} is ignored")
         else:
--- a/gaugesail/iscsi/__init__.py
+++ b/gaugesail/iscsi/__init__.py
@@ -1,1 +1,1 @@
-"""An iSCSI-style target and initiator (RFC 7143 terms): clients before the engine, nodes behind."""
+"""The iSCSI wire (RFC 7143): a target that serves clients, and an initiator that connects to nodes."""
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -1,4 +1,4 @@
-"""A head whose fronts and nodes speak the iSCSI-style wire, by an operator's file."""
+"""A gateway that serves clients and nodes by iSCSI, configured by an operator's file."""
 
 from __future__ import annotations
 
@@ -14,39 +14,41 @@
 from ..operations import Operations
 from ..service import Service
 from .initiator import NodePool
-from .operator import Operator, OperatorError
+from .operator import OperatorConfig, OperatorError
 from .target import TargetFront
 
-MAX_SESSIONS = 64  # of clients; each may have a window of transfers in memory
-
-
-LIVE = {"nodes", "settings", "read_class", "write_class", "units"}
+MAX_SESSIONS = 64  # of clients; each may hold a command window of transfers in memory
+RELOADABLE = {"nodes", "settings", "read_class", "write_class", "units"}  # fields of OperatorConfig
 
 
 class FileDiscovery:
-    """The operator's file as the list of nodes: watching it means to hear of a reload."""
+    """The endpoint list from the operator's file, which changes with a reload."""
 
     up = True
 
-    def __init__(self, head: IscsiGateway) -> None:
-        self._head = head
+    def __init__(self, gateway: IscsiGateway) -> None:
+        self._gateway = gateway
 
     def watch(self, on: bool) -> None:
-        pass  # a reload is told in any case
+        """Do nothing: the gateway applies a reload by itself."""
 
     def poll(self) -> None:
-        self._head.clock.call_later(
-            0, lambda: self._head.engine.update_endpoints(self._head.listing(EndpointListKind.FULL))
+        """Hand the full list to the engine, after the present call."""
+        self._gateway.clock.call_later(
+            0,
+            lambda: self._gateway.engine.update_endpoints(self._gateway.endpoint_list(EndpointListKind.FULL)),
         )
 
     def close(self) -> None:
-        pass
+        """Do nothing: there is no connection."""
 
 
 class IscsiGateway(Service):
-    """One head on the iSCSI-style wire: same engine, same module, same rules."""
+    """A gateway on the iSCSI wire, with the same engine and policy as on HTTP."""
 
-    def __init__(self, reactor: Reactor, operator: Operator, log: Logger, clock: Clock | None = None) -> None:
+    def __init__(
+        self, reactor: Reactor, operator: OperatorConfig, log: Logger, clock: Clock | None = None
+    ) -> None:
         super().__init__(
             reactor,
             clock or ReactorClock(reactor),
@@ -81,6 +83,7 @@
         return min(MAX_SESSIONS, max(1, sockets * 6 // 10))
 
     def limit(self, processes: int) -> None:
+        """Keep within this process's part of the sockets."""
         self.front.limit(self._sessions(processes))
 
     def _open(self, inherited: Takeover | None) -> None:
@@ -88,18 +91,23 @@
         self.front.address = self.address
 
     def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
-        return self.listing(EndpointListKind.CACHED)
+        """Return the list to start with, from the operator's file."""
+        return self.endpoint_list(EndpointListKind.CACHED)
+
+    def endpoint_list(self, kind: EndpointListKind) -> EndpointList:
+        """Return the nodes of the operator's file as a list, and update the node transport with them."""
+        self.transport.update_nodes(self._operator.nodes)
+        return EndpointList(kind, tuple(node.endpoint for node in self._operator.nodes.values()))
 
-    def listing(self, kind: EndpointListKind) -> EndpointList:
-        self.transport.listed(self._operator.nodes)
-        return EndpointList(kind, tuple(line.node for line in self._operator.nodes.values()))
+    def apply_configuration(self, operator: OperatorConfig) -> None:
+        """Apply nodes, classes, plans, rules and extents of a new file; all else needs a restart.
 
-    def apply_configuration(self, operator: Operator) -> None:
-        """Take nodes, classes, plans, rules and what extents say of them; all else waits for a restart."""
+        Raises OperatorError if the number or the size of the logical units differs.
+        """
         if operator.geometry != self._operator.geometry:
-            raise OperatorError("[[lun]]: its size cannot change while the head runs")
-        self._warn_of_restart(self._operator, operator, LIVE)
+            raise OperatorError("[[lun]]: number, block size and size cannot change while the gateway runs")
+        self._warn_of_restart(self._operator, operator, RELOADABLE)
         self._operator = self.front.operator = operator
         self.change_settings(operator.settings)
         self._log.info("reloaded", nodes=len(operator.nodes))
-        self.engine.update_endpoints(self.listing(EndpointListKind.FULL))
+        self.engine.update_endpoints(self.endpoint_list(EndpointListKind.FULL))
--- a/gaugesail/iscsi/initiator.py
+++ b/gaugesail/iscsi/initiator.py
@@ -1,4 +1,4 @@
-"""The node side: one session to each storage node, used again by every command, many in flight."""
+"""The initiator: one session to each storage node, which carries many commands at once."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     Reactor,
 )
 from ..net import Connection, abort, dial, send_now
-from .operator import NodeLine
+from .operator import StorageNode
 from .pdu import (
     FINAL,
-    MAX_DATA,
+    MAX_DATA_SEGMENT_BYTES,
     NO_TAG,
-    SERIAL,
+    SERIAL_MODULUS,
     BadPdu,
     Limits,
     Op,
@@ -45,56 +45,61 @@
 )
 from .target import Transfer
 
-ABORT_US = 1_000_000  # a session that does not answer an ABORT TASK for so long is dead
-PROBE_US = 250_000
+ABORT_TIMEOUT_US = 1_000_000  # a session without a response to an ABORT TASK is dropped after this time
+HEALTH_CHECK_US = 250_000
 
 
 @dataclass(slots=True, eq=False)
-class _Job:
-    """A command on its way: an attempt, or a probe (NOP-Out) where there is none."""
+class _Command:
+    """A pending or sent command: an attempt, or a health check (NOP-Out) if ``attempt`` is None."""
 
-    sink: AttemptListener
-    node: NodeId
-    since_us: int
+    listener: AttemptListener
+    node_id: NodeId
+    queued_us: int
     attempt: Attempt | None = None
     transfer: Transfer | None = None
-    body: Body | None = None  # of a read
-    itt: int = 0
-    data: bytes = b""  # of a write, while it is out
-    sent: int = 0  # of it
+    body: Body | None = None  # received by a read
+    itt: int = 0  # initiator task tag
+    data: bytes = b""  # of a write in flight
+    sent: int = 0  # bytes of ``data``
     done: bool = False
 
 
 class NodeSession(Connection):
-    """One login, then commands by task tag.  An answer to a tag that is not out is dropped."""
+    """One session: a login, then commands by initiator task tag.
 
-    def __init__(self, pool: NodePool, book: _Book, line: NodeLine) -> None:
-        self._pool, self._book, self._line = pool, book, line
+    A response with a tag that is not in flight is dropped.
+    """
+
+    def __init__(self, pool: NodePool, state: _NodeState, node: StorageNode) -> None:
+        self._pool, self._state, self._node = pool, state, node
         self._reader = PduReader()
         self._limits = Limits()
         self.ready = self.lost = self.retiring = False
         self._cmd_sn, self._max_cmd_sn, self._exp_stat_sn = 1, 0, 0
         self._next_itt = 1
-        self.jobs: dict[int, _Job] = {}
-        self._aborting: dict[int, int] = {}  # tag of the ABORT TASK: since when
+        self.commands: dict[int, _Command] = {}
+        self._aborting: dict[int, int] = {}  # tag of the ABORT TASK: when it was sent
 
     @property
-    def room(self) -> bool:
-        """The node's command window has room."""
-        left = (self._max_cmd_sn - self._cmd_sn) % SERIAL
-        return self.ready and not self.lost and not self.retiring and left < SERIAL // 2
+    def has_window(self) -> bool:
+        """Whether the session can send a command: it is in use, and the node's command window is not full."""
+        left = (self._max_cmd_sn - self._cmd_sn) % SERIAL_MODULUS
+        return self.ready and not self.lost and not self.retiring and left < SERIAL_MODULUS // 2
 
     def connectionMade(self) -> None:
+        """Twisted: the connection is open; log in."""
         self.link.setTcpNoDelay(True)
         keys = {
             "InitiatorName": self._pool.initiator, "SessionType": "Normal", "AuthMethod": "None",
-            "HeaderDigest": "None", "DataDigest": "None", "MaxRecvDataSegmentLength": str(MAX_DATA),
+            "HeaderDigest": "None", "DataDigest": "None",
+            "MaxRecvDataSegmentLength": str(MAX_DATA_SEGMENT_BYTES),
             "MaxBurstLength": "262144", "FirstBurstLength": "65536", "InitialR2T": "Yes",
             "ImmediateData": "Yes", "ErrorRecoveryLevel": "0", "MaxConnections": "1",
         }  # fmt: skip
-        if self._line.target:
-            keys["TargetName"] = self._line.target
-        # From operational stage (1) straight to the full feature phase (3).
+        if self._node.target:
+            keys["TargetName"] = self._node.target
+        # From the operational negotiation stage (1) to the full feature phase (3).
         words = {24: self._cmd_sn}
         self.link.write(
             Pdu(Op.LOGIN, FINAL | 0x07, 0, lun=b"\x40" + bytes(7), rest=fields(words), data=write_text(keys),
@@ -102,23 +107,24 @@
         )  # fmt: skip
 
     def dataReceived(self, data: bytes) -> None:
+        """Twisted: bytes were received; a protocol error ends the session."""
         if self.lost:
             return
         self._reader.feed(data)
         try:
             for pdu in self._reader.pdus():
-                self._take(pdu)
+                self._receive(pdu)
                 if self.lost:
                     return
         except (BadPdu, PoolEmpty) as error:
-            self._pool.log.warning("node_pdu_bad", node=self._line.node.node_id.decode(), why=str(error))
+            self._pool.log.warning("node_pdu_bad", node=self._node.endpoint.node_id.decode(), why=str(error))
             self.drop(AttemptResult.ERROR)
 
-    def _take(self, pdu: Pdu) -> None:
+    def _receive(self, pdu: Pdu) -> None:
         if pdu.opcode not in (Op.DATA_IN, Op.R2T) or pdu.flags & 0x01:
-            self._exp_stat_sn = (pdu.word(24) + 1) % SERIAL
-        # A window that is no step forward is an old one, RFC 7143 section 3.2.2.1.
-        if (pdu.word(32) - self._max_cmd_sn) % SERIAL < SERIAL // 2:
+            self._exp_stat_sn = (pdu.word(24) + 1) % SERIAL_MODULUS
+        # A MaxCmdSN that does not increase is outdated and ignored, RFC 7143 section 3.2.2.1.
+        if (pdu.word(32) - self._max_cmd_sn) % SERIAL_MODULUS < SERIAL_MODULUS // 2:
             self._max_cmd_sn = pdu.word(32)
         if not self.ready:
             self._logged_in(pdu)
@@ -127,18 +133,18 @@
         elif pdu.opcode == Op.REJECT:
             self._rejected(pdu)
         elif pdu.opcode == Op.NOP_IN and pdu.itt == NO_TAG:
-            if pdu.word(20) != NO_TAG:  # the node asks whether we live
+            if pdu.word(20) != NO_TAG:  # a ping from the node
                 words = {20: pdu.word(20), 24: self._cmd_sn, 28: self._exp_stat_sn}
                 self._write(Op.NOP_OUT, FINAL, NO_TAG, words, lun=pdu.lun, immediate=True)
         elif pdu.opcode == Op.LOGOUT_RESPONSE:
             self.drop(AttemptResult.RESET)
-        elif (job := self.jobs.get(pdu.itt)) is not None:
-            self._about(job, pdu)
-        self._pool.pump(self._book)
+        elif (command := self.commands.get(pdu.itt)) is not None:
+            self._receive_response(command, pdu)
+        self._pool.start_pending(self._state)
 
     def _logged_in(self, pdu: Pdu) -> None:
         if pdu.opcode != Op.LOGIN_RESPONSE or pdu.word(36) >> 16 or pdu.flags & 0x83 != 0x83:
-            raise BadPdu(f"login refused with status {pdu.word(36) >> 16:#06x}")
+            raise BadPdu(f"login rejected with status {pdu.word(36) >> 16:#06x}")
         answer = read_text(pdu.data)
         for key, name in (("MaxRecvDataSegmentLength", "send_data"), ("MaxBurstLength", "max_burst"),
                           ("FirstBurstLength", "first_burst")):  # fmt: skip
@@ -147,49 +153,51 @@
         self._limits.immediate_data = answer.get("ImmediateData", "Yes") == "Yes"
         self._max_cmd_sn = pdu.word(32)
         self.ready = True
-        self._pool.logged_in(self._book, self)
+        self._pool.logged_in(self._state, self)
 
-    def _about(self, job: _Job, pdu: Pdu) -> None:
-        transfer = job.transfer
+    def _receive_response(self, command: _Command, pdu: Pdu) -> None:
+        transfer = command.transfer
         if pdu.opcode == Op.NOP_IN:
-            self._end(job, AttemptResult.SERVED)
+            self._end(command, AttemptResult.SERVED)
         elif pdu.opcode == Op.R2T and transfer is not None and transfer.write:
-            self._data_out(job, pdu)
-        elif pdu.opcode == Op.DATA_IN and job.body is not None and transfer is not None:
-            if pdu.word(40) != job.body.length or job.body.length + len(pdu.data) > transfer.length:
-                self._end(job, AttemptResult.ERROR, abort=True)
+            self._data_out(command, pdu)
+        elif pdu.opcode == Op.DATA_IN and command.body is not None and transfer is not None:
+            if pdu.word(40) != command.body.length or command.body.length + len(pdu.data) > transfer.length:
+                self._end(command, AttemptResult.ERROR, abort=True)
                 return
-            job.body.append(pdu.data)
+            command.body.append(pdu.data)
             if pdu.flags & 0x01:
-                self._status(job, pdu.byte3)
+                self._status(command, pdu.byte3)
         elif pdu.opcode == Op.RESPONSE:
-            self._status(job, pdu.byte3 if not pdu.byte2 else Status.CHECK)
+            self._status(command, pdu.byte3 if not pdu.byte2 else Status.CHECK)
         else:
-            self._end(job, AttemptResult.ERROR, abort=True)
+            self._end(command, AttemptResult.ERROR, abort=True)
 
-    def _status(self, job: _Job, status: int) -> None:
+    def _status(self, command: _Command, status: int) -> None:
         if status in (Status.BUSY, Status.TASK_SET_FULL):
-            self._end(job, AttemptResult.REJECTED)
-        elif status != Status.GOOD or (job.body is not None and job.body.length != job.transfer.length):  # type: ignore[union-attr]
-            self._end(job, AttemptResult.ERROR)
-        elif job.sent < len(job.data):
-            self._end(job, AttemptResult.ERROR)  # it can't have written what it never had
+            self._end(command, AttemptResult.REJECTED)
+        elif status != Status.GOOD or (
+            command.body is not None and command.body.length != command.transfer.length  # type: ignore[union-attr]
+        ):
+            self._end(command, AttemptResult.ERROR)
+        elif command.sent < len(command.data):
+            self._end(command, AttemptResult.ERROR)  # the node cannot have written data that was not sent
         else:
-            self._end(job, AttemptResult.SERVED)
+            self._end(command, AttemptResult.SERVED)
 
     def _rejected(self, pdu: Pdu) -> None:
-        """A Reject holds the header of what was turned away; its task ends with it."""
+        """Fail the task whose PDU was rejected; the Reject's data is the header of that PDU."""
         itt = int.from_bytes(pdu.data[16:20], "big") if len(pdu.data) >= 20 else NO_TAG
         self._aborting.pop(itt, None)
-        if (job := self.jobs.get(itt)) is not None:
-            self._end(job, AttemptResult.ERROR)
+        if (command := self.commands.get(itt)) is not None:
+            self._end(command, AttemptResult.ERROR)
 
-    def _end(self, job: _Job, result: AttemptResult, abort: bool = False) -> None:
+    def _end(self, command: _Command, result: AttemptResult, abort: bool = False) -> None:
         if abort:
-            self.abort(job)
-        self.jobs.pop(job.itt, None)
-        self._pool.finish(job, result)
-        if self.retiring and not self.jobs:
+            self.abort(command)
+        self.commands.pop(command.itt, None)
+        self._pool.finish(command, result)
+        if self.retiring and not self.commands:
             self.logout()
 
     # ---- PDUs out ----
@@ -198,110 +206,118 @@
         cdb = more.pop("cdb", b"")
         pdu = Pdu(opcode, flags, itt, rest=fields(words, cdb), **more).encode()
         if opcode == Op.COMMAND:
-            send_now(self.link, pdu)  # the last look was just now
+            send_now(self.link, pdu)  # while the check of ``may_start`` is fresh
         else:
             self.link.write(pdu)
 
-    def start(self, job: _Job) -> None:
-        job.itt = self._next_itt
+    def start(self, command: _Command) -> None:
+        """Send a command."""
+        command.itt = self._next_itt
         self._next_itt = self._next_itt % (NO_TAG - 1) + 1
-        self.jobs[job.itt] = job
-        if (attempt := job.attempt) is not None:
-            attempt.connection = job
+        self.commands[command.itt] = command
+        if (attempt := command.attempt) is not None:
+            attempt.connection = command
         words = {24: self._cmd_sn, 28: self._exp_stat_sn}
-        if (transfer := job.transfer) is None:
-            self._write(Op.NOP_OUT, FINAL, job.itt, words | {20: NO_TAG}, immediate=True)
+        if (transfer := command.transfer) is None:
+            self._write(Op.NOP_OUT, FINAL, command.itt, words | {20: NO_TAG}, immediate=True)
             return
         words[20] = transfer.length
         cdb = block_cdb(transfer.write, transfer.lba, transfer.blocks)
         data = b""
         if transfer.write:
-            job.data = transfer.body.read()
+            command.data = transfer.body.read()
             if self._limits.immediate_data:
-                data = job.data[: min(self._limits.first_burst, self._limits.send_data)]
-                job.sent = len(data)
+                data = command.data[: min(self._limits.first_burst, self._limits.send_data)]
+                command.sent = len(data)
         else:
-            job.body = Body(self._pool.buffers)
+            command.body = Body(self._pool.buffers)
         flags = FINAL | (0x20 if transfer.write else 0x40) | 0x01  # simple task attribute
-        self._write(Op.COMMAND, flags, job.itt, words, lun=lun_bytes(transfer.lun), cdb=cdb, data=data)
-        self._cmd_sn = (self._cmd_sn + 1) % SERIAL
+        self._write(Op.COMMAND, flags, command.itt, words, lun=lun_bytes(transfer.lun), cdb=cdb, data=data)
+        self._cmd_sn = (self._cmd_sn + 1) % SERIAL_MODULUS
 
-    def _data_out(self, job: _Job, pdu: Pdu) -> None:
+    def _data_out(self, command: _Command, pdu: Pdu) -> None:
         start, size = pdu.word(40), pdu.word(44)
         end, number = start + size, 0
-        if not size or end > len(job.data):
-            self._end(job, AttemptResult.ERROR, abort=True)
+        if not size or end > len(command.data):
+            self._end(command, AttemptResult.ERROR, abort=True)
             return
-        job.sent = max(job.sent, end)
+        command.sent = max(command.sent, end)
         while start < end:
-            part = job.data[start : min(end, start + self._limits.send_data)]
+            part = command.data[start : min(end, start + self._limits.send_data)]
             words = {20: pdu.word(20), 28: self._exp_stat_sn, 36: number, 40: start}
             start, number = start + len(part), number + 1
-            self._write(Op.DATA_OUT, FINAL if start == end else 0, job.itt, words, lun=pdu.lun, data=part)
+            self._write(Op.DATA_OUT, FINAL if start == end else 0, command.itt, words, lun=pdu.lun, data=part)
 
-    def abort(self, job: _Job) -> None:
-        """ABORT TASK.  It goes before any later command on this session; late data of the tag is dropped."""
-        if self.jobs.pop(job.itt, None) is None or self.lost:
+    def abort(self, command: _Command) -> None:
+        """Send an ABORT TASK, which precedes any later command; late data with the tag is dropped."""
+        if self.commands.pop(command.itt, None) is None or self.lost:
             return
         tag, self._next_itt = self._next_itt, self._next_itt % (NO_TAG - 1) + 1
         self._aborting[tag] = self._pool.clock.now_us()
-        words = {20: job.itt, 24: self._cmd_sn, 28: self._exp_stat_sn}
-        lun = lun_bytes(job.transfer.lun) if job.transfer is not None else bytes(8)
+        words = {20: command.itt, 24: self._cmd_sn, 28: self._exp_stat_sn}
+        lun = lun_bytes(command.transfer.lun) if command.transfer is not None else bytes(8)
         self._write(Op.TASK, FINAL | 1, tag, words, lun=lun, immediate=True)
         self._pool.watch_aborts()
 
-    def overdue(self, now: int) -> bool:
-        """An ABORT TASK without an answer: a node that took the login and never says anything again."""
-        return any(now - since >= ABORT_US for since in self._aborting.values())
+    def abort_timed_out(self, now: int) -> bool:
+        """Whether an ABORT TASK has had no response for ABORT_TIMEOUT_US: the node no longer responds."""
+        return any(now - aborted_at >= ABORT_TIMEOUT_US for aborted_at in self._aborting.values())
 
     @property
     def aborting(self) -> bool:
+        """Whether the response to an ABORT TASK is pending."""
         return bool(self._aborting)
 
     def retire(self) -> None:
-        """No new command; what is in transfer may finish."""
+        """Send no new command; log out when those in flight have ended."""
         self.retiring = True
-        if not self.jobs:
+        if not self.commands:
             self.logout()
 
     def logout(self) -> None:
+        """Log out and close the connection."""
         if not self.lost:
             if self.ready:
                 self._write(Op.LOGOUT, FINAL, 0, {24: self._cmd_sn, 28: self._exp_stat_sn}, immediate=True)
             self.link.loseConnection()
 
     def drop(self, result: AttemptResult) -> None:
-        """End the session at once; what is out on it ends with ``result``."""
+        """Abort the connection; commands in flight end with ``result``."""
         if not self.lost:
             abort(self.link)
-            self._gone(result)
+            self._end_session(result)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._gone(AttemptResult.RESET)
+        """Twisted: the connection has ended."""
+        self._end_session(AttemptResult.RESET)
 
-    def _gone(self, result: AttemptResult) -> None:
+    def _end_session(self, result: AttemptResult) -> None:
         if self.lost:
             return
         self.lost = True
-        jobs, self.jobs = list(self.jobs.values()), {}
-        self._pool.session_lost(self._book, self)
-        for job in jobs:
-            self._pool.finish(job, result)
+        commands, self.commands = list(self.commands.values()), {}
+        self._pool.session_lost(self._state, self)
+        for command in commands:
+            self._pool.finish(command, result)
 
 
 @dataclass(slots=True, eq=False)
-class _Book:
-    """One node's session, what waits for it, and sessions that only finish."""
+class _NodeState:
+    """One node's current session or dial, and the commands that wait for it."""
 
-    node: NodeId
+    node_id: NodeId
     session: NodeSession | None = None
     dial: Deferred[Any] | None = None
-    login: DelayedCall | None = None
-    waiting: deque[_Job] = field(default_factory=deque)
+    login_timeout: DelayedCall | None = None
+    pending: deque[_Command] = field(default_factory=deque)
 
 
 class NodePool:
-    """The node transport of the iSCSI wire."""
+    """The node transport over iSCSI: carries attempts and health checks to the nodes.
+
+    :param initiator: the initiator name for the login.
+    :param connect_timeout_us: for the connection, and again for the login.
+    """
 
     def __init__(
         self,
@@ -314,215 +330,241 @@
     ) -> None:
         self._reactor, self.clock, self.buffers, self.log = reactor, clock, buffers, log
         self.initiator, self._timeout_us = initiator, connect_timeout_us
-        self._lines: dict[NodeId, NodeLine] = {}
-        self._books: dict[NodeId, _Book] = {}
+        self._configured: dict[NodeId, StorageNode] = {}
+        self._nodes: dict[NodeId, _NodeState] = {}
         self._sessions: dict[NodeSession, None] = {}
-        self._away: set[NodeId] = set()  # in maintenance
-        self._look: DelayedCall | None = None
+        self._in_maintenance: set[NodeId] = set()
+        self._abort_check: DelayedCall | None = None
 
     @property
     def connections(self) -> int:
+        """The number of connected sessions."""
         return len(self._sessions)
 
-    def listed(self, lines: dict[NodeId, NodeLine]) -> None:
-        """The whole list.  What waits for a node that drains, goes, moves or restarts is not written."""
-        old, self._lines = self._lines, lines
-        for node, before in old.items():
-            now = lines.get(node)
+    def update_nodes(self, nodes: dict[NodeId, StorageNode]) -> None:
+        """Replace the list of nodes.
+
+        Pending commands fail for a node that is removed, moved, restarted or no longer ready.
+        """
+        old, self._configured = self._configured, nodes
+        for node_id, before in old.items():
+            now = nodes.get(node_id)
             same = now is not None and (
-                (now.address, now.target, now.node.started_us)
-                == (before.address, before.target, before.node.started_us)
+                (now.address, now.target, now.endpoint.started_us)
+                == (before.address, before.target, before.endpoint.started_us)
             )
-            if not same or now is None or now.node.state is not EndpointState.READY:
-                self._stop(node)
-
-    def set_maintenance(self, node: NodeId, on: bool) -> None:
-        """Out of use whatever the file says, or back.  What is in transfer finishes; what waits ends."""
-        (self._away.add if on else self._away.discard)(node)
-        self._stop(node)
-
-    def _usable(self, node: NodeId) -> NodeLine | None:
-        """Where a node is, if it may be sent anything new."""
-        line = self._lines.get(node)
-        ready = line is not None and line.node.state is EndpointState.READY and node not in self._away
-        return line if ready else None
-
-    def _stop(self, node: NodeId) -> None:
-        book = self._books.get(node)
-        if book is None:
+            if not same or now is None or now.endpoint.state is not EndpointState.READY:
+                self._stop_node(node_id)
+
+    def set_maintenance(self, node_id: NodeId, on: bool) -> None:
+        """Take a node out of use whatever the file says, or put it back.
+
+        Commands in flight may finish; pending commands fail.
+        """
+        (self._in_maintenance.add if on else self._in_maintenance.discard)(node_id)
+        self._stop_node(node_id)
+
+    def _usable(self, node_id: NodeId) -> StorageNode | None:
+        """Return a node that may be sent new commands; None for any other."""
+        node = self._configured.get(node_id)
+        ready = (
+            node is not None
+            and node.endpoint.state is EndpointState.READY
+            and node_id not in self._in_maintenance
+        )
+        return node if ready else None
+
+    def _stop_node(self, node_id: NodeId) -> None:
+        state = self._nodes.get(node_id)
+        if state is None:
             return
-        if book.dial is not None:
-            book.dial.cancel()
-        session, book.session = book.session, None
+        if state.dial is not None:
+            state.dial.cancel()
+        session, state.session = state.session, None
         if session is not None:
             session.retire()
-        self._fail_waiting(book)
+        self._fail_pending(state)
 
     # ---- attempts ----
 
-    def send(self, attempt: Attempt, sink: AttemptListener) -> None:
-        job = _Job(sink, attempt.node_id, self.clock.now_us(), attempt, attempt.payload)
-        line = self._usable(attempt.node_id)
-        if line is None:
-            self.finish(job, AttemptResult.NO_CONNECTION)
-        elif attempt.shard >= 0 and line.node.shard != attempt.shard:
-            self.finish(job, AttemptResult.NOT_STARTED)
+    def send(self, attempt: Attempt, listener: AttemptListener) -> None:
+        """Make an attempt; its end is reported to the listener."""
+        command = _Command(listener, attempt.node_id, self.clock.now_us(), attempt, attempt.payload)
+        node = self._usable(attempt.node_id)
+        if node is None:
+            self.finish(command, AttemptResult.NO_CONNECTION)
+        elif attempt.shard >= 0 and node.endpoint.shard != attempt.shard:
+            self.finish(command, AttemptResult.NOT_STARTED)
         else:
-            self._queue(job)
+            self._queue(command)
 
-    def check_health(self, node: NodeId, sink: AttemptListener) -> None:
-        job = _Job(sink, node, self.clock.now_us())
-        if self._usable(node) is None:
-            self.finish(job, AttemptResult.NO_CONNECTION)
+    def check_health(self, node_id: NodeId, listener: AttemptListener) -> None:
+        """Ping a node with a NOP-Out; the result is reported to the listener."""
+        command = _Command(listener, node_id, self.clock.now_us())
+        if self._usable(node_id) is None:
+            self.finish(command, AttemptResult.NO_CONNECTION)
             return
-        self.clock.call_later(PROBE_US, lambda: self.finish(job, AttemptResult.TIMEOUT))
-        self._queue(job)
+        self.clock.call_later(HEALTH_CHECK_US, lambda: self.finish(command, AttemptResult.TIMEOUT))
+        self._queue(command)
 
     def abort(self, attempt: Attempt) -> bool:
-        job, attempt.connection = attempt.connection, None
-        book = self._books.get(attempt.node_id)
-        if book is not None:
-            book.waiting = deque(item for item in book.waiting if item.attempt is not attempt)
-        if isinstance(job, _Job):
-            job.done = True
-            self._release(job)
+        """Abort an attempt without a report; whether it had been sent, so that it may have run."""
+        command, attempt.connection = attempt.connection, None
+        state = self._nodes.get(attempt.node_id)
+        if state is not None:
+            state.pending = deque(item for item in state.pending if item.attempt is not attempt)
+        if isinstance(command, _Command):
+            command.done = True
+            self._release(command)
             for session in list(self._sessions):
-                if session.jobs.get(job.itt) is job:
-                    session.abort(job)
-                    if session.retiring and not session.jobs:
+                if session.commands.get(command.itt) is command:
+                    session.abort(command)
+                    if session.retiring and not session.commands:
                         session.logout()
             return True
         return False
 
     def cancel_unwritten(self, attempt: Attempt) -> bool:
-        job = attempt.connection
-        return isinstance(job, _Job) and job.sent < len(job.data) and self.abort(attempt)
-
-    def stage_upload(self, node: NodeId, order: ClientRequest, source: BodySource) -> None:
-        """A command's data is bounded and comes whole before it is taken."""
-
-    def close_idle_connections(self, node: NodeId) -> None:
-        """Sessions are few and cost the node little: one a node is kept."""
-
-    def _queue(self, job: _Job) -> None:
-        book = self._books.setdefault(job.node, _Book(job.node))
-        book.waiting.append(job)
-        self.pump(book)
-
-    def pump(self, book: _Book) -> None:
-        """Start what waits, as far as the node's window goes.  The last look before the first byte."""
-        while book.waiting:
-            session, line = book.session, self._usable(book.node)
-            if line is None:
-                self._fail_waiting(book)
+        """Abort a write whose data has not all been sent; whether it was aborted."""
+        command = attempt.connection
+        return isinstance(command, _Command) and command.sent < len(command.data) and self.abort(attempt)
+
+    def stage_upload(self, node_id: NodeId, request: ClientRequest, source: BodySource) -> None:
+        """Do nothing: a command's data is bounded, and complete before the command is submitted."""
+
+    def close_idle_connections(self, node_id: NodeId) -> None:
+        """Do nothing: the one idle session to a node costs the node little."""
+
+    def _queue(self, command: _Command) -> None:
+        state = self._nodes.setdefault(command.node_id, _NodeState(command.node_id))
+        state.pending.append(command)
+        self.start_pending(state)
+
+    def start_pending(self, state: _NodeState) -> None:
+        """Start pending commands within the node's command window.
+
+        ``may_start`` is asked right before the first byte of each is sent.
+        """
+        while state.pending:
+            session, node = state.session, self._usable(state.node_id)
+            if node is None:
+                self._fail_pending(state)
                 return
             if session is None:
-                self._dial(book, line)
+                self._dial(state, node)
                 return
-            if not session.room:
+            if not session.has_window:
                 return
-            job = book.waiting.popleft()
-            attempt = job.attempt
-            if job.done or (attempt is not None and not job.sink.may_start(attempt)):
-                self.finish(job, AttemptResult.NOT_STARTED)
+            command = state.pending.popleft()
+            attempt = command.attempt
+            if command.done or (attempt is not None and not command.listener.may_start(attempt)):
+                self.finish(command, AttemptResult.NOT_STARTED)
                 continue
             if attempt is not None:
-                job.sink.attempt_started(attempt)
-            session.start(job)
+                command.listener.attempt_started(attempt)
+            session.start(command)
 
-    def finish(self, job: _Job, result: AttemptResult) -> None:
-        if job.done:
+    def finish(self, command: _Command, result: AttemptResult) -> None:
+        """Report the result of a command, unless it has one already."""
+        if command.done:
             return
-        job.done = True
-        answer = job.body.read() if job.body is not None and result is AttemptResult.SERVED else b""
-        self._release(job)
-        if job.attempt is not None:
-            job.attempt.connection = None
-            job.sink.attempt_ended(job.attempt, result, answer)
+        command.done = True
+        answer = command.body.read() if command.body is not None and result is AttemptResult.SERVED else b""
+        self._release(command)
+        if command.attempt is not None:
+            command.attempt.connection = None
+            command.listener.attempt_ended(command.attempt, result, answer)
         else:
-            job.sink.health_check_ended(job.node, result, self.clock.now_us() - job.since_us)
+            command.listener.health_check_ended(
+                command.node_id, result, self.clock.now_us() - command.queued_us
+            )
 
     @staticmethod
-    def _release(job: _Job) -> None:
-        job.data = b""
-        if job.body is not None:
-            job.body.release()
+    def _release(command: _Command) -> None:
+        command.data = b""
+        if command.body is not None:
+            command.body.release()
 
-    def _fail_waiting(self, book: _Book) -> None:
-        waiting, book.waiting = book.waiting, deque()
-        for job in waiting:
-            self.finish(job, AttemptResult.NO_CONNECTION)
+    def _fail_pending(self, state: _NodeState) -> None:
+        pending, state.pending = state.pending, deque()
+        for command in pending:
+            self.finish(command, AttemptResult.NO_CONNECTION)
 
     # ---- sessions ----
 
-    def _dial(self, book: _Book, line: NodeLine) -> None:
-        if book.dial is not None:
+    def _dial(self, state: _NodeState, node: StorageNode) -> None:
+        if state.dial is not None:
             return
         made = dial(
-            self._reactor, line.address, self._timeout_us / 1e6, lambda: NodeSession(self, book, line)
+            self._reactor, node.address, self._timeout_us / 1e6, lambda: NodeSession(self, state, node)
         )
-        book.dial = made
-        made.addCallbacks(self._connected, self._not_connected, (book, made), {}, (book, made))
+        state.dial = made
+        made.addCallbacks(self._connected, self._not_connected, (state, made), {}, (state, made))
         made.addErrback(lambda failure: self.log.error("dial_raised", error=repr(failure.value)))
 
-    def _connected(self, session: NodeSession, book: _Book, made: Deferred[Any]) -> None:
-        if book.dial is made:
-            book.dial = None
+    def _connected(self, session: NodeSession, state: _NodeState, made: Deferred[Any]) -> None:
+        if state.dial is made:
+            state.dial = None
         if session.lost:
-            self._fail_waiting(book)
+            self._fail_pending(state)
             return
         self._sessions[session] = None
-        line = self._usable(book.node)
-        if book.session is not None or line is None or line != session._line:
-            session.drop(AttemptResult.NO_CONNECTION)  # the list has moved on
+        node = self._usable(state.node_id)
+        if state.session is not None or node is None or node != session._node:
+            session.drop(AttemptResult.NO_CONNECTION)  # the list has changed meanwhile
             return
-        book.session = session
-        # A node may take the connection and never answer the login.
-        book.login = self.clock.call_later(self._timeout_us, lambda: self._login_late(session))
+        state.session = session
+        # A node may accept the connection and never respond to the login.
+        state.login_timeout = self.clock.call_later(self._timeout_us, lambda: self._check_login(session))
 
-    def _login_late(self, session: NodeSession) -> None:
+    def _check_login(self, session: NodeSession) -> None:
         if not session.ready:
             session.drop(AttemptResult.NO_CONNECTION)
 
-    def logged_in(self, book: _Book, session: NodeSession) -> None:
-        if book.login is not None and book.login.active():
-            book.login.cancel()
-        book.login = None
+    def logged_in(self, state: _NodeState, session: NodeSession) -> None:
+        """Cancel the login timeout of a session that has logged in."""
+        if state.login_timeout is not None and state.login_timeout.active():
+            state.login_timeout.cancel()
+        state.login_timeout = None
 
-    def _not_connected(self, failure: Failure, book: _Book, made: Deferred[Any]) -> None:
-        if book.dial is made:
-            book.dial = None
-        self._fail_waiting(book)
+    def _not_connected(self, failure: Failure, state: _NodeState, made: Deferred[Any]) -> None:
+        if state.dial is made:
+            state.dial = None
+        self._fail_pending(state)
 
-    def session_lost(self, book: _Book, session: NodeSession) -> None:
+    def session_lost(self, state: _NodeState, session: NodeSession) -> None:
+        """Forget a session that has ended; pending commands of the node fail."""
         self._sessions.pop(session, None)
-        if book.session is session:
-            book.session = None
-            if book.login is not None and book.login.active():
-                book.login.cancel()
-            book.login = None
-            self._fail_waiting(book)  # unsent: each has its outcome, the module decides what next
+        if state.session is session:
+            state.session = None
+            if state.login_timeout is not None and state.login_timeout.active():
+                state.login_timeout.cancel()
+            state.login_timeout = None
+            self._fail_pending(state)  # never sent: the policy decides on a new attempt
 
     def watch_aborts(self) -> None:
-        if self._look is None:
-            self._look = self.clock.call_later(ABORT_US // 4, self._look_at_aborts)
+        """Check for ABORT TASK timeouts until none is pending."""
+        if self._abort_check is None:
+            self._abort_check = self.clock.call_later(ABORT_TIMEOUT_US // 4, self._check_aborts)
 
-    def _look_at_aborts(self) -> None:
-        self._look = None
+    def _check_aborts(self) -> None:
+        self._abort_check = None
         now = self.clock.now_us()
         for session in list(self._sessions):
-            if session.overdue(now):
-                self.log.warning("session_silent", node=session._line.node.node_id.decode())
+            if session.abort_timed_out(now):
+                self.log.warning("session_silent", node=session._node.endpoint.node_id.decode())
                 session.drop(AttemptResult.RESET)
         if any(session.aborting for session in self._sessions):
             self.watch_aborts()
 
     def sweep(self) -> None:
-        for node in [node for node in self._books if node not in self._lines]:
-            book = self._books[node]
-            if book.session is None and book.dial is None and not book.waiting:
-                del self._books[node]
+        """Forget nodes that are not in the list and have no session, dial or pending command."""
+        for node_id in [node_id for node_id in self._nodes if node_id not in self._configured]:
+            state = self._nodes[node_id]
+            if state.session is None and state.dial is None and not state.pending:
+                del self._nodes[node_id]
 
     def close(self) -> None:
+        """Log out of all sessions, as soon as their commands have ended."""
         for session in list(self._sessions):
             session.retire()
--- a/gaugesail/iscsi/operator.py
+++ b/gaugesail/iscsi/operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: who is served, which block range belongs to which volume, and where the nodes are."""
+"""The operator's file: the target, request classes, plans, logical units with their extents, and nodes."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
     "appointments": "recovery_queue",
     "report_fields": "load_report_fields",
 }
-_ROW_NAMES = {  # field of RequestClass or Plan: key of a [[class]] or [[plan]]
+_CLASS_KEYS = {  # field of RequestClass or Plan: key of a [[class]] or [[plan]]
     "priority_weight": "worth",
     "late_weight_share": "late_share",
     "share_weight": "weight",
 }
-PLAN_FIGURES = {  # keys of a [[plan]] in the order of Plan's fields, with their defaults
+PLAN_DEFAULTS = {  # keys of a [[plan]] in the order of Plan's fields, with their defaults
     "rate": 0.0,
     "reserve": 0.0,
     "weight": 1.0,
@@ -63,24 +63,24 @@
     "limit_burst": 0.0,
     "limit_slack": 0.0,
 }
-_PLAN_NAMES = _ROW_NAMES | {"priority_weight": "price"}
-_RULE_NAMES = {field: key for key, field in RULE_KEYS.items()}
+_PLAN_KEYS = _CLASS_KEYS | {"priority_weight": "price"}
+_SETTINGS_KEYS = {field: key for key, field in RULE_KEYS.items()}
 
 
 class OperatorError(ValueError):
-    """The file cannot be used; the text names the entry."""
+    """The file cannot be used; the text names the entry, what is expected and what was read."""
 
 
 @dataclass(slots=True, frozen=True)
 class Extent:
-    """A range of blocks that lies on one shard and belongs to one volume."""
+    """A range of blocks that is stored on one shard and belongs to one volume."""
 
     first: int
     blocks: int
     volume: int
-    plan: int
+    plan: int  # its index in the settings
     shard: int
-    hosts: float
+    hosts: float  # gateways through which the volume is used
     blocks_per_unit: int
 
 
@@ -94,7 +94,7 @@
     extents: tuple[Extent, ...]
 
     def extent(self, lba: int, count: int) -> Extent | None:
-        """The extent that holds the whole range."""
+        """Return the extent that contains the range; None if no single one does."""
         for extent in self.extents:
             if extent.first <= lba and lba + count <= extent.first + extent.blocks:
                 return extent
@@ -102,17 +102,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NodeLine:
-    """A storage node; its target name is asked for at login."""
+class StorageNode:
+    """A storage node: its address, the target name to log in to, empty for none, and its endpoint."""
 
     address: tuple[str, int]
     target: str
-    node: Endpoint
+    endpoint: Endpoint
 
 
 @dataclass(slots=True, frozen=True)
-class Operator:
-    """The whole file."""
+class OperatorConfig:
+    """The configuration in an operator's file; ``reload_needs_restart`` logs the names of its fields."""
 
     listen: tuple[str, int]
     management: tuple[str, int] | None
@@ -122,7 +122,7 @@
     read_class: int
     write_class: int
     units: dict[int, Unit]
-    nodes: dict[bytes, NodeLine]
+    nodes: dict[bytes, StorageNode]
     connect_timeout_us: int
     sockets: int
     memory_mb: int
@@ -131,52 +131,52 @@
 
     @property
     def geometry(self) -> dict[int, tuple[int, int]]:
-        """What initiators have been told of the logical units."""
+        """Block size and number of blocks of each logical unit, as initiators have read them."""
         return {number: (unit.block_size, unit.blocks) for number, unit in self.units.items()}
 
 
-def _table(owner: dict[str, Any], key: str, kind: type, default: Any = None) -> Any:
-    value = owner.get(key, default)
+def _value(table: dict[str, Any], key: str, kind: type, default: Any = None) -> Any:
+    value = table.get(key, default)
     if isinstance(value, bool) and kind is not bool:
-        raise OperatorError(f"{key}: a {kind.__name__} is needed, not {value!r}")
+        raise OperatorError(f"{key}: expected {kind.__name__}, got {value!r}")
     if kind is float and isinstance(value, int):
         value = float(value)
     if not isinstance(value, kind):
-        found = "nothing" if value is None else repr(value)
-        raise OperatorError(f"{key}: a {kind.__name__} is needed, not {found}")
+        received = "nothing" if value is None else repr(value)
+        raise OperatorError(f"{key}: expected {kind.__name__}, got {received}")
     return value
 
 
-def _each(owner: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
-    rows = _table(owner, key, list, [])
+def _rows(table: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
+    rows = _value(table, key, list, [])
     if not rows or not all(isinstance(row, dict) for row in rows):
-        raise OperatorError(f"at least one [[{key}]] is needed")
+        raise OperatorError(f"expected at least one [[{key}]]")
     return [(f"[[{key}]] {n}", row) for n, row in enumerate(rows, 1)]
 
 
-def _whole(row: dict[str, Any], key: str, low: int, high: int, default: int | None = None) -> int:
-    value: int = _table(row, key, int, default)
+def _integer(row: dict[str, Any], key: str, low: int, high: int, default: int | None = None) -> int:
+    value: int = _value(row, key, int, default)
     if not low <= value <= high:
-        raise OperatorError(f"{key}: {value} is not from {low} to {high}")
+        raise OperatorError(f"{key}: expected {low} to {high}, got {value}")
     return value
 
 
 def _classes(data: dict[str, Any]) -> tuple[RequestClass, ...]:
     classes = []
-    for where, row in _each(data, "class"):
+    for where, row in _rows(data, "class"):
         try:
             classes.append(
                 RequestClass(
-                    _table(row, "name", str),
-                    _whole(row, "aim_ms", 1, 3_600_000) * 1000,
-                    _whole(row, "deadline_ms", 1, 3_600_000) * 1000,
-                    _table(row, "worth", float, 1.0),
-                    _table(row, "late_share", float, 0.0),
-                    writes=_table(row, "writes", bool, False),
+                    _value(row, "name", str),
+                    _integer(row, "aim_ms", 1, 3_600_000) * 1000,
+                    _integer(row, "deadline_ms", 1, 3_600_000) * 1000,
+                    _value(row, "worth", float, 1.0),
+                    _value(row, "late_share", float, 0.0),
+                    writes=_value(row, "writes", bool, False),
                 )
             )
         except InvalidSetting as error:
-            raise OperatorError(f"{where}: {error.named(_ROW_NAMES.get(error.name, error.name))}") from None
+            raise OperatorError(f"{where}: {error.named(_CLASS_KEYS.get(error.name, error.name))}") from None
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
     return tuple(classes)
@@ -184,12 +184,12 @@
 
 def _plans(data: dict[str, Any]) -> tuple[Plan, ...]:
     plans = []
-    for where, row in _each(data, "plan"):
+    for where, row in _rows(data, "plan"):
         try:
-            figures = (_table(row, key, float, default) for key, default in PLAN_FIGURES.items())
-            plans.append(Plan(_table(row, "name", str), *figures))
+            figures = (_value(row, key, float, default) for key, default in PLAN_DEFAULTS.items())
+            plans.append(Plan(_value(row, "name", str), *figures))
         except InvalidSetting as error:
-            raise OperatorError(f"{where}: {error.named(_PLAN_NAMES.get(error.name, error.name))}") from None
+            raise OperatorError(f"{where}: {error.named(_PLAN_KEYS.get(error.name, error.name))}") from None
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
     return tuple(plans)
@@ -198,81 +198,81 @@
 def _settings(data: dict[str, Any]) -> Settings:
     classes = _classes(data)
     plans = _plans(data)
-    rules = _table(data, "rules", dict, {})
+    rules = _value(data, "rules", dict, {})
     for key in rules:
         if key not in RULE_KEYS:
-            raise OperatorError(f"[rules] {key}: unknown; known are {', '.join(sorted(RULE_KEYS))}")
+            raise OperatorError(f"[rules] {key}: unknown key; expected one of {', '.join(sorted(RULE_KEYS))}")
     values = {RULE_KEYS[key]: value for key, value in rules.items()}
     try:
         return Settings(classes=classes, plans=plans, **values)
     except InvalidSetting as error:
-        raise OperatorError(f"[rules] {error.named(_RULE_NAMES.get(error.name, error.name))}") from None
+        raise OperatorError(f"[rules] {error.named(_SETTINGS_KEYS.get(error.name, error.name))}") from None
     except (ValueError, TypeError) as error:
         raise OperatorError(f"[rules] {error}") from None
 
 
 def _units(data: dict[str, Any], plans: dict[str, int]) -> dict[int, Unit]:
     units: dict[int, Unit] = {}
-    for where, row in _each(data, "lun"):
+    for where, row in _rows(data, "lun"):
         try:
-            number = _whole(row, "number", 0, 16383)
-            size = _whole(row, "block_size", 512, 4096, 512)
+            number = _integer(row, "number", 0, 16383)
+            size = _integer(row, "block_size", 512, 4096, 512)
             if size & (size - 1):
-                raise OperatorError(f"block_size: {size} is no power of two")
+                raise OperatorError(f"block_size: expected a power of two, got {size}")
             extents: list[Extent] = []
             end = 0
-            for which, item in _each(row, "extent"):
-                plan = _table(item, "plan", str)
+            for which, item in _rows(row, "extent"):
+                plan = _value(item, "plan", str)
                 if plan not in plans:
-                    raise OperatorError(f"{which}: plan {plan!r} is not defined")
+                    raise OperatorError(f"{which}: plan {plan!r} is not defined by a [[plan]]")
                 extent = Extent(
-                    _whole(item, "first", 0, 1 << 48),
-                    _whole(item, "blocks", 1, 1 << 48),
-                    int(_table(item, "volume", str), 16),
+                    _integer(item, "first", 0, 1 << 48),
+                    _integer(item, "blocks", 1, 1 << 48),
+                    int(_value(item, "volume", str), 16),
                     plans[plan],
-                    _whole(item, "shard", 0, 65535),
-                    float(_whole(item, "hosts", 1, 65535, 1)),
-                    _whole(item, "blocks_per_unit", 1, 1 << 24, 8),
+                    _integer(item, "shard", 0, 65535),
+                    float(_integer(item, "hosts", 1, 65535, 1)),
+                    _integer(item, "blocks_per_unit", 1, 1 << 24, 8),
                 )
                 if extent.first != end:
-                    raise OperatorError(f"{which}: begins at block {extent.first}, not at {end}")
+                    raise OperatorError(f"{which}: first: expected block {end}, got {extent.first}")
                 end += extent.blocks
                 extents.append(extent)
             if number in units:
-                raise OperatorError(f"number {number} comes twice")
+                raise OperatorError(f"number: {number} is used by another [[lun]]")
             units[number] = Unit(number, size, end, tuple(extents))
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
     return units
 
 
-def _nodes(data: dict[str, Any]) -> dict[bytes, NodeLine]:
-    nodes: dict[bytes, NodeLine] = {}
-    for where, row in _each(data, "node"):
+def _nodes(data: dict[str, Any]) -> dict[bytes, StorageNode]:
+    nodes: dict[bytes, StorageNode] = {}
+    for where, row in _rows(data, "node"):
         try:
-            name, phase = _table(row, "id", str).encode(), _table(row, "phase", str, "Ready")
+            node_id, phase = _value(row, "id", str).encode(), _value(row, "phase", str, "Ready")
             if phase not in STATES:
-                raise OperatorError(f"phase: {phase!r} is none of {', '.join(STATES)}")
-            if name in nodes:
-                raise OperatorError(f"id {name.decode()!r} comes twice")
+                raise OperatorError(f"phase: expected one of {', '.join(STATES)}, got {phase!r}")
+            if node_id in nodes:
+                raise OperatorError(f"id: {node_id.decode()!r} is used by another [[node]]")
             address = split_address(row.get("address"))
-            started = _whole(row, "up_since_ms", 0, 1 << 52, 0) * 1000
-            shard, power = _whole(row, "shard", 0, 65535), _table(row, "power", float, 1.0)
-            node = Endpoint(name, shard, STATES[phase], capacity=power, started_us=started)
-            nodes[name] = NodeLine(address, _table(row, "target", str, ""), node)
+            started = _integer(row, "up_since_ms", 0, 1 << 52, 0) * 1000
+            shard, capacity = _integer(row, "shard", 0, 65535), _value(row, "power", float, 1.0)
+            endpoint = Endpoint(node_id, shard, STATES[phase], capacity=capacity, started_us=started)
+            nodes[node_id] = StorageNode(address, _value(row, "target", str, ""), endpoint)
         except (BadList, OperatorError) as error:
             raise OperatorError(f"{where}: {error}") from None
     return nodes
 
 
-def read_operator(data: dict[str, Any], environ: Mapping[str, str]) -> Operator:
-    """A file's contents; OperatorError says which entry is wrong and why."""
+def read_operator(data: dict[str, Any], environ: Mapping[str, str]) -> OperatorConfig:
+    """Return the configuration in a file's parsed contents.  OperatorError names the entry that is wrong."""
     settings = _settings(data)
     writes = [spec.writes for spec in settings.classes]
     if True not in writes or False not in writes:
-        raise OperatorError("[[class]]: one class that writes and one that does not are needed")
-    target = _table(data, "target", dict, {})
-    limits = _table(data, "limits", dict, {})
+        raise OperatorError("[[class]]: expected a class that writes and one that does not")
+    target = _value(data, "target", dict, {})
+    limits = _value(data, "limits", dict, {})
     key = "listen"
     try:
         listen = split_address(target.get(key))
@@ -280,25 +280,26 @@
         management = split_address(target[key]) if key in target else None
     except BadList as error:
         raise OperatorError(f"[target] {key}: {error}") from None
-    return Operator(
+    return OperatorConfig(
         listen,
         management,
-        _table(target, "name", str),
-        _table(target, "initiator", str, "iqn.2026-12.ee.example:gaugesail"),
+        _value(target, "name", str),
+        _value(target, "initiator", str, "iqn.2026-12.ee.example:gaugesail"),
         settings,
         writes.index(False),
         writes.index(True),
         _units(data, {plan.name: n for n, plan in enumerate(settings.plans)}),
         _nodes(data),
-        _whole(limits, "connect_timeout_ms", 1, 60_000, 250) * 1000,
-        descriptors(_whole(limits, "sockets", 16, 1 << 20, 1024)),
-        _whole(limits, "memory_mb", 32, 1 << 20, 192),
-        _whole(target, "seed", 0, 1 << 62, 0),
-        _table(target, "folder", str, "") or environ.get("TMPDIR") or None,
+        _integer(limits, "connect_timeout_ms", 1, 60_000, 250) * 1000,
+        descriptors(_integer(limits, "sockets", 16, 1 << 20, 1024)),
+        _integer(limits, "memory_mb", 32, 1 << 20, 192),
+        _integer(target, "seed", 0, 1 << 62, 0),
+        _value(target, "folder", str, "") or environ.get("TMPDIR") or None,
     )
 
 
-def load_operator(path: str) -> Operator:
+def load_operator(path: str) -> OperatorConfig:
+    """Read the operator's file at a path.  OperatorError names the path and the entry that is wrong."""
     try:
         return read_operator(tomllib.loads(Path(path).read_text()), os.environ)
     except (OSError, ValueError) as error:
@@ -306,7 +307,7 @@
 
 
 def write_toml(data: dict[str, Any], prefix: str = "") -> str:
-    """Nested tables as TOML; values before tables, as TOML wants it."""
+    """Return nested tables as TOML, where the values of a table come before its subtables."""
     lines: list[str] = []
     for key, value in data.items():
         rows = isinstance(value, list) and bool(value) and isinstance(value[0], dict)
--- a/gaugesail/iscsi/pdu.py
+++ b/gaugesail/iscsi/pdu.py
@@ -1,4 +1,7 @@
-"""The PDU codec: basic header segment, data segment, text keys.  No digests, no additional headers."""
+"""The PDU codec: basic header segment (BHS), data segment, text keys.
+
+Digests and additional header segments are not supported.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-BHS = 48
+BHS_BYTES = 48
 NO_TAG = 0xFFFFFFFF
-MAX_DATA = 64 * 1024  # the largest data segment taken here
-FINAL, SERIAL = 0x80, 1 << 32
+MAX_DATA_SEGMENT_BYTES = 64 * 1024  # that is accepted
+FINAL, SERIAL_MODULUS = 0x80, 1 << 32
 
 
 class Op(IntEnum):
-    """Opcodes; those from 0x20 on are the target's."""
+    """Opcodes; those from 0x20 on are sent by the target."""
 
     NOP_OUT = 0x00
     COMMAND = 0x01
@@ -35,7 +38,7 @@
 
 
 class Reason(IntEnum):
-    """Why a PDU is rejected."""
+    """Reason codes of a Reject PDU."""
 
     PROTOCOL_ERROR = 0x04
     NOT_SUPPORTED = 0x05
@@ -43,7 +46,7 @@
 
 
 class Status(IntEnum):
-    """SCSI status."""
+    """SCSI status codes."""
 
     GOOD = 0x00
     CHECK = 0x02
@@ -52,7 +55,12 @@
 
 
 class BadPdu(Exception):
-    """Input that cannot be framed or must not be acted on; ``header`` is what a Reject sends back."""
+    """A PDU that cannot be framed or violates the protocol.
+
+    :param text: what is wrong.
+    :param header: the PDU's header, which a Reject sends back.
+    :param reason: the reason code of the Reject.
+    """
 
     def __init__(self, text: str, header: bytes = b"", reason: Reason = Reason.PROTOCOL_ERROR) -> None:
         super().__init__(text)
@@ -61,7 +69,7 @@
 
 @dataclass(slots=True)
 class Pdu:
-    """One PDU.  Fields from byte 20 on are read with ``word`` by their place in the header."""
+    """One PDU.  The fields from byte 20 on are read with ``word`` by their offset in the header."""
 
     opcode: int
     flags: int = 0
@@ -74,143 +82,155 @@
     immediate: bool = False
 
     def word(self, at: int) -> int:
+        """Return the 32-bit field at an offset in the header, from 20 on."""
         value: int = struct.unpack_from(">I", self.rest, at - 20)[0]
         return value
 
     @property
     def cdb(self) -> bytes:
+        """The SCSI command descriptor block of a command PDU."""
         return self.rest[12:28]
 
     def header(self) -> bytes:
+        """Return the basic header segment."""
         first = self.opcode | (0x40 if self.immediate else 0)
         size = len(self.data).to_bytes(3, "big")
-        head = bytes([first, self.flags, self.byte2, self.byte3, 0]) + size
-        return head + self.lun + struct.pack(">I", self.itt) + self.rest
+        start = bytes([first, self.flags, self.byte2, self.byte3, 0]) + size
+        return start + self.lun + struct.pack(">I", self.itt) + self.rest
 
     def encode(self) -> bytes:
+        """Return the PDU as it is sent, its data padded to 4 bytes."""
         return self.header() + self.data + bytes(-len(self.data) % 4)
 
 
 def fields(words: dict[int, int] | None = None, cdb: bytes = b"") -> bytes:
-    """Bytes 20 to 47 of a header from words by their place, and a CDB."""
+    """Return bytes 20 to 47 of a header, made of 32-bit words by their offset, and of a CDB."""
     rest = bytearray(28)
     for at, value in (words or {}).items():
-        struct.pack_into(">I", rest, at - 20, value % SERIAL)
+        struct.pack_into(">I", rest, at - 20, value % SERIAL_MODULUS)
     if cdb:
         rest[12:28] = cdb.ljust(16, b"\0")
     return bytes(rest)
 
 
 class PduReader:
-    """Takes bytes with ``feed`` and gives whole PDUs with ``pdus``."""
+    """Splits received bytes into PDUs: ``feed`` adds bytes, ``pdus`` yields the complete PDUs.
+
+    :param max_data: the largest data segment that is accepted, in bytes.
+    """
 
-    def __init__(self, max_data: int = MAX_DATA) -> None:
-        self._max, self._input = max_data, bytearray()
+    def __init__(self, max_data: int = MAX_DATA_SEGMENT_BYTES) -> None:
+        self._max_data, self._input = max_data, bytearray()
 
     @property
     def buffered(self) -> int:
+        """The number of bytes of an incomplete PDU."""
         return len(self._input)
 
     def feed(self, data: bytes) -> None:
+        """Add received bytes."""
         self._input += data
 
     def pdus(self) -> Iterator[Pdu]:
-        while len(self._input) >= BHS:
-            head = bytes(self._input[:BHS])
-            size = int.from_bytes(head[5:8], "big")
-            # A length that cannot be trusted leaves no place to read on from: the connection must end.
-            if head[4]:
-                raise BadPdu("additional header segments are not supported", head, Reason.NOT_SUPPORTED)
-            if size > self._max:
-                raise BadPdu(f"a data segment of {size} bytes is over {self._max}", head)
-            end = BHS + size + -size % 4
+        """Yield the complete PDUs.  BadPdu if the stream cannot be framed any further."""
+        while len(self._input) >= BHS_BYTES:
+            header = bytes(self._input[:BHS_BYTES])
+            size = int.from_bytes(header[5:8], "big")
+            # After a wrong length the start of the next PDU is unknown: the connection must be closed.
+            if header[4]:
+                raise BadPdu("additional header segments are not supported", header, Reason.NOT_SUPPORTED)
+            if size > self._max_data:
+                raise BadPdu(f"data segment: expected at most {self._max_data} bytes, got {size}", header)
+            end = BHS_BYTES + size + -size % 4
             if len(self._input) < end:
                 return
-            data = bytes(self._input[BHS : BHS + size])
+            data = bytes(self._input[BHS_BYTES : BHS_BYTES + size])
             del self._input[:end]
             yield Pdu(
-                head[0] & 0x3F, head[1], int.from_bytes(head[16:20], "big"), head[2], head[3], head[8:16],
-                head[20:48], data, bool(head[0] & 0x40),
+                header[0] & 0x3F, header[1], int.from_bytes(header[16:20], "big"), header[2], header[3],
+                header[8:16], header[20:48], data, bool(header[0] & 0x40),
             )  # fmt: skip
 
 
 def read_text(data: bytes) -> dict[str, str]:
-    """key=value pairs of a login or text PDU."""
-    found: dict[str, str] = {}
+    """Return the key=value pairs of a login or text PDU.  BadPdu."""
+    pairs: dict[str, str] = {}
     for pair in data.split(b"\0"):
         if pair:
             key, equals, value = pair.partition(b"=")
             if not equals or not key or not pair.isascii():
-                raise BadPdu("a text key has no value")
-            if key.decode() in found:
-                raise BadPdu(f"the text key {key.decode()} comes twice")
-            found[key.decode()] = value.decode()
-    return found
+                raise BadPdu(f"text: expected key=value in ASCII, got {pair!r}")
+            if key.decode() in pairs:
+                raise BadPdu(f"text: expected the key {key.decode()} once, got it again")
+            pairs[key.decode()] = value.decode()
+    return pairs
 
 
 def write_text(pairs: dict[str, str]) -> bytes:
+    """Return key=value pairs as the data of a login or text PDU."""
     return b"".join(f"{key}={value}".encode() + b"\0" for key, value in pairs.items())
 
 
 @dataclass(slots=True)
 class Limits:
-    """What a login has settled."""
+    """The limits negotiated at login, in bytes."""
 
-    send_data: int = 8192  # the other side's MaxRecvDataSegmentLength
+    send_data: int = 8192  # the peer's MaxRecvDataSegmentLength
     max_burst: int = 262144
     first_burst: int = 65536
     immediate_data: bool = True
 
 
-def _number(key: str, value: str, low: int) -> int:
+def _parse_number(key: str, value: str, low: int) -> int:
     if not (value.isascii() and value.isdigit() and len(value) <= 9) or not low <= int(value) < 1 << 24:
-        raise BadPdu(f"{key} has the value {value!r}")
+        raise BadPdu(f"{key}: expected {low} to 2**24 - 1, got {value!r}")
     return int(value)
 
 
 def negotiate(offered: dict[str, str], limits: Limits) -> dict[str, str]:
-    """The answers to the keys of an initiator, RFC 7143 section 13; ``limits`` takes what is settled."""
-    answer: dict[str, str] = {}
+    """Return the answers to an initiator's keys, RFC 7143 section 13, and set ``limits``.  BadPdu."""
+    answers: dict[str, str] = {}
     for key, value in offered.items():
         if key in ("HeaderDigest", "DataDigest", "AuthMethod"):
-            answer[key] = "None" if "None" in value.split(",") else "Reject"
+            answers[key] = "None" if "None" in value.split(",") else "Reject"
         elif key == "MaxRecvDataSegmentLength":
-            limits.send_data = _number(key, value, 512)
-            answer[key] = str(MAX_DATA)
+            limits.send_data = _parse_number(key, value, 512)
+            answers[key] = str(MAX_DATA_SEGMENT_BYTES)
         elif key == "MaxBurstLength":
-            limits.max_burst = min(limits.max_burst, _number(key, value, 512))
-            answer[key] = str(limits.max_burst)
+            limits.max_burst = min(limits.max_burst, _parse_number(key, value, 512))
+            answers[key] = str(limits.max_burst)
         elif key == "FirstBurstLength":
-            limits.first_burst = min(limits.first_burst, _number(key, value, 512))
-            answer[key] = str(limits.first_burst)
+            limits.first_burst = min(limits.first_burst, _parse_number(key, value, 512))
+            answers[key] = str(limits.first_burst)
         elif key == "ImmediateData":
             limits.immediate_data = value == "Yes"
-            answer[key] = "Yes" if limits.immediate_data else "No"
+            answers[key] = "Yes" if limits.immediate_data else "No"
         elif key in ("InitialR2T", "DataPDUInOrder", "DataSequenceInOrder"):
-            answer[key] = "Yes"
+            answers[key] = "Yes"
         elif key in ("MaxConnections", "MaxOutstandingR2T"):
-            answer[key] = "1"
+            answers[key] = "1"
         elif key in ("ErrorRecoveryLevel", "DefaultTime2Retain"):
-            answer[key] = "0"
+            answers[key] = "0"
         elif key == "DefaultTime2Wait":
-            answer[key] = value
+            answers[key] = value
         elif key not in ("InitiatorName", "InitiatorAlias", "SessionType", "TargetName", "SendTargets"):
-            answer[key] = "NotUnderstood"
-    return answer
+            answers[key] = "NotUnderstood"
+    return answers
 
 
 def sense(key: int, code: int, qualifier: int) -> bytes:
-    """Fixed format sense data with the length before it, as a SCSI response carries it."""
+    """Return fixed format sense data, preceded by its length as in a SCSI response PDU."""
     data = bytes([0x70, 0, key, 0, 0, 0, 0, 10, 0, 0, 0, 0, code, qualifier, 0, 0, 0, 0])
     return len(data).to_bytes(2, "big") + data
 
 
 def lun_bytes(number: int) -> bytes:
+    """Return the LUN field of a logical unit: peripheral addressing below 256, flat addressing above."""
     return (bytes([0, number]) if number < 256 else (0x4000 | number).to_bytes(2, "big")) + bytes(6)
 
 
 def lun_number(lun: bytes) -> int:
-    """Peripheral and flat addressing of one level; -1 for what is neither."""
+    """Return the number in a LUN field with peripheral or flat addressing of one level; -1 for any other."""
     first = int.from_bytes(lun[:2], "big")
     if any(lun[2:]) or first >> 14 > 1 or (first < 0x4000 and first > 255):
         return -1
@@ -218,7 +238,7 @@
 
 
 def block_cdb(write: bool, lba: int, blocks: int) -> bytes:
-    """READ or WRITE, 10 where it fits and 16 otherwise."""
+    """Return the CDB of READ(10) or WRITE(10), or of the 16-byte form if the range needs it."""
     if lba < 1 << 32 and blocks < 1 << 16:
         return struct.pack(">BBIBHB", 0x2A if write else 0x28, 0, lba, 0, blocks, 0)
     return struct.pack(">BBQIBB", 0x8A if write else 0x88, 0, lba, blocks, 0, 0)
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -17,11 +17,11 @@
 from ..core.engine import Engine
 from ..core.ports import BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..net import Connection, unread
-from .operator import Extent, Operator, Unit
+from .operator import Extent, OperatorConfig, Unit
 from .pdu import (
     FINAL,
     NO_TAG,
-    SERIAL,
+    SERIAL_MODULUS,
     BadPdu,
     Limits,
     Op,
@@ -231,7 +231,7 @@
             elif len(self._tasks) >= WINDOW and pdu.opcode == Op.COMMAND:
                 raise BadPdu(f"CmdSN {pdu.word(24)} is beyond MaxCmdSN")
             else:
-                self._exp_cmd_sn = (self._exp_cmd_sn + 1) % SERIAL
+                self._exp_cmd_sn = (self._exp_cmd_sn + 1) % SERIAL_MODULUS
         handler(pdu)
 
     def _login(self, pdu: Pdu) -> None:
@@ -534,7 +534,7 @@
         room = max(0, WINDOW - len(self._tasks))
         serials = {24: self._stat_sn if counts else 0, 28: self._exp_cmd_sn, 32: self._exp_cmd_sn + room - 1}
         if counts:
-            self._stat_sn = (self._stat_sn + 1) % SERIAL
+            self._stat_sn = (self._stat_sn + 1) % SERIAL_MODULUS
         pdu = Pdu(opcode, flags, itt, byte2, byte3, lun, fields(serials | (words or {})), data)
         self.link.write(pdu.encode())
 
@@ -573,7 +573,7 @@
     def __init__(
         self,
         engine: Engine,
-        operator: Operator,
+        operator: OperatorConfig,
         clock: Clock,
         pool: BufferPool,
         log: Logger,
--- a/tests/importer/test_importer.py
+++ b/tests/importer/test_importer.py
@@ -55,8 +55,8 @@
     assert code == 0
     operator = read_operator(tomllib.loads(out), {})
     nodes = {
-        name.decode(): (line.address, line.node.state.name, line.node.capacity)
-        for name, line in operator.nodes.items()
+        name.decode(): (node.address, node.endpoint.state.name, node.endpoint.capacity)
+        for name, node in operator.nodes.items()
     }
     assert nodes == {"n1": (("10.1.0.1", 3260), "READY", 2.0), "n2": (("10.1.0.2", 3260), "DRAINING", 1.0)}
     assert operator.settings.classes[0].deadline_us == 6_000_000 and operator.settings.max_attempts == 4
@@ -75,8 +75,8 @@
     assert code == 0
     operator = read_operator(tomllib.loads(out), {})
     nodes = {
-        name.decode(): (line.address, line.node.state.name, line.node.capacity)
-        for name, line in operator.nodes.items()
+        name.decode(): (node.address, node.endpoint.state.name, node.endpoint.capacity)
+        for name, node in operator.nodes.items()
     }
     assert nodes == {"a": (("10.1.0.1", 3260), "READY", 3.0), "b": (("10.1.0.2", 3260), "DRAINING", 1.0)}
     assert operator.settings.classes[0].deadline_us == 7_000_000
--- a/tests/iscsi/test_target_and_initiator.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -237,7 +237,7 @@
 def test_a_session_that_is_given_up_ends_before_its_commands_may_go_again() -> None:
     with rigged() as rig:
         rig.fill()
-        session = rig.head.transport._books[b"n1"].session
+        session = rig.head.transport._nodes[b"n1"].session
         assert session is not None
         peer = rig.node.open[0].link.socket
         session.drop(AttemptResult.RESET)
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -42,7 +42,7 @@
     path = tmp_path / "operator.toml"
     path.write_text('[[class]]\nname = "read"\naim_ms = 0\n')
     done = run("gaugesail", str(path))
-    assert done.returncode == 2 and "[[class]] 1: aim_ms: 0 is not from 1" in done.stderr
+    assert done.returncode == 2 and "[[class]] 1: aim_ms: expected 1 to 3600000, got 0" in done.stderr
     done = run("gaugesail", BALANCER_CONFIG=str(tmp_path / "none.json"))
     assert done.returncode == 2 and "none.json" in done.stderr
 
