--- a/gaugesail/iscsi/initiator.py
+++ b/gaugesail/iscsi/initiator.py
@@ -344,7 +344,8 @@
     def update_nodes(self, nodes: dict[NodeId, StorageNode]) -> None:
         """Replace the list of nodes.
 
-        Pending commands fail for a node that is removed, moved, restarted or no longer ready.
+        A node that is removed, moved, restarted or no longer ready loses its session.  Its pending commands
+        fail; those in flight may finish.
         """
         old, self._configured = self._configured, nodes
         for node_id, before in old.items():
@@ -533,7 +534,7 @@
         self._fail_pending(state)
 
     def session_lost(self, state: _NodeState, session: NodeSession) -> None:
-        """Forget a session that has ended; pending commands of the node fail."""
+        """Forget a session that has ended; if it is the current one of its node, pending commands fail."""
         self._sessions.pop(session, None)
         if state.session is session:
             state.session = None
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -1,4 +1,4 @@
-"""The target front: iSCSI-style clients before the engine, many commands in flight on one connection."""
+"""The iSCSI target: serves clients' sessions, with many commands in flight on each connection."""
 
 from __future__ import annotations
 
@@ -38,21 +38,22 @@
     write_text,
 )
 
-WINDOW = 32  # commands a session may have in flight
-MAX_TRANSFER = 256 * 1024  # with WINDOW it bounds what one slow client can make us hold
-LOGIN_US = 2_500_000  # how long a login may take, and a PDU to arrive
-OVERFLOW = 8  # sessions beyond all places, told so at their login; what else comes waits in the kernel
-SILENT_US = 250_000  # a session that has not logged in may be closed for another after this long
-SLOW_READER_US = 10_000_000
-MOST_READS = 4  # ahead of a session's turn
-ILLEGAL, ABORTED, HARDWARE = 0x05, 0x0B, 0x04
-NO_UNIT, BAD_OPERATION, BAD_RANGE, BAD_CDB = (0x25, 0), (0x20, 0), (0x21, 0), (0x24, 0)
-TIMED_OUT, NODE_FAILED, DATA_PHASE = (0x08, 0x01), (0x44, 0), (0x4B, 0)
+COMMAND_WINDOW = 32  # commands that a session may have in flight
+MAX_TRANSFER_BYTES = 256 * 1024  # with COMMAND_WINDOW it bounds the memory that one slow client can use
+LOGIN_TIMEOUT_US = 2_500_000  # for a login, and for the reception of one PDU
+EXTRA_SESSIONS = 8  # beyond the limit, rejected at login; further connections wait in the kernel
+LOGIN_DELAY_US = 250_000  # after which a session without a login may be closed in favour of another
+SLOW_READER_US = 10_000_000  # after which a client that does not read is disconnected
+MAX_READS_AHEAD = 4  # of a connection before its turn in the event loop
+# Sense keys, then additional sense codes with their qualifiers (SCSI Primary Commands).
+ILLEGAL_REQUEST, ABORTED_COMMAND, HARDWARE_ERROR = 0x05, 0x0B, 0x04
+NO_SUCH_UNIT, INVALID_OPCODE, LBA_OUT_OF_RANGE, INVALID_CDB_FIELD = (0x25, 0), (0x20, 0), (0x21, 0), (0x24, 0)
+COMMUNICATION_TIMEOUT, INTERNAL_TARGET_FAILURE, DATA_PHASE_ERROR = (0x08, 0x01), (0x44, 0), (0x4B, 0)
 
 
 @dataclass(slots=True)
 class Transfer:
-    """A read or write of blocks; the payload of its order."""
+    """A read or write of blocks: the payload of its request."""
 
     write: bool
     lun: int
@@ -63,14 +64,14 @@
 
 
 class Task:
-    """One command from its arrival to its one status; it is the engine's reply too."""
+    """One command from its arrival to its status; also the engine's Reply for it."""
 
     __slots__ = (
         "body",
         "connection",
         "data_sn",
+        "deadline",
         "done",
-        "due",
         "expected",
         "extent",
         "itt",
@@ -79,40 +80,46 @@
         "lun",
         "r2t_end",
         "r2t_sn",
-        "since",
+        "received_at",
         "ticket",
         "write",
     )  # fmt: skip
 
-    def __init__(self, connection: TargetConnection, pdu: Pdu, since: int) -> None:
-        self.connection, self.itt, self.lun, self.since = connection, pdu.itt, pdu.lun, since
-        self.expected = pdu.word(20)  # ExpectedDataTransferLength
+    def __init__(self, connection: TargetConnection, pdu: Pdu, received_at: int) -> None:
+        self.connection, self.itt, self.lun, self.received_at = connection, pdu.itt, pdu.lun, received_at
+        self.expected = pdu.word(20)  # Expected Data Transfer Length
         self.body: Body | None = None
         self.extent: Extent | None = None
-        self.length = self.lba = self.due = self.ticket = 0
+        self.length = self.lba = self.deadline = self.ticket = 0
         self.r2t_sn = self.r2t_end = self.data_sn = 0
         self.write = self.done = False
 
     def start_stream(self, source: BodySource) -> None:
-        """Transfers are bounded, and nodes' answers whole: what comes bit by bit is none of theirs."""
-        self.connection.check(self, HARDWARE, NODE_FAILED)
+        """Fail the command: nothing is streamed, as transfers are bounded and nodes' answers complete."""
+        self.connection.check_condition(self, HARDWARE_ERROR, INTERNAL_TARGET_FAILURE)
 
     def send_answer(self, answer: Any) -> None:
+        """Complete the command with the data that the node returned."""
         self.connection.end(self, Status.GOOD, b"" if self.write else answer)
 
     def reject(self, retry_after_us: int) -> None:
+        """Complete the command with status BUSY, which has no time to retry after."""
         self.connection.end(self, Status.BUSY)
 
     def client_is_gone(self) -> bool:
-        return self.connection.left or self.done
+        """Whether the client has disconnected or aborted the command."""
+        return self.connection.client_disconnected or self.done
 
     def fail(self, reason: FailureReason) -> None:
-        code = TIMED_OUT if reason is FailureReason.OUT_OF_TIME else NODE_FAILED
-        self.connection.check(self, ABORTED if code is TIMED_OUT else HARDWARE, code)
+        """Complete the command with CHECK CONDITION."""
+        code = COMMUNICATION_TIMEOUT if reason is FailureReason.OUT_OF_TIME else INTERNAL_TARGET_FAILURE
+        self.connection.check_condition(
+            self, ABORTED_COMMAND if code is COMMUNICATION_TIMEOUT else HARDWARE_ERROR, code
+        )
 
 
 class TargetConnection(Connection):
-    """One session of one connection: login, then commands within the CmdSN window."""
+    """One session on one connection: a login, then commands within the CmdSN window."""
 
     def __init__(self, front: TargetFront) -> None:
         self._front = front
@@ -123,113 +130,125 @@
         self._stat_sn = 1
         self._exp_cmd_sn = 0
         self._tasks: dict[int, Task] = {}
-        self._since = 0
-        self._half_since = 0  # when the PDU that is now arriving began; 0 between two
-        self._full = self._closing = False
-        self.lost = self.unwelcome = False
+        self._phase_since = 0  # when the present wait began: for the login, the reader or the close
+        self._partial_since = 0  # when the first bytes of an incomplete PDU came; 0 if there is none
+        self._write_paused = self._closing = False
+        self.lost = self.reject_login = False
         self._handlers: dict[int, Callable[[Pdu], None]] = {
-            Op.NOP_OUT: self._nop, Op.COMMAND: self._command, Op.TASK: self._task, Op.TEXT: self._text,
-            Op.DATA_OUT: self._data_out, Op.LOGOUT: self._logout, Op.LOGIN: self._again,
+            Op.NOP_OUT: self._nop, Op.COMMAND: self._command, Op.TASK: self._task_management,
+            Op.TEXT: self._text, Op.DATA_OUT: self._data_out, Op.LOGOUT: self._logout,
+            Op.LOGIN: self._reject_login_request,
         }  # fmt: skip
 
     @property
     def idle(self) -> bool:
+        """Whether no command is in flight."""
         return not self._tasks
 
     @property
-    def left(self) -> bool:
-        """The client has gone, by what has come of it: it is not read while it does not read, nor as the loop
-        is busy with others."""
-        if self._full or self.stale(self._front.clock):
+    def client_disconnected(self) -> bool:
+        """Whether the client has disconnected, including an end that is still unread.
+
+        It may be unread while the client does not read, or while the event loop serves other connections.
+        """
+        if self._write_paused or self.stale(self._front.clock):
             if self.gone(True):
                 return True
-            self._read_on()
+            self._read_ahead()
         return self.lost
 
-    def _read_on(self) -> None:
-        """Read what has come, ahead of its turn: an abort of the task in question may be among it."""
-        for _ in range(MOST_READS):
+    def _read_ahead(self) -> None:
+        """Read before the connection's turn in the event loop: the data may contain an abort of the task."""
+        for _ in range(MAX_READS_AHEAD):
             if self.lost or self._closing or not unread(self.link) or self.link.doRead() is not None:
-                break  # the end of the connection is found again in its turn
+                break  # the event loop will see the end of the connection again
 
     def connectionMade(self) -> None:
-        self._since = self._front.clock.now_us()
+        """Twisted: the connection is open."""
+        self._phase_since = self._front.clock.now_us()
         self.link.setTcpNoDelay(True)
         self.link.registerProducer(self, True)
         self._front.opened(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Twisted: the connection has ended; its commands are aborted."""
         self.lost = True
         for task in list(self._tasks.values()):
-            self._drop(task)
+            self._abort_task(task)
         self._front.closed(self)
 
-    # -- the transport tells how the client reads; tasks in flight are bounded by the window --
+    # -- flow control by the transport; the command window bounds the tasks in flight --
 
     def pauseProducing(self) -> None:
-        self._full, self._since = True, self._front.clock.now_us()
+        """Twisted: the client does not read; stop reading from it."""
+        self._write_paused, self._phase_since = True, self._front.clock.now_us()
         self.link.pauseProducing()
 
     def resumeProducing(self) -> None:
-        self._full = False
+        """Twisted: the client reads again."""
+        self._write_paused = False
         self.link.resumeProducing()
 
     def stopProducing(self) -> None:
-        self._full = False
+        """Twisted: the connection has ended."""
+        self._write_paused = False
 
     # ---- PDUs in ----
 
     def dataReceived(self, data: bytes) -> None:
+        """Twisted: bytes were received; a PDU that violates the protocol is rejected."""
         if self._closing or self.lost:
             return
         self.heard_us = self._front.clock.now_us()
         self._reader.feed(data)
         try:
             for pdu in self._reader.pdus():
-                self._half_since = 0
+                self._partial_since = 0
                 if self._closing or self.lost:
                     return
                 try:
-                    self._take(pdu)
+                    self._dispatch(pdu)
                 except BadPdu as error:
                     self._reject(error.reason, pdu.header(), str(error))
                     if self._state == "login":
                         self.close()
-                except Exception as error:  # a fault of ours ends the one command, not the session
+                except Exception as error:  # a fault in this code fails the command, not the session
                     self._front.engine.counts["front_raised"] += 1
                     self._front.log.error("front_raised", error=repr(error))
                     if (task := self._tasks.get(pdu.itt)) is not None:
-                        self.check(task, HARDWARE, NODE_FAILED)
+                        self.check_condition(task, HARDWARE_ERROR, INTERNAL_TARGET_FAILURE)
         except BadPdu as error:
-            # The framing is lost: nothing after this can be read.
+            # The start of the next PDU is unknown: close the connection.
             self._reject(error.reason, error.header, str(error))
             self.close()
         if not self._reader.buffered:
-            self._half_since = 0
-        elif not self._half_since:
-            self._half_since = self._front.clock.now_us()
+            self._partial_since = 0
+        elif not self._partial_since:
+            self._partial_since = self._front.clock.now_us()
 
-    def silent(self, now: int) -> bool:
-        """It has not logged in and had the time to: the first to go where places are short."""
-        return self._state == "login" and not self._closing and now - self._since >= SILENT_US
+    def is_login_late(self, now: int) -> bool:
+        """Whether the login is missing after LOGIN_DELAY_US, so that another session may take its place."""
+        return self._state == "login" and not self._closing and now - self._phase_since >= LOGIN_DELAY_US
 
-    def _take(self, pdu: Pdu) -> None:
+    def _dispatch(self, pdu: Pdu) -> None:
         if self._state == "login":
             if pdu.opcode != Op.LOGIN:
-                raise BadPdu("the first PDU must be a login request")
+                raise BadPdu(f"expected a login request as the first PDU, got opcode {pdu.opcode:#x}")
             self._login(pdu)
             return
         handler = self._handlers.get(pdu.opcode)
         if handler is None:
-            raise BadPdu(f"opcode {pdu.opcode:#x} is not a request", reason=Reason.NOT_SUPPORTED)
+            raise BadPdu(f"opcode {pdu.opcode:#x} is not a supported request", reason=Reason.NOT_SUPPORTED)
         if pdu.opcode != Op.DATA_OUT:
             if pdu.immediate or pdu.opcode == Op.LOGIN:
                 pass
             elif pdu.word(24) != self._exp_cmd_sn:
-                # On one connection commands arrive in order: a gap is a command that will never come.
-                raise BadPdu(f"CmdSN {pdu.word(24)} where {self._exp_cmd_sn} is due")
-            elif len(self._tasks) >= WINDOW and pdu.opcode == Op.COMMAND:
-                raise BadPdu(f"CmdSN {pdu.word(24)} is beyond MaxCmdSN")
+                # On one connection commands arrive in order: a missing one will never arrive.
+                raise BadPdu(f"CmdSN: expected {self._exp_cmd_sn}, got {pdu.word(24)}")
+            elif len(self._tasks) >= COMMAND_WINDOW and pdu.opcode == Op.COMMAND:
+                raise BadPdu(
+                    f"CmdSN {pdu.word(24)} is beyond MaxCmdSN: {len(self._tasks)} commands are in flight"
+                )
             else:
                 self._exp_cmd_sn = (self._exp_cmd_sn + 1) % SERIAL_MODULUS
         handler(pdu)
@@ -243,23 +262,23 @@
             self._login_answer(pdu, 0, {}, 0x0200)
             self.close()
             return
-        first, names = self._stat_sn == 1, self._front.operator.target
+        first, target = self._stat_sn == 1, self._front.operator.target
         if first:
             self._discovery = offered.get("SessionType") == "Discovery"
         if pdu.byte3 > 0:
-            status = 0x0205  # a version that is not ours
+            status = 0x0205  # unsupported version
         elif csg == 2 or (transit and (nsg <= csg or nsg == 2)) or pdu.flags & 0x40:
-            status = 0x020B  # stages out of order, or text that goes on
+            status = 0x020B  # invalid stage transition, or continued text
         elif first and ("InitiatorName" not in offered or not (self._discovery or "TargetName" in offered)):
-            status = 0x0207  # a parameter is missing
-        elif not self._discovery and offered.get("TargetName", names) != names:
-            status = 0x0203  # no such target
+            status = 0x0207  # missing parameter
+        elif not self._discovery and offered.get("TargetName", target) != target:
+            status = 0x0203  # target not found
         elif "Reject" in answer.values():
-            status = 0x0201  # no way to authenticate in common
+            status = 0x0201  # authentication failure: no common method
         else:
             status = 0
-        if self.unwelcome:
-            status = 0x0301  # service unavailable: come back later
+        if self.reject_login:
+            status = 0x0301  # service unavailable: retry later
         if status:
             self._login_answer(pdu, 0, {}, status)
             self.close()
@@ -275,8 +294,8 @@
         lun = pdu.lun[:6] + (b"\0\1" if flags & FINAL and flags & 3 == 3 else pdu.lun[6:])
         self._send(Op.LOGIN_RESPONSE, flags, pdu.itt, {36: status << 16}, lun=lun, data=write_text(answer))
 
-    def _again(self, pdu: Pdu) -> None:
-        raise BadPdu("a login request in the full feature phase")
+    def _reject_login_request(self, pdu: Pdu) -> None:
+        raise BadPdu("login request in the full feature phase")
 
     def _nop(self, pdu: Pdu) -> None:
         if pdu.itt != NO_TAG:
@@ -292,79 +311,84 @@
 
     def _logout(self, pdu: Pdu) -> None:
         for task in list(self._tasks.values()):
-            self._drop(task)
+            self._abort_task(task)
         self._send(Op.LOGOUT_RESPONSE, FINAL, pdu.itt)
         self.close()
 
-    def _task(self, pdu: Pdu) -> None:
-        """ABORT TASK: the task ends without a status; the engine hears that nobody waits."""
+    def _task_management(self, pdu: Pdu) -> None:
+        """Handle ABORT TASK: the task ends without a status, and the engine drops its request.
+
+        Other functions are not supported.
+        """
         function, response = pdu.flags & 0x7F, 5  # not supported
         if function == 1:
             task = self._tasks.get(pdu.word(20))
             response = 0 if task is not None else 1
             if task is not None:
-                self._drop(task)
+                self._abort_task(task)
         self._send(Op.TASK_RESPONSE, FINAL, pdu.itt, byte2=response)
 
     # ---- commands ----
 
     def _command(self, pdu: Pdu) -> None:
         if pdu.itt in self._tasks or pdu.itt == NO_TAG:
-            raise BadPdu("the task tag is in use or reserved", reason=Reason.BAD_FIELD)
+            raise BadPdu(f"initiator task tag {pdu.itt:#x} is in use or reserved", reason=Reason.BAD_FIELD)
         if self._discovery:
-            raise BadPdu("a SCSI command in a discovery session")
+            raise BadPdu("SCSI command in a discovery session")
         task = Task(self, pdu, self._front.clock.now_us())
         self._tasks[pdu.itt] = task
         unit, cdb = self._front.operator.units.get(lun_number(pdu.lun)), pdu.cdb
         try:
             if cdb[0] in (0x28, 0x88, 0x2A, 0x8A):
-                self._blocks(task, unit, pdu)
+                self._read_or_write(task, unit, pdu)
             else:
-                self._local(task, unit, cdb)
+                self._answer_locally(task, unit, cdb)
         except PoolEmpty:
             self._front.engine.counts["no_buffers"] += 1
             self.end(task, Status.TASK_SET_FULL)
 
-    def _local(self, task: Task, unit: Unit | None, cdb: bytes) -> None:
-        """What the head answers by itself."""
+    def _answer_locally(self, task: Task, unit: Unit | None, cdb: bytes) -> None:
+        """Answer a command that needs no node: REPORT LUNS, INQUIRY, TEST UNIT READY, READ CAPACITY."""
         if cdb[0] == 0xA0:
             numbers = sorted(self._front.operator.units)
             entries = b"".join(map(lun_bytes, numbers))
-            self._short(task, struct.pack(">II", len(entries), 0) + entries, int.from_bytes(cdb[6:10], "big"))
+            self._send_parameter_data(
+                task, struct.pack(">II", len(entries), 0) + entries, int.from_bytes(cdb[6:10], "big")
+            )
         elif cdb[0] == 0x12:
             self._inquiry(task, unit, cdb)
         elif unit is None:
-            self.check(task, ILLEGAL, NO_UNIT)
+            self.check_condition(task, ILLEGAL_REQUEST, NO_SUCH_UNIT)
         elif cdb[0] == 0x00:
             self.end(task, Status.GOOD)
         elif cdb[0] == 0x25:
             last = min(unit.blocks - 1, 0xFFFFFFFF)
-            self._short(task, struct.pack(">II", last, unit.block_size), 8)
+            self._send_parameter_data(task, struct.pack(">II", last, unit.block_size), 8)
         elif cdb[0] == 0x9E and cdb[1] & 0x1F == 0x10:
             data = struct.pack(">QI", unit.blocks - 1, unit.block_size).ljust(32, b"\0")
-            self._short(task, data, int.from_bytes(cdb[10:14], "big"))
+            self._send_parameter_data(task, data, int.from_bytes(cdb[10:14], "big"))
         else:
-            self.check(task, ILLEGAL, BAD_OPERATION)
+            self.check_condition(task, ILLEGAL_REQUEST, INVALID_OPCODE)
 
     def _inquiry(self, task: Task, unit: Unit | None, cdb: bytes) -> None:
         size = int.from_bytes(cdb[3:5], "big")
-        kind = 0x00 if unit is not None else 0x7F  # 0x7F: no unit can be there
+        kind = 0x00 if unit is not None else 0x7F  # peripheral qualifier and type; 0x7F: no logical unit
         if not cdb[1] & 1 and not cdb[2]:
             data = bytes([kind, 0, 6, 2, 31, 0, 0, 2]) + b"GAUGESAIHEAD            0001"
-            self._short(task, data, size)
+            self._send_parameter_data(task, data, size)
         elif cdb[1] & 1 and cdb[2] == 0x00:
-            self._short(task, bytes([kind, 0, 0, 2, 0x00, 0x83]), size)
+            self._send_parameter_data(task, bytes([kind, 0, 0, 2, 0x00, 0x83]), size)
         elif cdb[1] & 1 and cdb[2] == 0x83 and unit is not None:
             name = f"{self._front.operator.target}:{unit.number}".encode()[:200]
             page = bytes([0x02, 0x01, 0, len(name)]) + name
-            self._short(task, bytes([kind, 0x83]) + len(page).to_bytes(2, "big") + page, size)
+            self._send_parameter_data(task, bytes([kind, 0x83]) + len(page).to_bytes(2, "big") + page, size)
         else:
-            self.check(task, ILLEGAL, BAD_CDB)
+            self.check_condition(task, ILLEGAL_REQUEST, INVALID_CDB_FIELD)
 
-    def _short(self, task: Task, data: bytes, allowed: int) -> None:
+    def _send_parameter_data(self, task: Task, data: bytes, allowed: int) -> None:
         self.end(task, Status.GOOD, data[:allowed])
 
-    def _blocks(self, task: Task, unit: Unit | None, pdu: Pdu) -> None:
+    def _read_or_write(self, task: Task, unit: Unit | None, pdu: Pdu) -> None:
         cdb = pdu.cdb
         task.write = cdb[0] in (0x2A, 0x8A)
         if cdb[0] & 0x80:
@@ -372,10 +396,10 @@
         else:
             task.lba, count = struct.unpack(">I", cdb[2:6])[0], struct.unpack(">H", cdb[7:9])[0]
         if unit is None:
-            self.check(task, ILLEGAL, NO_UNIT)
+            self.check_condition(task, ILLEGAL_REQUEST, NO_SUCH_UNIT)
             return
         if task.lba + count > unit.blocks:
-            self.check(task, ILLEGAL, BAD_RANGE)
+            self.check_condition(task, ILLEGAL_REQUEST, LBA_OUT_OF_RANGE)
             return
         task.length = count * unit.block_size
         wants = 0x20 if task.write else 0x40
@@ -383,34 +407,38 @@
             self.end(task, Status.GOOD)
             return
         task.extent = unit.extent(task.lba, count)
-        # A range over two extents would need two nodes for one command; it is the client's to split.
-        if task.extent is None or task.length > MAX_TRANSFER or not pdu.flags & wants:
-            self.check(task, ILLEGAL, BAD_CDB)
+        # A range over two extents would need two nodes for one command: the client has to split it.
+        if task.extent is None or task.length > MAX_TRANSFER_BYTES or not pdu.flags & wants:
+            self.check_condition(task, ILLEGAL_REQUEST, INVALID_CDB_FIELD)
             return
         if task.write and task.expected < task.length:
-            self.check(task, ILLEGAL, BAD_CDB)
+            self.check_condition(task, ILLEGAL_REQUEST, INVALID_CDB_FIELD)
             return
         kind = self._front.operator.write_class if task.write else self._front.operator.read_class
-        task.due = task.since + self._front.settings.classes[kind].deadline_us
+        task.deadline = task.received_at + self._front.settings.classes[kind].deadline_us
         task.body = Body(self._front.pool)
         if task.write:
             if pdu.data and not self._limits.immediate_data:
-                raise self._bad_data(task, "immediate data was not agreed")
+                raise self._data_error(task, "immediate data, but ImmediateData=No was negotiated")
             if len(pdu.data) > min(task.length, self._limits.first_burst):
-                raise self._bad_data(task, "more immediate data than the first burst or the command")
+                raise self._data_error(
+                    task,
+                    f"immediate data: expected at most {self._limits.first_burst} bytes, or"
+                    f" {task.length} of the command, got {len(pdu.data)}",
+                )
             task.body.append(pdu.data)
             if task.body.length < task.length:
-                self._ask(task)
+                self._send_r2t(task)
                 return
         self._submit(task)
 
-    def _bad_data(self, task: Task, text: str) -> BadPdu:
-        """The task ends with its own status; the PDU is rejected as well."""
-        self.check(task, ABORTED, DATA_PHASE)
+    def _data_error(self, task: Task, text: str) -> BadPdu:
+        """End a task with its status; return the error that rejects the PDU."""
+        self.check_condition(task, ABORTED_COMMAND, DATA_PHASE_ERROR)
         return BadPdu(text)
 
-    def _ask(self, task: Task) -> None:
-        """One R2T out for a task, for the next part in order."""
+    def _send_r2t(self, task: Task) -> None:
+        """Send an R2T for the next part of a write's data; a task has one outstanding at most."""
         assert task.body is not None
         start = task.body.length
         size = min(self._limits.max_burst, task.length - start)
@@ -422,14 +450,20 @@
     def _data_out(self, pdu: Pdu) -> None:
         task = self._tasks.get(pdu.itt)
         if task is None:
-            return  # of a task that has ended or was aborted: RFC 7143 lets the data run out
+            return  # of a task that has ended: RFC 7143 allows the initiator to send the rest
         if task.body is None or not task.r2t_end:
-            raise BadPdu("Data-Out that no R2T asked for")
+            raise BadPdu(f"Data-Out without an R2T, for initiator task tag {pdu.itt:#x}")
         end = task.body.length + len(pdu.data)
         if pdu.word(20) != task.itt or pdu.word(36) != task.data_sn or pdu.word(40) != task.body.length:
-            raise self._bad_data(task, "Data-Out out of order")
+            raise self._data_error(
+                task,
+                f"Data-Out: expected DataSN {task.data_sn}, offset {task.body.length} and the R2T's tag",
+            )
         if end > task.r2t_end or bool(pdu.flags & FINAL) != (end == task.r2t_end):
-            raise self._bad_data(task, "Data-Out does not end where its R2T does")
+            raise self._data_error(
+                task,
+                f"Data-Out: expected the final PDU to end at {task.r2t_end}, the end of its R2T, got {end}",
+            )
         task.data_sn += 1
         try:
             task.body.append(pdu.data)
@@ -440,7 +474,7 @@
             task.r2t_end = 0
             self._submit(task)
         elif end == task.r2t_end:
-            self._ask(task)
+            self._send_r2t(task)
 
     def _submit(self, task: Task) -> None:
         extent, front = task.extent, self._front
@@ -448,11 +482,11 @@
         blocks = task.length // front.operator.units[lun_number(task.lun)].block_size
         kind = front.operator.write_class if task.write else front.operator.read_class
         transfer = Transfer(task.write, lun_number(task.lun), task.lba, blocks, task.length, task.body)
-        order = ClientRequest(
+        request = ClientRequest(
             front.next_request_id(),
             front.settings,
             kind,
-            task.due - task.since,
+            task.deadline - task.received_at,
             transfer,
             extent.shard,
             extent.plan,
@@ -461,12 +495,12 @@
             extent.volume,
             extent.hosts,
         )
-        task.ticket = front.engine.submit(order, task, task.since)
+        task.ticket = front.engine.submit(request, task, task.received_at)
 
     # ---- ends of tasks ----
 
-    def _drop(self, task: Task) -> None:
-        """No status is owed any more."""
+    def _abort_task(self, task: Task) -> None:
+        """End a task without a status, and its request in the engine."""
         if self._tasks.pop(task.itt, None) is not None:
             task.done = True
             if task.body is not None:
@@ -474,11 +508,12 @@
             if task.ticket:
                 self._front.engine.client_disconnected(task.ticket)
 
-    def check(self, task: Task, key: int, code: tuple[int, int]) -> None:
+    def check_condition(self, task: Task, key: int, code: tuple[int, int]) -> None:
+        """End a task with status CHECK CONDITION and this sense key, code and qualifier."""
         self.end(task, Status.CHECK, sense(key, *code))
 
     def end(self, task: Task, status: Status, data: bytes = b"") -> None:
-        """The one status of a task; read data goes before it, and the last Data-In carries GOOD."""
+        """End a task: send its read data, then its status; GOOD goes with the last Data-In."""
         if task.done:
             return
         task.done = True
@@ -512,10 +547,11 @@
         self._send(Op.RESPONSE, FINAL | flags, task.itt, {44: residual}, byte3=status, data=data)
 
     @staticmethod
-    def _residual(expected: int, there: int) -> tuple[int, int]:
-        if there > expected:
-            return there - expected, 0x04
-        return expected - there, 0x02 if there < expected else 0
+    def _residual(expected: int, available: int) -> tuple[int, int]:
+        """Return the residual count and its flag: overflow 0x04, underflow 0x02."""
+        if available > expected:
+            return available - expected, 0x04
+        return expected - available, 0x02 if available < expected else 0
 
     # ---- PDUs out ----
 
@@ -531,44 +567,54 @@
         data: bytes = b"",
         counts: bool = True,
     ) -> None:
-        room = max(0, WINDOW - len(self._tasks))
-        serials = {24: self._stat_sn if counts else 0, 28: self._exp_cmd_sn, 32: self._exp_cmd_sn + room - 1}
+        window = max(0, COMMAND_WINDOW - len(self._tasks))
+        serials = {
+            24: self._stat_sn if counts else 0,
+            28: self._exp_cmd_sn,
+            32: self._exp_cmd_sn + window - 1,
+        }
         if counts:
             self._stat_sn = (self._stat_sn + 1) % SERIAL_MODULUS
         pdu = Pdu(opcode, flags, itt, byte2, byte3, lun, fields(serials | (words or {})), data)
         self.link.write(pdu.encode())
 
-    def _reject(self, reason: Reason, header: bytes, why: str) -> None:
+    def _reject(self, reason: Reason, header: bytes, text: str) -> None:
         self._front.engine.counts["rejected_pdu"] += 1
-        self._front.log.warning("pdu_rejected", why=why)
+        self._front.log.warning("pdu_rejected", why=text)
         if not self.lost:
             self._send(Op.REJECT, FINAL, NO_TAG, byte2=reason, data=header)
 
     def close(self) -> None:
+        """Abort all tasks, and close the connection once all is sent."""
         if not self._closing and not self.lost:
             self._closing = True
-            self._since = self._front.clock.now_us()
+            self._phase_since = self._front.clock.now_us()
             for task in list(self._tasks.values()):
-                self._drop(task)
+                self._abort_task(task)
             self.link.unregisterProducer()
             self.link.loseConnection()
 
     def sweep(self, now: int) -> None:
-        """End what takes too long: a login, a client that does not read, write data that does not come."""
-        if (self._full or self._closing) and now - self._since > SLOW_READER_US:
+        """Enforce the time limits of logins, of clients that do not read, of PDUs and of write data."""
+        if (self._write_paused or self._closing) and now - self._phase_since > SLOW_READER_US:
             self.link.abortConnection()
-        elif self._state == "login" and now - self._since > LOGIN_US:
+        elif self._state == "login" and now - self._phase_since > LOGIN_TIMEOUT_US:
             self.close()
-        elif self._half_since and not self._full and now - self._half_since > LOGIN_US:
+        elif self._partial_since and not self._write_paused and now - self._partial_since > LOGIN_TIMEOUT_US:
             self._front.engine.counts["half_sent"] += 1
             self.close()
         for task in list(self._tasks.values()):
-            if task.r2t_end and now >= task.due:
-                self.check(task, ABORTED, TIMED_OUT)
+            if task.r2t_end and now >= task.deadline:
+                self.check_condition(task, ABORTED_COMMAND, COMMUNICATION_TIMEOUT)
 
 
 class TargetFront(ClientAdmission):
-    """Accepts sessions, within its part of the sockets; what is too many is told so at its login."""
+    """Accepts sessions within its part of the sockets; sessions beyond that are rejected at login.
+
+    :param pool: buffers for the bodies of transfers.
+    :param max_connections: sessions that are served at once.
+    :param on_idle: called when the last session ends after ``close_idle``.
+    """
 
     def __init__(
         self,
@@ -584,52 +630,64 @@
         self.operator, self.pool, self.log = operator, pool, log
         self.change_settings(operator.settings)
         self.address = operator.listen
-        self._max = max_connections
+        self._max_connections = max_connections
         self._open: dict[TargetConnection, None] = {}
-        self._names = 0
+        self._last_request_id = 0
 
     @property
     def connections(self) -> int:
+        """The number of open sessions."""
         return len(self._open)
 
     def change_settings(self, settings: Settings) -> None:
-        self.settings = settings  # its classes and plans are, in order, those of the operator's file first
+        """Use other settings, whose first classes and plans are those of the operator's file, in order."""
+        self.settings = settings
 
     def limit(self, connections: int) -> None:
-        self._max = connections
+        """Serve at most this number of sessions."""
+        self._max_connections = connections
         if self.held and self.room > 0:
             self.hold(False)
 
     def closable(self) -> list[TargetConnection]:
+        """Return the sessions without a command in flight."""
         return [session for session in self._open if session.idle]
 
     @property
     def room(self) -> int:
-        return self._max + OVERFLOW - len(self._open)
+        """The number of connections that may still be accepted."""
+        return self._max_connections + EXTRA_SESSIONS - len(self._open)
 
     def next_request_id(self) -> str:
-        self._names += 1
-        return str(self._names)
+        """Return a new request id."""
+        self._last_request_id += 1
+        return str(self._last_request_id)
 
     def buildProtocol(self, addr: Any) -> TargetConnection:
+        """Twisted: a connection was accepted."""
         return TargetConnection(self)
 
     def opened(self, connection: TargetConnection) -> None:
+        """Admit a connection.
+
+        Beyond the limit one without a login is closed, or else the new one is rejected at its login.
+        """
         self._open[connection] = None
         if self.leaving:
-            connection.unwelcome = True
-        elif len(self._open) > self._max:
+            connection.reject_login = True
+        elif len(self._open) > self._max_connections:
             self.engine.counts["client_limit"] += 1
             now = self.clock.now_us()
-            silent = next((other for other in self._open if other.silent(now)), None)
-            if silent is not None:
-                silent.close()
+            late = next((other for other in self._open if other.is_login_late(now)), None)
+            if late is not None:
+                late.close()
             else:
-                connection.unwelcome = True  # told so at its login
+                connection.reject_login = True
         if self.room <= 0 and self.port is not None and not self.held:
             self.hold(True)
 
     def closed(self, connection: TargetConnection) -> None:
+        """Remove a connection that has ended."""
         self._open.pop(connection, None)
         if self.held and self.room > 0:
             self.hold(False)
@@ -637,17 +695,20 @@
             self.on_idle()
 
     def sweep(self) -> None:
+        """Enforce the time limits of all connections; while closing, close those that are idle."""
         now = self.clock.now_us()
-        over = len(self._open) - self._max
+        over = len(self._open) - self._max_connections
         for connection in list(self._open):
             connection.sweep(now)
-            if over > 0 and connection.silent(now):  # none may come any more that would make it go
+            # There may be no new connection in whose favour it would be closed.
+            if over > 0 and connection.is_login_late(now):
                 connection.close()
                 over -= 1
             if self.closing and connection.idle:
                 connection.close()
 
     def close_idle(self) -> None:
+        """Close idle connections now, and the others when they become idle."""
         self.closing = True
         for connection in list(self._open):
             if connection.idle:
--- a/tests/iscsi/test_operator_file.py
+++ b/tests/iscsi/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: its keys stay while fields are renamed, and errors name the key of the file."""
+"""The operator's file: keys are independent of the settings' field names, and errors name the key."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
     return tomllib.loads(EXAMPLE.read_text())
 
 
-def test_each_setting_has_the_key_that_it_had() -> None:
+def test_the_keys_are_those_of_commit_dbd4a08() -> None:
     assert set(RULE_KEYS) == KEYS_OF_DBD4A08
     assert set(RULE_KEYS.values()) == {item.name for item in fields(Settings)} - {"classes", "plans"}
 
 
-def test_rules_reach_the_settings_under_their_new_names() -> None:
+def test_rules_are_mapped_to_the_fields_of_settings() -> None:
     settings = read_operator(
         example() | {"rules": {"cold_share": 0.25, "fall_us": 7, "mean_units": 3.0}}, {}
     ).settings
--- a/tests/iscsi/test_target_and_initiator.py
+++ b/tests/iscsi/test_target_and_initiator.py
@@ -1,4 +1,5 @@
-"""The other front, on real sockets: clients that leave while their commands wait, sessions given up."""
+"""iSCSI on real sockets: clients that disconnect or cancel while commands are pending, dropped sessions,
+and floods of connections."""
 
 from __future__ import annotations
 
@@ -20,7 +21,7 @@
 
 from ..support.live_head import Turning
 
-BOUND_S = 0.3
+DISCONNECT_S = 0.3  # for a disconnected client to be noticed
 
 
 class Rig(Turning):
@@ -40,18 +41,20 @@
         assert self.until(lambda: bool(client.inbox)) and client.inbox.popleft()[1] == "0x0000"
         return client
 
-    def saw(self) -> list[str]:
-        """The blocks that commands have come to the node for."""
+    def received(self) -> list[str]:
+        """The blocks (``lba=N``) of the commands that the node has received."""
         return [words[2] for words in self.node.inbox if words[0] in ("read", "write")]
 
     def fill(self) -> IscsiClient:
+        """Occupy the node with four reads that it does not answer."""
         client = self.client()
         for tag in range(4):
             client.send(["read", f"tag={tag + 1}", f"lba={tag}"])
-        assert self.until(lambda: len(self.saw()) == 4)
+        assert self.until(lambda: len(self.received()) == 4)
         return client
 
-    def free(self) -> None:
+    def answer_held(self) -> None:
+        """Answer all reads that the node holds."""
         for number in list(self.node.held):
             self.node.send(["data", number, "d"])
 
@@ -86,11 +89,11 @@
 
 
 def paused(way: Callable[[Rig, IscsiClient], None]) -> Callable[[Rig, IscsiClient], None]:
-    """It does not read what it is sent, so that the head has stopped reading it."""
+    """The client does not read, so that the gateway has stopped reading from it."""
 
     def leave(rig: Rig, client: IscsiClient) -> None:
         session = list(rig.head.front._open)[-1]
-        session.pauseProducing()  # as its transport says when nobody reads the other end
+        session.pauseProducing()  # as its transport does when the other end does not read
         rig.turn(2)
         way(rig, client)
 
@@ -101,7 +104,7 @@
 @pytest.mark.parametrize(
     "way", [fin, half, rst, paused(fin), paused(half), paused(rst)], ids=lambda way: way.__name__
 )
-def test_a_command_whose_client_has_left_while_it_waited_is_not_sent_on(
+def test_a_pending_command_of_a_disconnected_client_is_not_sent(
     way: Callable[[Rig, IscsiClient], None],
 ) -> None:
     with rigged() as rig:
@@ -110,15 +113,15 @@
         client.send(["read", "tag=9", "lba=99"])
         rig.turn(4)
         way(rig, client)
-        rig.pass_time(BOUND_S)
-        rig.free()
+        rig.pass_time(DISCONNECT_S)
+        rig.answer_held()
         rig.pass_time(0.3)
-        assert "lba=99" not in rig.saw() and len(rig.saw()) == 4
+        assert "lba=99" not in rig.received() and len(rig.received()) == 4
 
 
 def push(peer: Any) -> None:
-    """What it has written is in the head's kernel when this returns."""
-    peer.link.setTcpNoDelay(True)  # else it waits for the answer to what was sent before
+    """Write at once: the data is in the gateway's kernel when this returns."""
+    peer.link.setTcpNoDelay(True)  # else the kernel delays it until earlier data is acknowledged
     peer.link.doWrite()
 
 
@@ -133,7 +136,7 @@
 
 
 def busy_as(rig: Rig, neighbour: IscsiClient, meanwhile: Callable[[], None]) -> None:
-    """The loop handles what this neighbour sent for 0.15 s; what comes meanwhile is in the kernel alone."""
+    """Keep the event loop busy with a neighbour's data for 0.15 s; data received meanwhile stays unread."""
     port = link(neighbour).getHost().port
     session = next(session for session in rig.head.front._open if session.link.getPeer().port == port)
     handle = session.dataReceived
@@ -149,8 +152,8 @@
     push(neighbour._connection)
 
 
-def free_now(rig: Rig) -> None:
-    rig.free()
+def answer_held_now(rig: Rig) -> None:
+    rig.answer_held()
     for connection in rig.node.open:
         push(connection)
 
@@ -159,25 +162,27 @@
 
 
 @CANCELS
-def test_cancelled_as_the_loop_is_busy_with_another(way: Callable[[Rig, IscsiClient], None]) -> None:
+def test_a_command_cancelled_while_the_loop_is_busy_is_not_sent(
+    way: Callable[[Rig, IscsiClient], None],
+) -> None:
     with rigged() as rig:
         rig.fill()
         client, neighbour = rig.client(), rig.client()
         client.send(["read", "tag=9", "lba=99"])
         rig.pass_time(0.05)
-        free_now(rig)
+        answer_held_now(rig)
         busy_as(rig, neighbour, lambda: way(rig, client))
         rig.pass_time(0.3)
-        assert "lba=99" not in rig.saw() and len(rig.saw()) == 4
+        assert "lba=99" not in rig.received() and len(rig.received()) == 4
 
 
 @CANCELS
-def test_cancelled_as_the_loop_is_busy_between_the_last_look_and_the_first_byte(
+def test_a_command_cancelled_late_is_received_only_if_its_first_byte_was_sent(
     way: Callable[[Rig, IscsiClient], None],
 ) -> None:
     with rigged() as rig:
         rig.fill()
-        rig.free()
+        rig.answer_held()
         rig.pass_time(0.1)
         client, neighbour = rig.client(), rig.client()
         client.send(["read", "tag=9", "lba=99"])
@@ -185,24 +190,24 @@
         for _ in range(2):
             rig.turn()
             rig.leap(0.001)
-        came: list[bool] = []
+        sent: list[bool] = []  # whether its first byte was sent when the client cancelled
 
         def leave() -> None:
-            came.append(bool(unread(rig.node.open[0].link)))
+            sent.append(bool(unread(rig.node.open[0].link)))
             way(rig, client)
 
         busy_as(rig, neighbour, leave)
         rig.pass_time(0.3)
-        assert came and came[0] == ("lba=99" in rig.saw())
+        assert sent and sent[0] == ("lba=99" in rig.received())
 
 
 @CANCELS
-def test_cancelled_while_its_data_is_still_being_written(way: Callable[[Rig, IscsiClient], None]) -> None:
-    """The node has asked for no more of it yet: it is told to drop the task."""
+def test_a_write_cancelled_before_its_last_byte_is_aborted(way: Callable[[Rig, IscsiClient], None]) -> None:
+    """The node has sent no R2T for the rest yet: it receives an ABORT TASK."""
     with rigged() as rig:
         client = rig.client()
         client.send(["write", "tag=9", "lba=99", "blocks=200"])
-        assert rig.until(lambda: "lba=99" in rig.saw())
+        assert rig.until(lambda: "lba=99" in rig.received())
         way(rig, client)
         rig.pass_time(0.05)
         assert any(words[0] == "abort" for words in rig.node.inbox)
@@ -210,31 +215,31 @@
 
 
 @CANCELS
-def test_cancelled_by_one_that_does_not_read(way: Callable[[Rig, IscsiClient], None]) -> None:
-    """It is not read meanwhile, so that what it says last is in the kernel for long."""
+def test_a_command_cancelled_by_a_paused_client_is_not_sent(way: Callable[[Rig, IscsiClient], None]) -> None:
+    """The gateway does not read from it meanwhile, so that its last data stays in the kernel."""
     with rigged() as rig:
         rig.fill()
         client = rig.client()
         client.send(["read", "tag=9", "lba=99"])
         rig.pass_time(0.05)
         paused(way)(rig, client)
-        rig.pass_time(BOUND_S)
-        rig.free()
+        rig.pass_time(DISCONNECT_S)
+        rig.answer_held()
         rig.pass_time(0.3)
-        assert "lba=99" not in rig.saw() and len(rig.saw()) == 4
+        assert "lba=99" not in rig.received() and len(rig.received()) == 4
 
 
-def test_a_command_that_waits_for_a_client_that_stays_is_sent_on() -> None:
+def test_a_pending_command_of_a_connected_client_is_sent() -> None:
     with rigged() as rig:
         rig.fill()
         client = rig.client()
         client.send(["read", "tag=9", "lba=99"])
         rig.pass_time(0.1)
-        rig.free()
-        assert rig.until(lambda: "lba=99" in rig.saw())
+        rig.answer_held()
+        assert rig.until(lambda: "lba=99" in rig.received())
 
 
-def test_a_session_that_is_given_up_ends_before_its_commands_may_go_again() -> None:
+def test_a_dropped_session_is_closed_before_its_commands_are_retried() -> None:
     with rigged() as rig:
         rig.fill()
         session = rig.head.transport._nodes[b"n1"].session
@@ -243,9 +248,9 @@
         session.drop(AttemptResult.RESET)
         peer.setblocking(False)
         try:
-            left = peer.recv(1 << 20)
-            while left:
-                left = peer.recv(1 << 20)
+            data = peer.recv(1 << 20)
+            while data:
+                data = peer.recv(1 << 20)
             ended = True
         except BlockingIOError:
             ended = False
@@ -254,12 +259,12 @@
         assert ended, "its connection is still open when the call returns"
 
 
-IN_USE = 11  # descriptors of a process that has just started (test_rare_descriptors)
+BASE_DESCRIPTORS = 11  # of a process that has just started
 
 
-def test_silent_and_idle_sessions_leave_what_nodes_and_operators_need() -> None:
+def test_a_flood_of_idle_sessions_leaves_descriptors_for_nodes_and_operators() -> None:
     with rigged(limits__sockets="96") as rig:
-        used = rig.client()  # logged in before the flood: it has its place
+        client = rig.client()  # logged in before the flood
         front, raw, most = rig.head.front, list[socket.socket](), 0
         try:
             for _ in range(150):
@@ -267,31 +272,31 @@
                 rig.turn()
                 most = max(most, front.connections)
             rig.pass_time(1.0)
-            assert IN_USE + most + MAX_CALLS + 4 + len(rig.node.open) < 96, f"{most} connections at once"
-            used.send(["read", "tag=9", "lba=99"])
-            assert rig.until(lambda: "lba=99" in rig.saw())
-            for end in raw:  # who comes when the flood is over finds a place
-                end.close()
+            assert BASE_DESCRIPTORS + most + MAX_CALLS + 4 + len(rig.node.open) < 96, f"{most} connections"
+            client.send(["read", "tag=9", "lba=99"])
+            assert rig.until(lambda: "lba=99" in rig.received())
+            for connection in raw:  # after the flood a new client is admitted
+                connection.close()
             rig.pass_time(0.5)
             rig.client()
         finally:
-            for end in raw:
-                end.close()
+            for connection in raw:
+                connection.close()
 
 
-def test_a_flood_of_silent_sessions_keeps_nobody_out_for_long() -> None:
+def test_a_client_can_log_in_during_a_flood_of_silent_sessions() -> None:
     with rigged(limits__sockets="96") as rig:
         raw = [socket.create_connection(rig.head.address) for _ in range(90)]
         try:
             rig.pass_time(0.01)
-            until, told = rig.now + 4.0, ""
-            while told != "0x0000" and rig.now < until:  # told to come back later, it does
+            until, status = rig.now + 4.0, ""
+            while status != "0x0000" and rig.now < until:  # rejected at login, it retries
                 client = IscsiClient(rig.reactor, "c", lambda: rig.head.address)
                 client.send(["login"])
                 assert rig.until(lambda: bool(client.inbox), 3.0)  # noqa: B023
-                told = client.inbox.popleft()[1]
+                status = client.inbox.popleft()[1]
                 rig.pass_time(0.25)
-            assert told == "0x0000"
+            assert status == "0x0000"
         finally:
-            for end in raw:
-                end.close()
+            for connection in raw:
+                connection.close()
