--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -169,7 +169,7 @@
                 " expected an odd number"
             )
         if fleet.head in replicas and not fleet.folder:
-            self.errors.append(f"[fleet] folder: missing, but required: {fleet.head!r} is a keeper")
+            self.errors.append(f"[fleet] folder: missing, but required: {fleet.head!r} is one of the keepers")
 
 
 def read_fleet(data: dict[str, Any]) -> FleetSettings:
--- a/gaugesail/importer/cli.py
+++ b/gaugesail/importer/cli.py
@@ -1,4 +1,4 @@
-"""The importer's command line: converts a balancer's configuration to the operator's file."""
+"""Converts a balancer's configuration to the operator's file, from the command line."""
 
 from __future__ import annotations
 
--- a/gaugesail/iscsi/initiator.py
+++ b/gaugesail/iscsi/initiator.py
@@ -444,7 +444,7 @@
     def start_pending(self, state: _NodeState) -> None:
         """Start pending commands within the node's command window.
 
-        ``may_start`` is asked right before the first byte of each is sent.
+        ``may_start`` is called right before the first byte of each is sent.
         """
         while state.pending:
             session, node = state.session, self._usable(state.node_id)
