--- a/gaugesail/measure/fleet_cost.py
+++ b/gaugesail/measure/fleet_cost.py
@@ -19,7 +19,7 @@
 import click
 
 from ..core.clock import use_monotonic_time
-from ..rehearsal.fleet.trial import UP_S, NotUp, Rig, Trial
+from ..rehearsal.fleet.trial import READY_TIMEOUT_S, GatewaysNotReady, Rig, Trial
 
 RATE = 100_000.0  # units a second: nothing is refused
 AT_ONCE = 8
@@ -35,18 +35,18 @@
     """One head and its clients."""
 
     def __init__(self, rig: Rig, name: str) -> None:
-        self.rig, self.head, self.clients = rig, rig.heads[name], rig.clients[name]
+        self.rig, self.head, self.clients = rig, rig.gateways[name], rig.clients[name]
         self.costs: list[float] = []
 
     def batch(self, requests: int) -> float:
         """Seconds of processor time a request."""
         assert self.head.process is not None
-        told, before = self.rig.judge.told, cpu_s(self.head.process.pid)
+        told, before = self.rig.judge.counts, cpu_s(self.head.process.pid)
         start = told.served + told.refused + told.failed
         asked = 0
         while (done := told.served + told.refused + told.failed - start) < requests:
             while asked < requests and asked - done < AT_ONCE:
-                self.clients.ask(1)
+                self.clients.send_request(1)
                 asked += 1
             self.rig.reactor.iterate(0.001)
         return (cpu_s(self.head.process.pid) - before) / requests
@@ -67,21 +67,21 @@
 def _round(reactor: Any, requests: int, batches: int) -> dict[str, float]:
     """Seconds of processor time a request of each head."""
     with tempfile.TemporaryDirectory(prefix="gaugesail-cost-") as folder:
-        trial = Trial(heads=2, keepers=1, rate=RATE, burst=RATE, faults=False)
+        trial = Trial(gateways=2, replicas=1, rate=RATE, burst=RATE, faults=False)
         rigs = [
             Rig(reactor, trial, Path(folder) / "on"),
-            Rig(reactor, replace(trial, heads=1, fleet=False), Path(folder) / "off"),
+            Rig(reactor, replace(trial, gateways=1, fleet=False), Path(folder) / "off"),
         ]
         try:
             for rig in rigs:
-                for head in rig.heads.values():
+                for head in rig.gateways.values():
                     head.start()
-                if not rig.until(rig._up, UP_S):
-                    raise NotUp("a head did not begin to serve")
+                if not rig.run_until(rig.all_ready, READY_TIMEOUT_S):
+                    raise GatewaysNotReady("a head did not begin to serve")
             heads = {
                 "holder": Asked(rigs[0], "h1"), "keeper": Asked(rigs[0], "h0"), "alone": Asked(rigs[1], "h0")
             }  # fmt: skip
-            rigs[0].until(lambda: False, 3.0)
+            rigs[0].run_until(lambda: False, 3.0)
             for one in heads.values():  # warm, and what is asked for is granted
                 one.batch(requests)
             for _ in range(batches):
@@ -107,7 +107,7 @@
     use_monotonic_time(reactor)
     try:
         told = measured(reactor, requests, batches, rounds)
-    except NotUp as error:
+    except GatewaysNotReady as error:
         raise click.ClickException(str(error)) from None
     if as_json:
         click.echo(json.dumps(told))
--- a/gaugesail/rehearsal/fleet/__init__.py
+++ b/gaugesail/rehearsal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: real processes of the head, a relay between each two of them, faults, and a judge at the nodes."""
+"""Trials of a fleet of real gateway processes: relays between them, faults, and a judge at the nodes."""
--- a/gaugesail/rehearsal/fleet/relay.py
+++ b/gaugesail/rehearsal/fleet/relay.py
@@ -1,5 +1,7 @@
-"""What lies between two heads, for each direction by itself: datagrams and exchanges, lost, late, twice, out
-of order, cut, or a slow trickle."""
+"""Relays between gateways that impair the traffic of each direction separately.
+
+Datagrams are lost, duplicated, delayed or reordered; TCP connections are delayed or throttled; both are cut.
+"""
 
 from __future__ import annotations
 
@@ -13,217 +15,233 @@
 
 from ...net import Connection, dial
 
-MOST_HELD = 1 << 20  # bytes of one exchange
+MAX_BUFFERED_BYTES = 1 << 20  # of one connection; above it, reading pauses
 
 
 @dataclass(slots=True)
-class Weather:
-    """What happens to all that goes one way: shares of datagrams, seconds, bytes a second (0: no bound).
+class Impairment:
+    """The impairment of one direction.
 
-    An exchange (TCP) is late, cut or slow as a whole: a transport that keeps order and resends has no other
-    faults.
+    ``drop`` and ``duplicate`` are shares of datagrams, ``delay`` and ``jitter`` seconds, ``trickle`` bytes a
+    second (0: unlimited).  TCP connections are only delayed, throttled or cut, as TCP keeps the order and
+    retransmits.
     """
 
     drop: float = 0.0
-    double: float = 0.0
+    duplicate: float = 0.0
     delay: float = 0.0
-    jitter: float = 0.0  # on top, drawn for each, so that later ones overtake
+    jitter: float = 0.0  # at most, added to each delay at random, so that datagrams overtake each other
     cut: bool = False
     trickle: int = 0
 
     def clear(self) -> None:
-        self.drop = self.double = self.delay = self.jitter = 0.0
+        """Remove the impairment."""
+        self.drop = self.duplicate = self.delay = self.jitter = 0.0
         self.cut, self.trickle = False, 0
 
 
-class _Ear(DatagramProtocol):
+class _DatagramReceiver(DatagramProtocol):
     noisy = False
 
-    def __init__(self, line: Line) -> None:
-        self._line = line
+    def __init__(self, relay: Relay) -> None:
+        self._relay = relay
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self._line.datagram(datagram)
+        self._relay.datagram(datagram)
 
 
-class _Far(Connection):
-    """The end at the head that hears; it says nothing."""
+class _Outbound(Connection):
+    """The connection to the receiving gateway; what it sends is ignored."""
 
-    def __init__(self, near: _Near) -> None:
-        self._near = near
+    def __init__(self, inbound: _Inbound) -> None:
+        self._inbound = inbound
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._near.broke()
+        self._inbound.outbound_lost()
 
 
-class _Near(Connection):
-    """The end at the head that says."""
+class _Inbound(Connection):
+    """The connection from the sending gateway, with the data that waits to be forwarded."""
 
-    def __init__(self, line: Line) -> None:
-        self._line = line
-        self._far: _Far | None = None
-        self._held = bytearray()
-        self._due: Any = None
+    def __init__(self, relay: Relay) -> None:
+        self._relay = relay
+        self._outbound: _Outbound | None = None
+        self._buffered = bytearray()
+        self._scheduled_write: Any = None
         self._ended = False
 
     def connectionMade(self) -> None:
-        self._line.exchanges[self] = None
-        if self._line.weather.cut:
-            return  # nothing gets through, not even word of it
-        made = dial(self._line.reactor, self._line.to, 2.0, lambda: _Far(self))
-        made.addCallbacks(self._up, lambda failure: self.end())
-
-    def _up(self, far: _Far) -> None:
-        self._far = far
+        self._relay.connections[self] = None
+        if self._relay.impairment.cut:
+            return  # no packet passes, so that not even a refusal can arrive
+        dialed = dial(self._relay.reactor, self._relay.target, 2.0, lambda: _Outbound(self))
+        dialed.addCallbacks(self._dialed, lambda failure: self.abort())
+
+    def _dialed(self, outbound: _Outbound) -> None:
+        self._outbound = outbound
         if self._ended:
-            far.link.abortConnection()
-        self._push()
+            outbound.link.abortConnection()
+        self._forward()
 
     def dataReceived(self, data: bytes) -> None:
-        self._held += data
-        if len(self._held) > MOST_HELD:
+        self._buffered += data
+        if len(self._buffered) > MAX_BUFFERED_BYTES:
             self.link.pauseProducing()
-        self._push()
-
-    def _push(self) -> None:
-        """Hand on what may go now, and the rest a little later."""
-        weather = self._line.weather
-        if self._far is None or self._due is not None or not self._held or weather.cut:
+        self._forward()
+
+    def _forward(self) -> None:
+        """Forward the data that is due, and schedule the rest."""
+        impairment = self._relay.impairment
+        if (
+            self._outbound is None
+            or self._scheduled_write is not None
+            or not self._buffered
+            or impairment.cut
+        ):
             return
-        late = weather.delay + weather.jitter * self._line.rng.random()
-        size = len(self._held)
-        if weather.trickle:
-            size, late = max(1, weather.trickle // 20), late + 0.05
-        data = bytes(self._held[:size])
-        del self._held[:size]
-        if len(self._held) <= MOST_HELD and not self._ended:
+        delay_s = impairment.delay + impairment.jitter * self._relay.rng.random()
+        size = len(self._buffered)
+        if impairment.trickle:
+            size, delay_s = max(1, impairment.trickle // 20), delay_s + 0.05
+        data = bytes(self._buffered[:size])
+        del self._buffered[:size]
+        if len(self._buffered) <= MAX_BUFFERED_BYTES and not self._ended:
             self.link.resumeProducing()
-        if late:
-            self._due = self._line.reactor.callLater(late, self._write, data)
+        if delay_s:
+            self._scheduled_write = self._relay.reactor.callLater(delay_s, self._write, data)
         else:
-            self._far.link.write(data)
+            self._outbound.link.write(data)
 
     def _write(self, data: bytes) -> None:
-        self._due = None
-        if self._far is not None:
-            self._far.link.write(data)
-        self._push()
-
-    def changed(self) -> None:
-        """The weather is another; an exchange that a cut has held goes on where it stopped."""
-        if self._far is None and not self._line.weather.cut and not self._ended:
+        self._scheduled_write = None
+        if self._outbound is not None:
+            self._outbound.link.write(data)
+        self._forward()
+
+    def impairment_changed(self) -> None:
+        """Apply the changed impairment; after a cut, forwarding continues where it stopped."""
+        if self._outbound is None and not self._relay.impairment.cut and not self._ended:
             self.connectionMade()
-        self._push()
+        self._forward()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self._ended = True
-        self._line.exchanges.pop(self, None)
-        if self._due is not None and self._due.active():
-            self._due.cancel()
-        if self._far is not None:
-            self._far.link.abortConnection()
+        self._relay.connections.pop(self, None)
+        if self._scheduled_write is not None and self._scheduled_write.active():
+            self._scheduled_write.cancel()
+        if self._outbound is not None:
+            self._outbound.link.abortConnection()
 
-    def broke(self) -> None:
-        self._far = None
-        self.end()
+    def outbound_lost(self) -> None:
+        self._outbound = None
+        self.abort()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         if not self._ended:
             self.link.abortConnection()
 
 
-class _Accepts(Factory):
+class _InboundFactory(Factory):
     noisy = False
 
-    def __init__(self, line: Line) -> None:
-        self._line = line
+    def __init__(self, relay: Relay) -> None:
+        self._relay = relay
 
-    def buildProtocol(self, addr: Any) -> _Near:
-        return _Near(self._line)
+    def buildProtocol(self, addr: Any) -> _Inbound:
+        return _Inbound(self._relay)
 
 
-class Line:
-    """One direction: whoever sends to ``address`` reaches the head that listens at ``to``."""
+class Relay:
+    """One direction: forwards what is sent to ``address`` to the gateway that listens at ``target``."""
 
-    def __init__(self, reactor: Any, rng: random.Random, to: tuple[str, int]) -> None:
-        self.reactor, self.rng, self.to = reactor, rng, to
-        self.weather = Weather()
-        self.exchanges: dict[_Near, None] = {}
+    def __init__(self, reactor: Any, rng: random.Random, target: tuple[str, int]) -> None:
+        self.reactor, self.rng, self.target = reactor, rng, target
+        self.impairment = Impairment()
+        self.connections: dict[_Inbound, None] = {}
         self.counts: Counter[str] = Counter()
-        self._ear = _Ear(self)
+        self._receiver = _DatagramReceiver(self)
         self._ports: list[Any] = []
         self.address = self._listen()
 
     def _listen(self) -> tuple[str, int]:
-        """One number for both, as a head has."""
+        """Listen on the same port for TCP and UDP, as a gateway does.  Raises OSError if none is free."""
         for _ in range(20):
-            tcp = self.reactor.listenTCP(0, _Accepts(self), interface="127.0.0.1")
-            number = tcp.getHost().port
+            tcp = self.reactor.listenTCP(0, _InboundFactory(self), interface="127.0.0.1")
+            port = tcp.getHost().port
             try:
-                udp = self.reactor.listenUDP(number, self._ear, interface="127.0.0.1", maxPacketSize=65_536)
-            except Exception:  # somebody else has it: another number
+                udp = self.reactor.listenUDP(
+                    port, self._receiver, interface="127.0.0.1", maxPacketSize=65_536
+                )
+            except Exception:  # another process uses the UDP port: try another one
                 tcp.stopListening()
                 continue
             self._ports = [tcp, udp]
-            return "127.0.0.1", number
-        raise OSError("no number is free for both UDP and TCP")
+            return "127.0.0.1", port
+        raise OSError("expected a port that is free for TCP and UDP, found none in 20 attempts")
 
     def datagram(self, data: bytes) -> None:
-        weather, rng = self.weather, self.rng
+        """Forward a datagram, or drop, duplicate or delay it."""
+        impairment, rng = self.impairment, self.rng
         self.counts["came"] += 1
-        if weather.cut or rng.random() < weather.drop:
+        if impairment.cut or rng.random() < impairment.drop:
             self.counts["dropped"] += 1
             return
-        copies = 2 if rng.random() < weather.double else 1
+        copies = 2 if rng.random() < impairment.duplicate else 1
         self.counts["doubled"] += copies - 1
         for _ in range(copies):
-            late = weather.delay + weather.jitter * rng.random()
-            if late:
+            delay_s = impairment.delay + impairment.jitter * rng.random()
+            if delay_s:
                 self.counts["late"] += 1
-                self.reactor.callLater(late, self._send, data)
+                self.reactor.callLater(delay_s, self._send, data)
             else:
                 self._send(data)
 
     def _send(self, data: bytes) -> None:
-        transport: Any = self._ear.transport
+        transport: Any = self._receiver.transport
         if transport is not None:
             try:
-                transport.write(data, self.to)
-            except OSError:  # nobody listens there now: it is lost
+                transport.write(data, self.target)
+            except OSError:  # the target does not listen now: the datagram is lost
                 self.counts["dropped"] += 1
 
-    def changed(self) -> None:
-        for near in list(self.exchanges):
-            near.changed()
+    def impairment_changed(self) -> None:
+        """Apply the changed impairment to the open connections."""
+        for inbound in list(self.connections):
+            inbound.impairment_changed()
 
     def close(self) -> None:
-        for near in list(self.exchanges):
-            near.end()
+        """Abort the connections and stop listening."""
+        for inbound in list(self.connections):
+            inbound.abort()
         for port in self._ports:
             port.stopListening()
 
 
-class Relays:
-    """A line for each direction between each two heads."""
+class RelayMesh:
+    """A relay for each direction between each two gateways.
+
+    ``gateways`` maps their names to the addresses of their fleet listeners.
+    """
 
-    def __init__(self, reactor: Any, seed: int, heads: dict[str, tuple[str, int]]) -> None:
+    def __init__(self, reactor: Any, seed: int, gateways: dict[str, tuple[str, int]]) -> None:
         rng = random.Random(seed)
-        self.lines = {
-            (a, b): Line(reactor, random.Random(rng.getrandbits(32)), at)
-            for a in heads for b, at in heads.items() if a != b
+        self.relays = {
+            (a, b): Relay(reactor, random.Random(rng.getrandbits(32)), at)
+            for a in gateways for b, at in gateways.items() if a != b
         }  # fmt: skip
 
     def peers(self, name: str) -> dict[str, tuple[str, int]]:
-        """Where one head reaches each other."""
-        return {b: line.address for (a, b), line in self.lines.items() if a == name}
+        """The addresses at which the gateway ``name`` reaches the others, by their names."""
+        return {b: relay.address for (a, b), relay in self.relays.items() if a == name}
 
-    def between(self, side: set[str], both: bool = True) -> list[Line]:
-        """The lines from some heads to all others, and back."""
+    def between(self, side: set[str], both: bool = True) -> list[Relay]:
+        """The relays from the gateways ``side`` to all others and, with ``both``, those back."""
         return [
-            line for (a, b), line in self.lines.items()
+            relay for (a, b), relay in self.relays.items()
             if (a in side) != (b in side) and (both or a in side)
         ]  # fmt: skip
 
     def close(self) -> None:
-        for line in self.lines.values():
-            line.close()
+        """Close all relays."""
+        for relay in self.relays.values():
+            relay.close()
--- a/gaugesail/rehearsal/fleet/trial.py
+++ b/gaugesail/rehearsal/fleet/trial.py
@@ -1,4 +1,4 @@
-"""A trial: real heads, demand that moves, faults drawn from a seed or told by a timeline, and its outcome."""
+"""A trial: real gateways under a moving load and faults that a seed or a timeline determines."""
 
 from __future__ import annotations
 
@@ -15,62 +15,62 @@
 from ...lab.fleet import Limit
 from ..faults.shim import Call, Faults, NoCompiler, build
 from ..peers import Directory
-from .heads import HeadProcess, free_ports
-from .relay import Line, Relays
-from .world import SLACK_S, Clients, FleetJudge, Ledger, MovingDemand, Node, config_of
+from .heads import GatewayProcess, free_ports
+from .relay import Relay, RelayMesh
+from .world import ANSWER_SLACK_S, Clients, FleetJudge, MovingDemand, Node, TrialCounts, gateway_config
 
 KEY = "a key of the rig alone, on loopback"
-UP_S = 20.0  # in which all heads serve, or the trial has not begun
-KINDS = {  # of faults, each a method of the rig, and how often it comes
+READY_TIMEOUT_S = 20.0  # within which all gateways must be ready, else GatewaysNotReady
+KINDS = {  # of faults: each names a method of Rig; with its weight in random draws
     "kill": 3.0, "stop": 3.0, "term": 1.5, "store_lost": 1.0, "store_old": 1.5, "restart_all": 0.5,
     "cut": 2.0, "one_way": 2.0, "halves": 1.5, "drop": 2.0, "delay": 2.0, "duplicate": 1.5, "reorder": 1.5,
     "trickle": 1.5, "lower_whole": 1.0, "raise_whole": 1.0, "step_clock": 1.5, "disk_fails": 1.0,
 }  # fmt: skip
 CLOCK_STEPS_S = (-86400.0, -3600.0, -3.0, 3.0, 3600.0, 86400.0)
 DISK_ERRORS = (errno.ENOSPC, errno.EIO)
-EVERY_CALL = 1_000_000  # fails, until that is taken back
-AFTER_USED_S = 4.0  # the end of the time without faults, that is looked at
-RESEAT_S = 20.0  # between two keepers' stores that are lost: with most of them gone at once a fleet is over
-CALM_S = 8.0  # at the end, without a new fault: what waits is answered
+ALL_CALLS = 1_000_000  # that is, until the fault is cleared
+FINAL_SPAN_S = 4.0  # of the recovery, in which ``used_after`` is measured
+STORE_LOSS_INTERVAL_S = 20.0  # between losses of replicas' stores: a fleet does not survive most of them gone
+DRAIN_TIMEOUT_S = 8.0  # at the end, without new faults, for pending requests to be answered
 
 
 @dataclass(slots=True, frozen=True)
 class Trial:
-    """What is played."""
+    """The parameters of a trial."""
 
-    heads: int = 5
-    keepers: int = 3
+    gateways: int = 5
+    replicas: int = 3
     seconds: float = 60.0
     seed: int = 1
-    rate: float = 100.0  # units a second, of the whole
-    burst: float = 80.0
-    over: float = 1.3  # demand, of the whole
+    rate: float = 100.0  # units a second, the limit of the whole fleet
+    burst: float = 80.0  # units
+    demand_factor: float = 1.3  # demand as a multiple of ``rate``
     lease_ms: int = 2000
     faults: bool = True
-    timeline: tuple[tuple[float, str], ...] = ()  # faults by their names, in place of drawn ones
+    timeline: tuple[tuple[float, str], ...] = ()  # seconds and faults, in place of random ones
     fleet: bool = True
-    after: float = 16.0  # seconds in which demand goes on and nothing fails any more
+    recovery_s: float = 16.0  # seconds under load after the last fault
 
 
 @dataclass(slots=True)
-class Played:
-    """What came of it."""
+class TrialResult:
+    """The outcome of a trial."""
 
-    told: Ledger
-    used: float
-    used_after: float  # at the end, when nothing fails any more
+    counts: TrialCounts
+    used: float  # share of the limit
+    used_after: float  # the same, at the end of the recovery
     faults: Counter[str]
-    events: list[tuple[float, str, str]]  # when, which fault, of whom
+    events: list[tuple[float, str, str]]  # elapsed seconds, fault, target
     errors: list[str]
-    began: float
+    started_at: float
 
 
-class NotUp(Exception):
-    """The heads did not begin to serve."""
+class GatewaysNotReady(Exception):
+    """The gateways were not ready within READY_TIMEOUT_S; the text shows the ends of their logs."""
 
 
 class Rig:
-    """One trial while it is played."""
+    """A running trial."""
 
     def __init__(self, reactor: Any, trial: Trial, folder: Path) -> None:
         self.reactor, self.trial, self.folder = reactor, trial, folder
@@ -81,67 +81,77 @@
         self.nodes = [Node(reactor, f"node-{shard}", shard, self.judge) for shard in (0, 1)]
         for node in self.nodes:
             self.directory.add(node)
-        names = [f"h{n}" for n in range(trial.heads)]
-        ports = free_ports(3 * trial.heads)
-        self.heads = {
-            name: HeadProcess(name, folder / name, *ports[3 * n : 3 * n + 3]) for n, name in enumerate(names)
+        names = [f"h{n}" for n in range(trial.gateways)]
+        ports = free_ports(3 * trial.gateways)
+        self.gateways = {
+            name: GatewayProcess(name, folder / name, *ports[3 * n : 3 * n + 3])
+            for n, name in enumerate(names)
         }
-        self.system = self._system_faults()
-        at = {name: ("127.0.0.1", head.fleet_port) for name, head in self.heads.items()}
-        self.relays = Relays(reactor, trial.seed + 1, at if trial.fleet else {})
-        self.keepers = names[: trial.keepers]
+        self.system_faults = self._build_system_faults()
+        at = {name: ("127.0.0.1", gateway.fleet_port) for name, gateway in self.gateways.items()}
+        self.mesh = RelayMesh(reactor, trial.seed + 1, at if trial.fleet else {})
+        self.replicas = names[: trial.replicas]
         self.clients: dict[str, Clients] = {}
-        for name, head in self.heads.items():
-            head.with_fleet = trial.fleet
-            head.write(self._config(head), self._fleet(head))
+        for name, gateway in self.gateways.items():
+            gateway.with_fleet = trial.fleet
+            gateway.write_files(self._config(gateway), self._fleet(gateway))
             self.clients[name] = Clients(
-                reactor, name, ("127.0.0.1", head.listen), trial.heads, self.judge,
+                reactor, name, ("127.0.0.1", gateway.listen_port), trial.gateways, self.judge,
                 lambda name=name: self._excused(name),  # type: ignore[misc]
             )  # fmt: skip
         self.demand: MovingDemand | None = None
         self.faults: Counter[str] = Counter()
         self.events: list[tuple[float, str, str]] = []
-        self.began = 0.0
-        self._kills: dict[str, float] = {}  # until when what a head loses is its process's end
-        self._busy: set[str] = set()  # heads that a fault has hold of
-        self._calls: list[Any] = []
-        self._over = False
-        self._store_at = -RESEAT_S  # when a keeper's store was last lost or put back
-        self._wholes = [(0.0, trial.rate)]  # what the whole is, from when
-
-    def _system_faults(self) -> dict[str, Faults]:
-        """What steps each head's wall clock and lets its calls fail; none where there is no compiler."""
+        self.started_at = 0.0
+        self._excused_until: dict[str, float] = {}  # by gateway: until then its process has just been ended
+        self._busy: set[str] = set()  # gateways under a fault of their process
+        self._scheduled: list[Any] = []
+        self._ended = False
+        self._store_lost_at = -STORE_LOSS_INTERVAL_S  # when a replica's store was last lost or replaced
+        self._limits = [(0.0, trial.rate)]  # when each limit was set, and its rate
+
+    def _build_system_faults(self) -> dict[str, Faults]:
+        """Create the control of each gateway's wall clock and system calls; none without a C compiler."""
         try:
             library = build(self.folder)
         except NoCompiler:
             return {}
-        found = {name: Faults(library, head.folder / "faults") for name, head in self.heads.items()}
-        for name, head in self.heads.items():
-            head.environ = found[name].environment()
+        found = {name: Faults(library, gateway.folder / "faults") for name, gateway in self.gateways.items()}
+        for name, gateway in self.gateways.items():
+            gateway.environ = found[name].environment()
         return found
 
-    def _config(self, head: HeadProcess) -> dict[str, Any]:
-        me = list(self.heads).index(head.name)
-        return config_of(self.directory, head.listen, head.calls, self.limit, self.trial.heads, me)
+    def _config(self, gateway: GatewayProcess) -> dict[str, Any]:
+        index = list(self.gateways).index(gateway.name)
+        return gateway_config(
+            self.directory,
+            gateway.listen_port,
+            gateway.management_port,
+            self.limit,
+            self.trial.gateways,
+            index,
+        )
 
-    def _fleet(self, head: HeadProcess) -> dict[str, Any]:
-        peers = self.relays.peers(head.name)
+    def _fleet(self, gateway: GatewayProcess) -> dict[str, Any]:
+        peers = self.mesh.peers(gateway.name)
         return {
             "fleet": {
-                "name": "rig", "head": head.name, "listen": f"127.0.0.1:{head.fleet_port}", "key": KEY,
-                "keepers": self.keepers, "folder": str(head.folder / "store"),
+                "name": "rig", "head": gateway.name, "listen": f"127.0.0.1:{gateway.fleet_port}", "key": KEY,
+                "keepers": self.replicas, "folder": str(gateway.folder / "store"),
             },
-            "budgets": {"lease_ms": self.trial.lease_ms, "most_heads": self.trial.heads},
+            "budgets": {"lease_ms": self.trial.lease_ms, "most_heads": self.trial.gateways},
             "peer": [{"name": name, "address": f"{at[0]}:{at[1]}"} for name, at in peers.items()],
         }  # fmt: skip
 
     # ---- time ----
 
-    def later(self, seconds: float, call: Callable[[], None]) -> None:
-        if not self._over:
-            self._calls.append(self.reactor.callLater(seconds, call))
+    def call_later(self, seconds: float, call: Callable[[], None]) -> None:
+        """Schedule a call of a fault, unless the trial has ended; ``_clear_faults`` cancels it."""
+        if not self._ended:
+            self._scheduled.append(self.reactor.callLater(seconds, call))
 
-    def until(self, done: Callable[[], bool], seconds: float) -> bool:
+    def run_until(self, done: Callable[[], bool], seconds: float) -> bool:
+        """Run the reactor until ``done`` returns true; returns False after ``seconds``."""
         end = self.reactor.seconds() + seconds
         while not done():
             if self.reactor.seconds() >= end:
@@ -150,359 +160,384 @@
         return True
 
     @property
-    def at(self) -> float:
-        return float(self.reactor.seconds()) - self.began
+    def elapsed_s(self) -> float:
+        """Seconds since the load began."""
+        return float(self.reactor.seconds()) - self.started_at
 
-    # ---- a trial ----
+    # ---- the trial ----
 
-    def play(self, progress: Callable[[Rig], None] = lambda rig: None) -> Played:
-        """Start all, play, let it come to rest, end all.  NotUp."""
+    def play(self, progress: Callable[[Rig], None] = lambda rig: None) -> TrialResult:
+        """Run the trial from the start of the processes to their end.  Raises GatewaysNotReady."""
         trial = self.trial
         try:
-            for head in self.heads.values():
-                head.start()
-            if not self.until(self._up, UP_S):
-                raise NotUp("\n".join(self._tails()))
-            self.began = self.reactor.seconds()
+            for gateway in self.gateways.values():
+                gateway.start()
+            if not self.run_until(self.all_ready, READY_TIMEOUT_S):
+                raise GatewaysNotReady("\n".join(self._log_tails()))
+            self.started_at = self.reactor.seconds()
             self.demand = MovingDemand(
-                self.reactor, trial.seed + 2, self.clients, trial.over * trial.rate
+                self.reactor, trial.seed + 2, self.clients, trial.demand_factor * trial.rate
             )  # fmt: skip
             if trial.timeline:
                 for when, name in trial.timeline:
-                    self.later(when, lambda name=name: self._fault(name))  # type: ignore[misc]
+                    self.call_later(when, lambda name=name: self._inject(name))  # type: ignore[misc]
             elif trial.faults:
-                self._draw()
+                self._schedule_faults()
             shown = 0.0
-            while self.at < trial.seconds:
+            while self.elapsed_s < trial.seconds:
                 self.reactor.iterate(0.002)
-                if self.at >= shown:
+                if self.elapsed_s >= shown:
                     shown += 0.25
                     progress(self)
-            self._clear()
-            if trial.faults or trial.timeline:  # all is well again, and demand goes on: is the whole used?
-                for head in self.heads.values():
-                    head.start()
-                self.until(lambda: False, trial.after)
-            after = self.at
+            self._clear_faults()
+            if trial.faults or trial.timeline:  # measure how much of the limit is used after all faults
+                for gateway in self.gateways.values():
+                    gateway.start()
+                self.run_until(lambda: False, trial.recovery_s)
+            after = self.elapsed_s
             self.demand.stopped = True
-            self.until(lambda: self._idle() and self.at > after + 2 * SLACK_S, CALM_S)
+            self.run_until(
+                lambda: self._all_answered() and self.elapsed_s > after + 2 * ANSWER_SLACK_S, DRAIN_TIMEOUT_S
+            )
             for clients in self.clients.values():
-                self.judge.told.lost += clients.overdue(self.reactor.seconds())
+                self.judge.counts.lost += clients.overdue(self.reactor.seconds())
         finally:
             self.end()
-        return Played(
-            self.judge.told, self.used(0.3 * trial.seconds, trial.seconds),
-            self.used(after - AFTER_USED_S, after), self.faults, self.events,
-            [f"{name}: {line}" for name, head in self.heads.items() for line in head.errors()],
-            self.began,
+        return TrialResult(
+            self.judge.counts, self.used(0.3 * trial.seconds, trial.seconds),
+            self.used(after - FINAL_SPAN_S, after), self.faults, self.events,
+            [f"{name}: {line}" for name, gateway in self.gateways.items() for line in gateway.errors()],
+            self.started_at,
         )  # fmt: skip
 
     def used(self, since: float, until: float) -> float:
-        """Of what the whole allows in a span, what reached the nodes."""
-        low, high = self.began + since, self.began + until
-        units = sum(units for at, _, units in self.judge.told.arrivals if low <= at < high)
-        changes = [*self._wholes, (high, 0.0)]
-        whole = 0.0
+        """The share of the limit that reached the nodes from ``since`` to ``until``, in elapsed seconds."""
+        low, high = self.started_at + since, self.started_at + until
+        units = sum(units for at, _, units in self.judge.counts.arrivals if low <= at < high)
+        changes = [*self._limits, (high, 0.0)]
+        allowed = 0.0
         for (at, rate), (next_at, _) in pairwise(changes):
-            whole += rate * max(0.0, min(next_at, high) - max(at, low))
-        return units / whole
+            allowed += rate * max(0.0, min(next_at, high) - max(at, low))
+        return units / allowed
 
-    def _up(self) -> bool:
-        lines = [head.log.read_text(errors="replace") if head.log.exists() else "" for head in
-                 self.heads.values()]  # fmt: skip
+    def all_ready(self) -> bool:
+        """Whether all gateways listen and, in a fleet, have a lease, as their logs show."""
+        logs = [gateway.log.read_text(errors="replace") if gateway.log.exists() else "" for gateway in
+                 self.gateways.values()]  # fmt: skip
         wanted = ["listening"] + (["fleet_lease_acquired"] if self.trial.fleet else [])
-        return all(word in text for text in lines for word in wanted)
+        return all(word in text for text in logs for word in wanted)
 
-    def _tails(self) -> list[str]:
-        return [f"{name}: {line}" for name, head in self.heads.items() if head.log.exists()
-                for line in head.log.read_text(errors="replace").splitlines()[-3:]]  # fmt: skip
+    def _log_tails(self) -> list[str]:
+        return [f"{name}: {line}" for name, gateway in self.gateways.items() if gateway.log.exists()
+                for line in gateway.log.read_text(errors="replace").splitlines()[-3:]]  # fmt: skip
 
-    def _idle(self) -> bool:
-        told = self.judge.told
-        return told.asked <= told.served + told.refused + told.failed + told.lost + told.unreached
+    def _all_answered(self) -> bool:
+        counts = self.judge.counts
+        return counts.asked <= counts.served + counts.refused + counts.failed + counts.lost + counts.unreached
 
     def _excused(self, name: str) -> bool:
-        """Its process was ended on purpose, just now."""
-        head = self.heads[name]
-        return self._over or not head.alive or self.reactor.seconds() < self._kills.get(name, 0.0)
+        """Whether the trial has just ended the process of the gateway, so that it cannot answer."""
+        gateway = self.gateways[name]
+        return self._ended or not gateway.alive or self.reactor.seconds() < self._excused_until.get(name, 0.0)
 
-    def _clear(self) -> None:
-        """No fault goes on: heads run, links are good."""
-        for call in self._calls:
+    def _clear_faults(self) -> None:
+        """End all faults: cancel the scheduled ones, restore the relays and resume paused gateways."""
+        for call in self._scheduled:
             if call.active():
                 call.cancel()
-        self._clear_disks()
-        for line in self.relays.lines.values():
-            line.weather.clear()
-            line.changed()
-        for head in self.heads.values():
-            if head.stopped:
-                head.go_on()
+        self._clear_system_faults()
+        for relay in self.mesh.relays.values():
+            relay.impairment.clear()
+            relay.impairment_changed()
+        for gateway in self.gateways.values():
+            if gateway.paused:
+                gateway.resume()
 
     def end(self) -> None:
-        self._over = True
+        """End all processes and close all connections."""
+        self._ended = True
         if self.demand is not None:
             self.demand.stopped = True
-        self._clear()
+        self._clear_faults()
         for clients in self.clients.values():
             clients.close()
-        for head in self.heads.values():
-            head.kill()
-        self.relays.close()
+        for gateway in self.gateways.values():
+            gateway.kill()
+        self.mesh.close()
         for listener in [*self.nodes, self.directory]:
             listener.close([])
-        self.until(lambda: False, 0.05)
+        self.run_until(lambda: False, 0.05)
 
     # ---- faults ----
 
-    def _draw(self) -> None:
-        """The next fault, about 1.2 s from now; each kind comes once before any comes again."""
+    def _schedule_faults(self) -> None:
+        """Inject random faults, ``_mean_gap_s`` apart; each kind occurs once before any occurs again."""
         order = list(KINDS)
         self.rng.shuffle(order)
 
-        def next_one() -> None:
-            if self.at > self.trial.seconds - 1.0:
+        def inject_next() -> None:
+            if self.elapsed_s > self.trial.seconds - 1.0:
                 return
             name = order.pop() if order else self.rng.choices(list(KINDS), list(KINDS.values()))[0]
-            self._fault(name)
-            self.later(self.rng.expovariate(1 / self._gap) + 0.2, next_one)
+            self._inject(name)
+            self.call_later(self.rng.expovariate(1 / self._mean_gap_s) + 0.2, inject_next)
 
-        self.later(1.0, next_one)
+        self.call_later(1.0, inject_next)
 
     @property
-    def _gap(self) -> float:
-        """Short enough that each kind comes, in a trial of a minute."""
+    def _mean_gap_s(self) -> float:
+        """Mean seconds between faults, short enough that each kind occurs in a trial of a minute."""
         return min(1.6, self.trial.seconds / (len(KINDS) + 6) - 0.2)
 
-    def _fault(self, name: str) -> None:
-        kind, _, whom = name.partition(" ")
-        self._named = whom
+    def _inject(self, name: str) -> None:
+        kind, _, target = name.partition(" ")
+        self._target = target
         self.faults[kind] += 1
         getattr(self, kind)()
-        self._named = ""
+        self._target = ""
 
-    _named = ""
+    _target = ""
 
-    def _note(self, what: str, whom: str) -> None:
-        self.events.append((self.at, what, whom))
+    def _record(self, what: str, target: str) -> None:
+        self.events.append((self.elapsed_s, what, target))
 
-    def _any(self) -> HeadProcess | None:
-        """A head that runs and that no fault of a process has hold of."""
-        free = [head for name, head in self.heads.items() if head.alive and name not in self._busy]
-        if self._named:
-            free = [head for head in free if head.name == self._named]
-        return self.rng.choice(free) if free else None
+    def _pick_gateway(self) -> GatewayProcess | None:
+        """A running gateway, the target if one is named, that is under no fault of its process."""
+        idle = [
+            gateway for name, gateway in self.gateways.items() if gateway.alive and name not in self._busy
+        ]
+        if self._target:
+            idle = [gateway for gateway in idle if gateway.name == self._target]
+        return self.rng.choice(idle) if idle else None
 
-    def _hold(self, head: HeadProcess, seconds: float, then: Callable[[], None]) -> None:
-        self._busy.add(head.name)
+    def _occupy(self, gateway: GatewayProcess, seconds: float, then: Callable[[], None]) -> None:
+        """Keep other faults of its process off a gateway for ``seconds``, then call ``then``."""
+        self._busy.add(gateway.name)
 
-        def free() -> None:
-            self._busy.discard(head.name)
+        def release() -> None:
+            self._busy.discard(gateway.name)
             then()
 
-        self.later(seconds, free)
+        self.call_later(seconds, release)
 
-    def _down(self, head: HeadProcess) -> None:
-        self._kills[head.name] = self.reactor.seconds() + 2.0
-        head.kill()
-        self.clients[head.name].gone()
+    def _kill_process(self, gateway: GatewayProcess) -> None:
+        self._excused_until[gateway.name] = self.reactor.seconds() + 2.0
+        gateway.kill()
+        self.clients[gateway.name].abort_connections()
 
     def kill(self) -> None:
-        if (head := self._any()) is not None:
-            self._note("killed", head.name)
-            self._down(head)
-            self._hold(head, self.rng.uniform(0.1, 5.0), head.start)
+        """SIGKILL, and a restart after 0.1 to 5 s."""
+        if (gateway := self._pick_gateway()) is not None:
+            self._record("killed", gateway.name)
+            self._kill_process(gateway)
+            self._occupy(gateway, self.rng.uniform(0.1, 5.0), gateway.start)
 
     def stop(self) -> None:
-        """SIGSTOP, mostly through the end of its lease, at whatever line it is."""
-        if (head := self._any()) is not None:
-            self._note("stopped", head.name)
-            head.pause()
-            self._hold(head, self.rng.uniform(0.3, 2.5 * self.trial.lease_ms / 1000), head.go_on)
+        """SIGSTOP at any instruction, mostly until after the end of the lease; then SIGCONT."""
+        if (gateway := self._pick_gateway()) is not None:
+            self._record("stopped", gateway.name)
+            gateway.pause()
+            self._occupy(gateway, self.rng.uniform(0.3, 2.5 * self.trial.lease_ms / 1000), gateway.resume)
 
     def term(self) -> None:
-        """An orderly end, and another start once it is over."""
-        if (head := self._any()) is not None:
-            self._note("asked to end", head.name)
-            if head.young:
+        """SIGTERM, and a restart when the process has ended."""
+        if (gateway := self._pick_gateway()) is not None:
+            self._record("terminated", gateway.name)
+            if gateway.starting:
                 return
-            self._kills[head.name] = self.reactor.seconds() + 12.0
-            head.term()
+            self._excused_until[gateway.name] = self.reactor.seconds() + 12.0
+            gateway.term()
 
             def again() -> None:
-                if head.alive:
-                    self._hold(head, 0.2, again)
+                if gateway.alive:
+                    self._occupy(gateway, 0.2, again)
                 else:
-                    head.start()
+                    gateway.start()
 
-            self._hold(head, 1.0, again)
+            self._occupy(gateway, 1.0, again)
 
-    def _spare(self, head: HeadProcess) -> bool:
-        """Whether the fleet bears the loss of its store now."""
-        if head.name in self.keepers:
-            if self.at - self._store_at < RESEAT_S:
+    def _may_lose_store(self, gateway: GatewayProcess) -> bool:
+        """Whether the fleet survives the loss of its store now; if so, the loss is entered."""
+        if gateway.name in self.replicas:
+            if self.elapsed_s - self._store_lost_at < STORE_LOSS_INTERVAL_S:
                 return False
-            self._store_at = self.at
+            self._store_lost_at = self.elapsed_s
         return True
 
     def store_lost(self) -> None:
-        if (head := self._any()) is not None and self._spare(head):
-            self._note("killed, its store lost", head.name)
-            self._down(head)
-            head.lose_store()
-            self._hold(head, self.rng.uniform(0.1, 2.0), head.start)
+        """SIGKILL, and a restart without the store."""
+        if (gateway := self._pick_gateway()) is not None and self._may_lose_store(gateway):
+            self._record("killed, its store lost", gateway.name)
+            self._kill_process(gateway)
+            gateway.delete_store()
+            self._occupy(gateway, self.rng.uniform(0.1, 2.0), gateway.start)
 
     def store_old(self) -> None:
-        """A backup of some seconds ago is written back."""
-        head = self._any()
-        copy = head.copy_store() if head is not None else None
-        if head is None or not copy:
+        """SIGKILL, and a restart with a copy of the store that is 2.5 to 6 s old."""
+        gateway = self._pick_gateway()
+        copy = gateway.read_store() if gateway is not None else None
+        if gateway is None or not copy:
             return
 
         def put_back() -> None:
-            if head.name in self._busy or not self._spare(head):
+            if gateway.name in self._busy or not self._may_lose_store(gateway):
                 return
-            self._note("killed, an old store put back", head.name)
-            self._down(head)
-            head.restore(copy)
-            self._hold(head, self.rng.uniform(0.1, 2.0), head.start)
+            self._record("killed, an old store restored", gateway.name)
+            self._kill_process(gateway)
+            gateway.restore_store(copy)
+            self._occupy(gateway, self.rng.uniform(0.1, 2.0), gateway.start)
 
-        self.later(self.rng.uniform(2.5, 6.0), put_back)
+        self.call_later(self.rng.uniform(2.5, 6.0), put_back)
 
     def restart_all(self) -> None:
-        self._note("killed", "all")
-        for name, head in self.heads.items():
-            if head.alive and name not in self._busy:
-                self._down(head)
-                self._hold(head, self.rng.uniform(0.05, 1.0), head.start)
-
-    def _weather(self, lines: list[Line], change: Callable[[Line], None], low: float, high: float) -> None:
-        for line in lines:
-            change(line)
-            line.changed()
+        """SIGKILL and restart of all gateways."""
+        self._record("killed", "all")
+        for name, gateway in self.gateways.items():
+            if gateway.alive and name not in self._busy:
+                self._kill_process(gateway)
+                self._occupy(gateway, self.rng.uniform(0.05, 1.0), gateway.start)
+
+    def _impair(self, relays: list[Relay], change: Callable[[Relay], None], low: float, high: float) -> None:
+        """Apply ``change`` to relays, and clear them after ``low`` to ``high`` seconds."""
+        for relay in relays:
+            change(relay)
+            relay.impairment_changed()
 
         def clear() -> None:
-            for line in lines:
-                line.weather.clear()
-                line.changed()
+            for relay in relays:
+                relay.impairment.clear()
+                relay.impairment_changed()
 
-        self.later(self.rng.uniform(low, high), clear)
+        self.call_later(self.rng.uniform(low, high), clear)
 
-    def _cut(self, side: set[str], both: bool, what: str) -> None:
-        self._note(what, "+".join(sorted(side)))
-        self._weather(
-            self.relays.between(side, both), lambda line: setattr(line.weather, "cut", True), 1.0, 6.0
+    def _cut_off(self, side: set[str], both: bool, what: str) -> None:
+        self._record(what, "+".join(sorted(side)))
+        self._impair(
+            self.mesh.between(side, both), lambda relay: setattr(relay.impairment, "cut", True), 1.0, 6.0
         )
 
-    def _one(self) -> str:
-        return self._named or self.rng.choice(list(self.heads))
+    def _pick_name(self) -> str:
+        return self._target or self.rng.choice(list(self.gateways))
 
     def cut(self) -> None:
-        self._cut({self._one()}, True, "cut off")
+        """Isolate one gateway from all others."""
+        self._cut_off({self._pick_name()}, True, "cut off")
 
     def one_way(self) -> None:
-        """Others hear nothing of it, or it hears nothing of others."""
-        side = {self._one()}
+        """Cut all that one gateway sends to the others, or all that they send to it."""
+        side = {self._pick_name()}
         if self.rng.random() < 0.5:
-            side = set(self.heads) - side
-        self._cut(side, False, "cut one way")
+            side = set(self.gateways) - side
+        self._cut_off(side, False, "cut one way")
 
     def halves(self) -> None:
-        names = list(self.heads)
-        self._cut(set(self.rng.sample(names, len(names) // 2)), True, "cut in halves")
+        """Partition the gateways into halves."""
+        names = list(self.gateways)
+        self._cut_off(set(self.rng.sample(names, len(names) // 2)), True, "cut in halves")
 
-    def _some(self) -> list[Line]:
-        """All lines of one head."""
-        return self.relays.between({self._one()})
+    def _relays_of_one(self) -> list[Relay]:
+        """All relays from and to one gateway."""
+        return self.mesh.between({self._pick_name()})
 
     def drop(self) -> None:
+        """Lose a share of the datagrams of one gateway."""
         share = self.rng.uniform(0.1, 0.6)
-        self._note("losses", f"{share:.0%}")
-        self._weather(self._some(), lambda line: setattr(line.weather, "drop", share), 1.0, 5.0)
+        self._record("datagram loss", f"{share:.0%}")
+        self._impair(self._relays_of_one(), lambda relay: setattr(relay.impairment, "drop", share), 1.0, 5.0)
 
     def delay(self) -> None:
-        late = self.rng.choice([0.05, 0.3, 1.5, 4.0])
-        self._note("late", f"{late} s")
-        self._weather(self._some(), lambda line: setattr(line.weather, "delay", late), 0.5, 4.0)
+        """Delay all traffic of one gateway."""
+        delay_s = self.rng.choice([0.05, 0.3, 1.5, 4.0])
+        self._record("delay", f"{delay_s} s")
+        self._impair(
+            self._relays_of_one(), lambda relay: setattr(relay.impairment, "delay", delay_s), 0.5, 4.0
+        )
 
     def duplicate(self) -> None:
-        self._note("doubled", "")
+        """Duplicate most datagrams of one gateway, with a short jitter."""
+        self._record("datagrams duplicated", "")
 
-        def change(line: Line) -> None:
-            line.weather.double, line.weather.jitter = 0.7, 0.05
+        def change(relay: Relay) -> None:
+            relay.impairment.duplicate, relay.impairment.jitter = 0.7, 0.05
 
-        self._weather(self._some(), change, 1.0, 5.0)
+        self._impair(self._relays_of_one(), change, 1.0, 5.0)
 
     def reorder(self) -> None:
-        self._note("out of order", "")
-        self._weather(self._some(), lambda line: setattr(line.weather, "jitter", 0.4), 1.0, 5.0)
+        """Reorder the datagrams of one gateway by a long jitter."""
+        self._record("datagrams reordered", "")
+        self._impair(self._relays_of_one(), lambda relay: setattr(relay.impairment, "jitter", 0.4), 1.0, 5.0)
 
     def trickle(self) -> None:
-        self._note("a trickle", "")
-        self._weather(self._some(), lambda line: setattr(line.weather, "trickle", 2000), 1.0, 5.0)
+        """Throttle the TCP connections of one gateway."""
+        self._record("throttled", "")
+        self._impair(
+            self._relays_of_one(), lambda relay: setattr(relay.impairment, "trickle", 2000), 1.0, 5.0
+        )
 
-    # ---- the system below ----
+    # ---- system faults ----
 
     def step_clock(self) -> None:
-        """The wall clocks of some heads are stepped, each by its own."""
-        for name, faults in self.system.items():
+        """Step the wall clocks of some gateways, each by a random step of CLOCK_STEPS_S."""
+        for name, faults in self.system_faults.items():
             if self.rng.random() < 0.5:
                 step = self.rng.choice(CLOCK_STEPS_S)
-                self._note("clock stepped", f"{name} {step:+.0f} s")
+                self._record("clock stepped", f"{name} {step:+.0f} s")
                 faults.step_wall_clock(step)
 
     def disk_fails(self) -> None:
-        """Writes and syncs fail for a while, mostly on more than one head."""
-        names = [name for name in self.system if self.rng.random() < 0.6]
+        """Let writes and syncs fail for 0.3 to 3 s, mostly on several gateways."""
+        names = [name for name in self.system_faults if self.rng.random() < 0.6]
         error = self.rng.choice(DISK_ERRORS)
-        self._note("disk fails", "+".join(names))
+        self._record("disk fails", "+".join(names))
         for name in names:
             for call in (Call.WRITE, Call.SYNC):
-                self.system[name].fail(call, error, EVERY_CALL)
-        self.later(self.rng.uniform(0.3, 3.0), self._clear_disks)
+                self.system_faults[name].fail(call, error, ALL_CALLS)
+        self.call_later(self.rng.uniform(0.3, 3.0), self._clear_system_faults)
 
-    def _clear_disks(self) -> None:
-        for faults in self.system.values():
+    def _clear_system_faults(self) -> None:
+        for faults in self.system_faults.values():
             faults.clear()
 
-    # ---- wholes ----
+    # ---- limits ----
 
-    def _whole(self, factor: float) -> None:
-        """The files change, at one head after another."""
+    def _change_limit(self, factor: float) -> None:
+        """Multiply the limit by ``factor`` in the files of one gateway after another."""
         old = self.limit
         fresh = self.limit = Limit(old.rate * factor, old.burst * factor)
-        self._note("whole", f"{fresh.rate:.0f}/s")
-        self.judge.change(fresh)
-        self._wholes.append((self.reactor.seconds(), fresh.rate))
-        waits = set(self.heads)
+        self._record("limit", f"{fresh.rate:.0f}/s")
+        self.judge.change_limit(fresh)
+        self._limits.append((self.reactor.seconds(), fresh.rate))
+        pending = set(self.gateways)
 
-        def tell(head: HeadProcess) -> None:
+        def reload(gateway: GatewayProcess) -> None:
             if self.limit is not fresh:
                 return
-            if head.stopped or not head.alive or head.young:
-                # Its file is there when it starts or wakes; it is told once it runs.
-                head.write(self._config(head), None)
-                self.later(0.5, lambda: tell(head))
+            if gateway.paused or not gateway.alive or gateway.starting:
+                # It reads the file at its start; if it runs by then, it is signalled later.
+                gateway.write_files(self._config(gateway), None)
+                self.call_later(0.5, lambda: reload(gateway))
                 return
-            head.change(self._config(head))
-            waits.discard(head.name)
-            if not waits:
-                # Clients use both for 1.5 s, then all leases under the old one run out; in the file's drift.
+            gateway.reload(self._config(gateway))
+            pending.discard(gateway.name)
+            if not pending:
+                # Clients use both limits for 1.5 s, then all leases under the old one expire, with drift.
                 self.judge.settle(2.5 + 2.2 * self.trial.lease_ms / 1000 + 3.0)
 
-        for head in self.heads.values():
-            self.later(self.rng.uniform(0.0, 2.0), lambda head=head: tell(head))  # type: ignore[misc]
+        for gateway in self.gateways.values():
+            self.call_later(self.rng.uniform(0.0, 2.0), lambda gateway=gateway: reload(gateway))  # type: ignore[misc]
 
     def lower_whole(self) -> None:
+        """Lower the limit by a fifth, unless it is low already."""
         if self.limit.rate > 0.6 * self.trial.rate:
-            self._whole(0.8)
+            self._change_limit(0.8)
 
     def raise_whole(self) -> None:
+        """Raise the limit by a quarter, unless it is high already."""
         if self.limit.rate < 1.2 * self.trial.rate:
-            self._whole(1.25)
+            self._change_limit(1.25)
 
 
-def play(reactor: Any, trial: Trial, progress: Callable[[Rig], None] = lambda rig: None) -> Played:
-    """One trial in a folder of its own."""
+def play(reactor: Any, trial: Trial, progress: Callable[[Rig], None] = lambda rig: None) -> TrialResult:
+    """Run a trial in a temporary folder.  Raises GatewaysNotReady."""
     with tempfile.TemporaryDirectory(prefix="gaugesail-rig-") as folder:
         return Rig(reactor, trial, Path(folder)).play(progress)
--- a/gaugesail/rehearsal/fleet/world.py
+++ b/gaugesail/rehearsal/fleet/world.py
@@ -1,7 +1,7 @@
-"""Around the heads: storage nodes that count, the list of nodes, and clients that wait for one answer each.
+"""The peers of the gateways in a trial: storage nodes, clients with a moving load, and a judge.
 
-The judge sees what arrives at the nodes and what clients are told, and nothing of what heads say of
-themselves.
+The judge observes only what arrives at the nodes and which answers the clients receive; it uses nothing that
+gateways report about themselves.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from ...net import dial
 from ..peers import Directory, HttpConnection, HttpListener
 
-SERVE_S = 0.004  # at a node
-LATE_S = 0.15  # between a head's last look and the node: what may arrive together that was sent apart
-DEADLINE_S = 3.0  # the whole time of the class: with less the head takes it for a repeat
-SLACK_S = 1.0  # beyond its deadline, and an answer is missing
-MOST_CONNECTIONS = 24  # of clients, to one head
-IDLE_S = 5.0  # a client asks on no connection that has rested for longer; the head closes them after 15 s
+SERVICE_TIME_S = 0.004
+ARRIVAL_SPREAD_S = 0.15  # requests that gateways sent up to this long apart may arrive at nodes together
+DEADLINE_S = 3.0  # the full time of the class: with less, the gateway would count the request as a repeat
+ANSWER_SLACK_S = 1.0  # after its deadline, until a request counts as lost
+MAX_CONNECTIONS = 24  # of all clients, to one gateway
+MAX_IDLE_S = 5.0  # a client reuses no connection that was idle for longer; the gateway closes them after 15 s
 
 
 @dataclass(slots=True)
-class Ledger:
-    """What the judge has counted."""
+class TrialCounts:
+    """The counters of a trial; --json prints them by these names, but ``lowest_units`` as ``least_units``."""
 
     overspent: int = 0
     lost: int = 0
@@ -39,237 +39,258 @@
     asked: int = 0
     served: int = 0
     refused: int = 0
-    failed: int = 0  # an error for an answer
-    unreached: int = 0  # the head's process had ended, or ended under it
-    least: float = 0.0  # that the one store for all ever held, with the allowance
-    arrivals: list[tuple[float, str, float]] = field(default_factory=list)  # when, head, units
-    answers: list[tuple[float, str, str]] = field(default_factory=list)  # when, head, how
+    failed: int = 0  # answered with another error
+    unreached: int = 0  # not sent for want of a connection, or the gateway's process was ended
+    lowest_units: float = 0.0  # lowest level of the fleet's bucket, with the allowance for ARRIVAL_SPREAD_S
+    arrivals: list[tuple[float, str, float]] = field(default_factory=list)  # time, gateway, units
+    answers: list[tuple[float, str, str]] = field(default_factory=list)  # time, gateway, outcome
 
 
 class Node(HttpListener):
-    """A storage node: it serves each request after a moment, and tells the judge what came."""
+    """A storage node that answers each request after SERVICE_TIME_S and reports its arrival to the judge."""
 
     def __init__(self, reactor: Any, name: str, shard: int, judge: FleetJudge) -> None:
         self.shard, self._judge = shard, judge
-        self._out: dict[str, HttpConnection] = {}
+        self._pending: dict[str, HttpConnection] = {}
         super().__init__(reactor, name)
 
     def lost(self, connection: HttpConnection) -> None:
+        """The requests of a closed connection are no longer pending."""
         super().lost(connection)
-        for name in [name for name, at in self._out.items() if at is connection]:
-            del self._out[name]
+        for name in [name for name, at in self._pending.items() if at is connection]:
+            del self._pending[name]
 
     def message(self, connection: HttpConnection, head: Head, body: bytes) -> None:
+        """Count a request and answer it later; a health check is answered at once."""
         name = head.headers.get("request-id", "")
-        if not name:  # a probe
+        if not name:  # a health check
             connection.link.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             return
-        if name in self._out:
-            self._judge.told.two_out += 1
-        self._out[name] = connection
-        self._judge.arrived(name)
-        self._reactor.callLater(SERVE_S, self._served, name, connection)
+        if name in self._pending:
+            self._judge.counts.two_out += 1
+        self._pending[name] = connection
+        self._judge.attempt_arrived(name)
+        self._reactor.callLater(SERVICE_TIME_S, self._served, name, connection)
 
     def _served(self, name: str, connection: HttpConnection) -> None:
-        if self._out.get(name) is connection:
-            del self._out[name]
+        if self._pending.get(name) is connection:
+            del self._pending[name]
             connection.link.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
 class FleetJudge:
-    """One volume's limit, by what reached the nodes."""
+    """Checks the limit of one volume by what reached the nodes."""
 
     def __init__(self, seconds: Callable[[], float], limit: Limit) -> None:
-        self._seconds, self.told = seconds, Ledger()
-        self._units: dict[str, tuple[str, float]] = {}  # by request: its head and what it costs
-        self._judge = Judge(limit.rate, limit.burst + LATE_S * limit.rate, self.now)
+        self._seconds, self.counts = seconds, TrialCounts()
+        self._units: dict[str, tuple[str, float]] = {}  # by request: its gateway and units
+        self._judge = Judge(limit.rate, limit.burst + ARRIVAL_SPREAD_S * limit.rate, self.now)
 
     @property
     def now(self) -> int:
+        """The current time in microseconds."""
         return int(self._seconds() * 1e6)
 
-    def asked(self, request: str, head: str, units: float) -> None:
-        self._units[request] = head, units
-        self.told.asked += 1
+    def request_sent(self, request: str, gateway: str, units: float) -> None:
+        """Count a request that a client sends to ``gateway``."""
+        self._units[request] = gateway, units
+        self.counts.asked += 1
 
-    def arrived(self, request: str) -> None:
-        """Only the first attempt of a request takes units."""
+    def attempt_arrived(self, request: str) -> None:
+        """Take the units of a request at its first attempt; later attempts take none."""
         found = self._units.pop(request, None)
         if found is None:
             return
-        head, units = found
+        gateway, units = found
         self._judge.take(self.now, units)
-        self.told.arrivals.append((self._seconds(), head, units))
-        self.told.overspent, self.told.least = self._judge.overs, self._judge.least
+        self.counts.arrivals.append((self._seconds(), gateway, units))
+        self.counts.overspent, self.counts.lowest_units = self._judge.overs, self._judge.least
 
-    def change(self, limit: Limit) -> None:
-        """Another whole: a larger one at once; a smaller one once ``settle`` says so."""
-        self._judge.change(self.now, Limit(limit.rate, limit.burst + LATE_S * limit.rate))
+    def change_limit(self, limit: Limit) -> None:
+        """Apply another limit: a higher one at once, a lower one at the time set with ``settle``."""
+        self._judge.change(self.now, Limit(limit.rate, limit.burst + ARRIVAL_SPREAD_S * limit.rate))
 
     def settle(self, after_s: float) -> None:
+        """Enforce the latest lower limit from ``after_s`` seconds on."""
         self._judge.settle(self.now + int(after_s * 1e6))
 
 
-class _Asker(HttpConnection):
-    """A client's connection: one request at a time."""
+class _ClientConnection(HttpConnection):
+    """A client connection with one request at a time; ``request`` is empty while none is pending."""
 
     def __init__(self, clients: Clients) -> None:
         super().__init__(clients, answers=True)
         self._reactor = clients.reactor
         self.request = ""
-        self.told_at = self.idle_at = 0.0  # when it was asked, and when it was last answered
+        self.sent_at = self.idle_since = 0.0  # when the request was sent, and when the last answer came
 
-    def ask(self, request: str, text: bytes) -> None:
-        self.request, self.told_at = request, self._reactor.seconds()
+    def send(self, request: str, text: bytes) -> None:
+        """Write a request."""
+        self.request, self.sent_at = request, self._reactor.seconds()
         self.link.write(text)
 
 
 class Clients:
-    """All clients of one head."""
+    """All clients of one gateway.
+
+    Connections that end without an answer count as lost, or as unreached while ``excused`` returns true.
+    """
 
     def __init__(
-        self, reactor: Any, name: str, address: tuple[str, int], heads: int, judge: FleetJudge,
+        self, reactor: Any, name: str, address: tuple[str, int], gateways: int, judge: FleetJudge,
         excused: Callable[[], bool],
     ) -> None:  # fmt: skip
-        self.reactor, self.name, self._address, self._heads = reactor, name, address, heads
+        self.reactor, self.name, self._address, self._gateways = reactor, name, address, gateways
         self.judge, self._excused = judge, excused
-        self._idle: deque[_Asker] = deque()
-        self._open: dict[_Asker, None] = {}
-        self._dialling = 0
+        self._idle: deque[_ClientConnection] = deque()
+        self._open: dict[_ClientConnection, None] = {}
+        self._dialing = 0
         self._number = 0
 
-    def ask(self, units: int, volume: int = 1) -> None:
-        """One request.  With no connection free one more is opened, up to a bound."""
+    def send_request(self, units: int, volume: int = 1) -> None:
+        """Send one request on an idle connection or a new one.
+
+        With MAX_CONNECTIONS in use it is not sent, and counts as unreached.
+        """
         while self._idle:
-            asker = self._idle.pop()
-            if asker in self._open and self.reactor.seconds() - asker.idle_at > IDLE_S:
-                asker.link.loseConnection()  # the head may be closing it just now
-            elif asker in self._open:
-                self._send(asker, units, volume)
+            connection = self._idle.pop()
+            if connection in self._open and self.reactor.seconds() - connection.idle_since > MAX_IDLE_S:
+                connection.link.loseConnection()  # the gateway may be closing it at this moment
+            elif connection in self._open:
+                self._send(connection, units, volume)
                 return
-        if len(self._open) + self._dialling >= MOST_CONNECTIONS:
-            self.judge.told.unreached += 1
+        if len(self._open) + self._dialing >= MAX_CONNECTIONS:
+            self.judge.counts.unreached += 1
             return
-        self._dialling += 1
-        made = dial(self.reactor, self._address, 1.0, lambda: _Asker(self))
-        made.addCallbacks(self._up, self._down, (units, volume))
+        self._dialing += 1
+        dialed = dial(self.reactor, self._address, 1.0, lambda: _ClientConnection(self))
+        dialed.addCallbacks(self._connected, self._connect_failed, (units, volume))
 
-    def _up(self, asker: _Asker, units: int, volume: int) -> None:
-        self._dialling -= 1
-        self._open[asker] = None
-        self._send(asker, units, volume)
+    def _connected(self, connection: _ClientConnection, units: int, volume: int) -> None:
+        self._dialing -= 1
+        self._open[connection] = None
+        self._send(connection, units, volume)
 
-    def _down(self, failure: Failure) -> None:
-        self._dialling -= 1
-        self.judge.told.unreached += 1
+    def _connect_failed(self, failure: Failure) -> None:
+        self._dialing -= 1
+        self.judge.counts.unreached += 1
 
-    def _send(self, asker: _Asker, units: int, volume: int) -> None:
+    def _send(self, connection: _ClientConnection, units: int, volume: int) -> None:
         self._number += 1
         request = f"{self.name}-{self._number}"
-        self.judge.asked(request, self.name, units)
-        asker.ask(request, (
+        self.judge.request_sent(request, self.name, units)
+        connection.send(request, (
             f"GET /api HTTP/1.1\r\nHost: a\r\nRequest-Id: {request}\r\nRequest-Class: read\r\n"
             f"X-Plan: limited\r\nCookie: block={self._number % 997:x}\r\n"
             f"Request-Timeout-Ms: {int(DEADLINE_S * 1000)}\r\n"
-            f"X-IO: volume={volume:x},units={units},shard={self._number % 2},hosts={self._heads}\r\n\r\n"
+            f"X-IO: volume={volume:x},units={units},shard={self._number % 2},hosts={self._gateways}\r\n\r\n"
         ).encode())  # fmt: skip
 
-    def opened(self, asker: _Asker) -> None:
-        pass
+    def opened(self, connection: _ClientConnection) -> None:
+        """Ignored: a connection is entered when dialing succeeds."""
 
     def begins(self, head: Head) -> None:
-        pass
+        """Ignored: only complete answers count."""
 
     def saw(self, *words: str) -> None:
-        """Bytes that are no answer to anything."""
-        self.judge.told.answered_twice += 1
+        """Count bytes that are no valid answer as a second answer."""
+        self.judge.counts.answered_twice += 1
 
-    def message(self, asker: _Asker, head: Head, body: bytes) -> None:
-        """A whole answer."""
-        told = self.judge.told
+    def message(self, connection: _ClientConnection, head: Head, body: bytes) -> None:
+        """Count a complete answer; interim ones (1xx) are ignored."""
+        counts = self.judge.counts
         if head.status < 200:
             return
-        if not asker.request:
-            told.answered_twice += 1
+        if not connection.request:
+            counts.answered_twice += 1
             return
-        asker.request = ""
-        how = "served" if head.status == 200 else "refused" if head.status in (429, 503) else "failed"
-        setattr(told, how, getattr(told, how) + 1)
-        told.answers.append((self.reactor.seconds(), self.name, how))
+        connection.request = ""
+        outcome = "served" if head.status == 200 else "refused" if head.status in (429, 503) else "failed"
+        setattr(counts, outcome, getattr(counts, outcome) + 1)
+        counts.answers.append((self.reactor.seconds(), self.name, outcome))
         if head.keep_alive:
-            asker.idle_at = self.reactor.seconds()
-            self._idle.append(asker)
+            connection.idle_since = self.reactor.seconds()
+            self._idle.append(connection)
         else:
-            asker.link.loseConnection()
+            connection.link.loseConnection()
 
-    def lost(self, asker: _Asker) -> None:
-        self._open.pop(asker, None)
-        if asker.request:
+    def lost(self, connection: _ClientConnection) -> None:
+        """Count a pending request of a closed connection as lost or, if excused, as unreached."""
+        self._open.pop(connection, None)
+        if connection.request:
             if self._excused():
-                self.judge.told.unreached += 1
+                self.judge.counts.unreached += 1
             else:
-                self.judge.told.lost += 1
-            asker.request = ""
+                self.judge.counts.lost += 1
+            connection.request = ""
 
     def overdue(self, now: float) -> int:
-        """Requests that should have their answer by now."""
-        return sum(bool(asker.request) and now - asker.told_at > DEADLINE_S + SLACK_S for asker in self._open)
+        """The number of requests without an answer ANSWER_SLACK_S after their deadline."""
+        return sum(
+            bool(connection.request) and now - connection.sent_at > DEADLINE_S + ANSWER_SLACK_S
+            for connection in self._open
+        )
 
-    def gone(self) -> None:
-        """The process behind these was killed: whatever it owed died with it."""
-        for asker in list(self._open):
-            asker.link.abortConnection()
+    def abort_connections(self) -> None:
+        """Abort all connections, as the process at their other end was killed."""
+        for connection in list(self._open):
+            connection.link.abortConnection()
 
     def close(self) -> None:
+        """Abort all connections; pending requests are excused."""
         self._excused = lambda: True
-        self.gone()
+        self.abort_connections()
 
 
 class MovingDemand:
-    """Requests for one volume, unevenly over the heads; who is busiest changes."""
+    """Random requests for one volume, unevenly distributed over the gateways.
+
+    The distribution changes every 4 to 12 s.  ``rate`` is in units a second, for all gateways together.
+    """
 
     def __init__(self, reactor: Any, seed: int, clients: dict[str, Clients], rate: float) -> None:
         self._reactor, self._rng, self._clients = reactor, random.Random(seed), clients
-        self._gap = MEAN / rate
+        self._mean_gap_s = MEAN / rate
         self._names = list(clients)
         self.weights: dict[str, float] = {}
         self.stopped = False
         self._next_at = reactor.seconds()
-        self._move()
-        self._arrive()
+        self._shift_load()
+        self._send_due()
 
-    def _move(self) -> None:
+    def _shift_load(self) -> None:
         weights = [1 / (n + 1) ** 1.5 for n in range(len(self._names))]
         self._rng.shuffle(weights)
         self.weights = dict(zip(self._names, weights, strict=True))
         if not self.stopped:
-            self._reactor.callLater(self._rng.uniform(4, 12), self._move)
+            self._reactor.callLater(self._rng.uniform(4, 12), self._shift_load)
 
-    def _arrive(self) -> None:
-        """All that is due: arrivals do not wait for answers."""
+    def _send_due(self) -> None:
+        """Send all requests that are due; arrivals do not depend on answers."""
         now = self._reactor.seconds()
         while self._next_at <= now and not self.stopped:
-            self._next_at += self._rng.expovariate(1 / self._gap)
+            self._next_at += self._rng.expovariate(1 / self._mean_gap_s)
             name = self._rng.choices(self._names, list(self.weights.values()))[0]
-            self._clients[name].ask(self._rng.choice(SIZES))
+            self._clients[name].send_request(self._rng.choice(SIZES))
         if not self.stopped:
-            self._reactor.callLater(max(0.001, self._next_at - now), self._arrive)
+            self._reactor.callLater(max(0.001, self._next_at - now), self._send_due)
 
 
-def config_of(
-    directory: Directory, listen: int, calls: int, limit: Limit, heads: int, me: int
+def gateway_config(
+    directory: Directory, listen_port: int, management_port: int, limit: Limit, gateways: int, index: int
 ) -> dict[str, Any]:
-    """A head's configuration in the platform's form, with one plan under a limit."""
+    """The configuration of a gateway in the platform's format, with one plan under ``limit``."""
     from .. import defaults
 
     settings = defaults.settings()
-    settings["balancers"], settings["me"] = heads, me
+    settings["balancers"], settings["me"] = gateways, index
     settings["contracts"] = [{
         "name": "limited", "rate": limit.rate, "reserve": 0.8 * limit.rate, "parts": 1.0, "pays": 1.0,
         "never_over": limit.rate, "most_at_once": limit.burst,
     }]  # fmt: skip
     return {
-        "name": f"head-{me}", "listen": f"127.0.0.1:{listen}", "discovery": directory.address, "seed": "7",
-        "management": f"127.0.0.1:{calls}", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "name": f"head-{index}", "listen": f"127.0.0.1:{listen_port}", "discovery": directory.address,
+        "seed": "7", "management": f"127.0.0.1:{management_port}",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": directory.listing(True), "settings": settings,
     }  # fmt: skip
--- a/gaugesail/rehearsal/soak/heads.py
+++ b/gaugesail/rehearsal/soak/heads.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..faults.shim import Faults
-from ..fleet.heads import HeadProcess
+from ..fleet.heads import GatewayProcess
 from . import plan
 from .clients import ARRIVALS_S, SoakClients
 from .discovery import HeadDiscovery, Membership
@@ -37,7 +37,7 @@
     """One head: its files and its address stay, its processes come and go."""
 
     def __init__(
-        self, reactor: Any, process: HeadProcess, faults: Faults, discovery: HeadDiscovery,
+        self, reactor: Any, process: GatewayProcess, faults: Faults, discovery: HeadDiscovery,
         membership: Membership, clients: SoakClients, judge: SoakJudge, soak: plan.SoakPlan, me: int,
     ) -> None:  # fmt: skip
         self.reactor, self.process, self.faults = reactor, process, faults
@@ -57,13 +57,13 @@
     def write(self) -> None:
         """Its file, with the list as it is now."""
         config = {
-            "name": self.name, "listen": f"127.0.0.1:{self.process.listen}",
-            "management": f"127.0.0.1:{self.process.calls}", "discovery": self.discovery.address,
+            "name": self.name, "listen": f"127.0.0.1:{self.process.listen_port}",
+            "management": f"127.0.0.1:{self.process.management_port}", "discovery": self.discovery.address,
             "seed": f"{self._plan.seed:x}", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "known": self._membership.listing(),
             "settings": plan.settings(self._plan, self._me, self._revision),
         }  # fmt: skip
-        self.process.write(config, None)
+        self.process.write_files(config, None)
 
     # ---- starting ----
 
@@ -162,8 +162,8 @@
         self.process.pause()
 
     def go_on(self) -> None:
-        if self.process.stopped:
-            self.process.go_on()
+        if self.process.paused:
+            self.process.resume()
             self._judge.exemptions.goes_on(self.name, self.reactor.seconds())
 
     # ---- a new configuration ----
--- a/gaugesail/rehearsal/soak/run.py
+++ b/gaugesail/rehearsal/soak/run.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ..faults.shim import Faults, build
-from ..fleet.heads import HeadProcess, free_ports
+from ..fleet.heads import GatewayProcess, free_ports
 from .clients import SoakClients
 from .discovery import HeadDiscovery, Membership
 from .heads import READY_S, SoakHead, summary
@@ -67,7 +67,7 @@
 
     def _head(self, number: int, folder: Path, library: Path, ports: list[int]) -> SoakHead:
         name = f"h{number}"
-        process = HeadProcess(name, folder / name, ports[0], ports[1], 0)
+        process = GatewayProcess(name, folder / name, ports[0], ports[1], 0)
         discovery = HeadDiscovery(self.reactor, name, self.membership)
         clients = SoakClients(
             self.reactor, name, ("127.0.0.1", ports[0]), self.judge, random.Random(self._rng.random()),
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig's own parts: a judge that finds what heads break on purpose, relays that do what they say, ctl."""
+"""The parts of a fleet trial: its judge finds deliberate violations, relays impair as set, and ctl works."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from gaugesail.lab.fleet import Limit
 from gaugesail.net import Connection, dial
 from gaugesail.rehearsal.defaults import settings
-from gaugesail.rehearsal.fleet.command import bars, timeline_of
-from gaugesail.rehearsal.fleet.heads import HeadProcess, free_ports
-from gaugesail.rehearsal.fleet.relay import Line, Relays
-from gaugesail.rehearsal.fleet.world import LATE_S, Clients, FleetJudge, MovingDemand, Node
+from gaugesail.rehearsal.fleet.command import bars, load_timeline
+from gaugesail.rehearsal.fleet.heads import GatewayProcess, free_ports
+from gaugesail.rehearsal.fleet.relay import Relay, RelayMesh
+from gaugesail.rehearsal.fleet.world import ARRIVAL_SPREAD_S, Clients, FleetJudge, MovingDemand, Node
 from gaugesail.rehearsal.memory import MemoryReactor
 
 from ..support.datagram_reactor import UdpReactor
@@ -28,224 +28,224 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class RudeHead(Factory):
-    """Passes each request on as ``how`` says, and answers as it likes."""
+class FaultyGateway(Factory):
+    """Forwards and answers each request with the given fault, or correctly with any other word."""
 
     noisy = False
 
-    def __init__(self, reactor: MemoryReactor, node: Node, how: str) -> None:
-        self.reactor, self.how = reactor, how
+    def __init__(self, reactor: MemoryReactor, node: Node, fault: str) -> None:
+        self.reactor, self.fault = reactor, fault
         host, _, port = node.address.partition(":")
         self.node = host, int(port)
 
     def buildProtocol(self, addr: Any) -> Connection:
-        return _Rude(self)
+        return _FaultyConnection(self)
 
 
-class _Rude(Connection):
-    def __init__(self, head: RudeHead) -> None:
-        self.head = head
+class _FaultyConnection(Connection):
+    def __init__(self, gateway: FaultyGateway) -> None:
+        self.gateway = gateway
 
     def dataReceived(self, data: bytes) -> None:
-        head = self.head
-        for _ in range(2 if head.how == "two out" else 1):
-            made = dial(head.reactor, head.node, 1.0, lambda: Connection())
-            made.addCallback(lambda connection: connection.link.write(data))
-        if head.how == "silent":
+        gateway = self.gateway
+        for _ in range(2 if gateway.fault == "two out" else 1):
+            dialed = dial(gateway.reactor, gateway.node, 1.0, lambda: Connection())
+            dialed.addCallback(lambda connection: connection.link.write(data))
+        if gateway.fault == "silent":
             return
-        if head.how == "breaks":
+        if gateway.fault == "breaks":
             self.link.abortConnection()
             return
-        head.reactor.callLater(0.1, self.link.write, OK * (2 if head.how == "twice" else 1))
+        gateway.reactor.callLater(0.1, self.link.write, OK * (2 if gateway.fault == "twice" else 1))
 
 
-def judged(how: str, requests: int = 3, units: int = 2, dead: bool = False) -> Any:
+def counts_of(fault: str, requests: int = 3, units: int = 2, dead: bool = False) -> Any:
     reactor = MemoryReactor()
     judge = FleetJudge(reactor.seconds, Limit(10.0, 8.0))
     node = Node(reactor, "node", 0, judge)
-    port = reactor.listenTCP(0, RudeHead(reactor, node, how), interface="127.0.0.1")
+    port = reactor.listenTCP(0, FaultyGateway(reactor, node, fault), interface="127.0.0.1")
     clients = Clients(reactor, "h", ("127.0.0.1", port.getHost().port), 1, judge, lambda: dead)
     for _ in range(requests):
-        clients.ask(units)
+        clients.send_request(units)
         reactor.run_until(lambda: False, 0.5)
     reactor.run_until(lambda: False, 10)
-    judge.told.lost += clients.overdue(reactor.seconds())
-    return judge.told
+    judge.counts.lost += clients.overdue(reactor.seconds())
+    return judge.counts
 
 
-def test_a_head_that_does_all_well_is_not_blamed() -> None:
-    told = judged("well")
-    assert (told.overspent, told.lost, told.answered_twice, told.two_out, told.served) == (0, 0, 0, 0, 3)
+def test_a_correct_gateway_breaks_no_guarantee() -> None:
+    found = counts_of("well")
+    assert (found.overspent, found.lost, found.answered_twice, found.two_out, found.served) == (0, 0, 0, 0, 3)
 
 
-def test_each_thing_that_must_not_be_is_found() -> None:
-    assert judged("two out").two_out > 0
-    assert judged("twice").answered_twice > 0
-    assert judged("silent").lost == 3
-    assert judged("breaks").lost == 3
-    assert judged("breaks", dead=True).lost == 0, "its process was killed"
-    told = judged("well", requests=6, units=8)
-    assert told.overspent > 0 and told.least < 0
+def test_the_judge_finds_each_violation() -> None:
+    assert counts_of("two out").two_out > 0
+    assert counts_of("twice").answered_twice > 0
+    assert counts_of("silent").lost == 3
+    assert counts_of("breaks").lost == 3
+    assert counts_of("breaks", dead=True).lost == 0, "its process was killed"
+    counts = counts_of("well", requests=6, units=8)
+    assert counts.overspent > 0 and counts.lowest_units < 0
 
 
-def test_a_smaller_whole_binds_from_when_it_is_settled() -> None:
+def test_a_lower_limit_holds_from_its_settling_on() -> None:
     now = [0.0]
     judge = FleetJudge(lambda: now[0], Limit(100.0, 10.0))
 
     def spend(units: float) -> int:
-        judge.asked("r", "h", units)
-        judge.arrived("r")
-        judge.arrived("r")  # a further attempt takes nothing
-        return judge.told.overspent
+        judge.request_sent("r", "h", units)
+        judge.attempt_arrived("r")
+        judge.attempt_arrived("r")  # a further attempt takes nothing
+        return judge.counts.overspent
 
-    assert spend(10 + LATE_S * 100) == 0
-    judge.change(Limit(10.0, 10.0))
+    assert spend(10 + ARRIVAL_SPREAD_S * 100) == 0
+    judge.change_limit(Limit(10.0, 10.0))
     now[0] = 1.0
-    assert spend(25) == 0, "the old one holds"
+    assert spend(25) == 0, "the old limit holds"
     judge.settle(0.0)
     now[0] = 2.0
     assert spend(12) == 1
 
 
-def test_demand_moves_and_asks_for_what_it_says() -> None:
+def test_demand_shifts_and_has_the_given_rate() -> None:
     reactor = MemoryReactor()
-    asked: dict[str, float] = {"a": 0.0, "b": 0.0}
+    sent: dict[str, float] = {"a": 0.0, "b": 0.0}
 
     class Count:
         def __init__(self, name: str) -> None:
             self.name = name
 
-        def ask(self, units: int, volume: int = 1) -> None:
-            asked[self.name] += units
+        def send_request(self, units: int, volume: int = 1) -> None:
+            sent[self.name] += units
 
-    demand = MovingDemand(reactor, 1, {name: Count(name) for name in asked}, 200.0)  # type: ignore[misc]
+    demand = MovingDemand(reactor, 1, {name: Count(name) for name in sent}, 200.0)  # type: ignore[misc]
     reactor.run_until(lambda: False, 60)
     demand.stopped = True
-    assert 0.85 < sum(asked.values()) / (200 * 60) < 1.15
+    assert 0.85 < sum(sent.values()) / (200 * 60) < 1.15
     assert demand.weights["a"] != demand.weights["b"]
 
 
-def sent_by(line: Line, reactor: MemoryReactor, count: int = 200) -> list[bytes]:
-    wire: Any = line._ear.transport
-    wire.sent.clear()
+def forwarded_by(relay: Relay, reactor: MemoryReactor, count: int = 200) -> list[bytes]:
+    transport: Any = relay._receiver.transport
+    transport.sent.clear()
     for n in range(count):
-        line.datagram(b"%d" % n)
+        relay.datagram(b"%d" % n)
     reactor.run_until(lambda: False, 2.0)
-    return list(wire.sent)
+    return list(transport.sent)
 
 
-def test_a_relay_loses_doubles_delays_reorders_and_cuts_one_way() -> None:
+def test_a_relay_loses_duplicates_delays_reorders_and_cuts_one_direction() -> None:
     reactor = UdpReactor()
-    relays = Relays(reactor, 1, {"a": ("127.0.0.1", 1), "b": ("127.0.0.1", 2), "c": ("127.0.0.1", 3)})
-    line = relays.lines["a", "b"]
+    mesh = RelayMesh(reactor, 1, {"a": ("127.0.0.1", 1), "b": ("127.0.0.1", 2), "c": ("127.0.0.1", 3)})
+    relay = mesh.relays["a", "b"]
     plain = [b"%d" % n for n in range(200)]
-    assert sent_by(line, reactor) == plain
-    line.weather.drop = 0.5
-    assert 50 < len(sent_by(line, reactor)) < 150
-    line.weather.clear()
-    line.weather.double = 1.0
-    assert len(sent_by(line, reactor)) == 400
-    line.weather.clear()
-    line.weather.jitter = 0.5
-    late = sent_by(line, reactor)
-    assert sorted(late) == sorted(plain) and late != plain
-    line.weather.clear()
-    line.weather.cut = True
-    assert not sent_by(line, reactor) and sent_by(relays.lines["b", "a"], reactor) == plain
-    assert {id(one) for one in relays.between({"a"}, both=False)} == {
-        id(relays.lines["a", "b"]), id(relays.lines["a", "c"])
+    assert forwarded_by(relay, reactor) == plain
+    relay.impairment.drop = 0.5
+    assert 50 < len(forwarded_by(relay, reactor)) < 150
+    relay.impairment.clear()
+    relay.impairment.duplicate = 1.0
+    assert len(forwarded_by(relay, reactor)) == 400
+    relay.impairment.clear()
+    relay.impairment.jitter = 0.5
+    jittered = forwarded_by(relay, reactor)
+    assert sorted(jittered) == sorted(plain) and jittered != plain
+    relay.impairment.clear()
+    relay.impairment.cut = True
+    assert not forwarded_by(relay, reactor) and forwarded_by(mesh.relays["b", "a"], reactor) == plain
+    assert {id(found) for found in mesh.between({"a"}, both=False)} == {
+        id(mesh.relays["a", "b"]), id(mesh.relays["a", "c"])
     }  # fmt: skip
-    assert len(relays.between({"a"})) == 4 and set(relays.peers("a")) == {"b", "c"}
+    assert len(mesh.between({"a"})) == 4 and set(mesh.peers("a")) == {"b", "c"}
 
 
-def test_an_exchange_waits_out_a_cut_and_trickles() -> None:
+def test_a_connection_outlasts_a_cut_and_is_throttled() -> None:
     reactor = UdpReactor()
-    heard = bytearray()
+    received = bytearray()
 
-    class Hears(Connection):
+    class Receiver(Connection):
         def dataReceived(self, data: bytes) -> None:
-            heard.extend(data)
+            received.extend(data)
 
-    class Head(Factory):
+    class ReceivingGateway(Factory):
         noisy = False
 
         def buildProtocol(self, addr: Any) -> Connection:
-            return Hears()
+            return Receiver()
 
-    port = reactor.listenTCP(0, Head(), interface="127.0.0.1")
-    line = Line(reactor, random.Random(1), ("127.0.0.1", port.getHost().port))
-    line.weather.cut = True
-    made = dial(reactor, line.address, 1.0, lambda: Connection())
-    made.addCallback(lambda connection: connection.link.write(b"x" * 1000))
+    port = reactor.listenTCP(0, ReceivingGateway(), interface="127.0.0.1")
+    relay = Relay(reactor, random.Random(1), ("127.0.0.1", port.getHost().port))
+    relay.impairment.cut = True
+    dialed = dial(reactor, relay.address, 1.0, lambda: Connection())
+    dialed.addCallback(lambda connection: connection.link.write(b"x" * 1000))
     reactor.run_until(lambda: False, 1)
-    assert not heard
-    line.weather.cut, line.weather.trickle = False, 1000
-    line.changed()
+    assert not received
+    relay.impairment.cut, relay.impairment.trickle = False, 1000
+    relay.impairment_changed()
     reactor.run_until(lambda: False, 0.5)
-    assert 0 < len(heard) < 900
-    line.weather.clear()
-    line.changed()
+    assert 0 < len(received) < 900
+    relay.impairment.clear()
+    relay.impairment_changed()
     reactor.run_until(lambda: False, 1)
-    assert len(heard) == 1000
+    assert len(received) == 1000
 
 
-def test_a_timeline_is_checked_whole(tmp_path: Path) -> None:
+def test_all_errors_of_a_timeline_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "t.toml"
     path.write_text('[[fault]]\nat = 5\nkind = "kill"\nhead = "h1"\n[[fault]]\nat = 2\nkind = "cut"\n')
-    assert timeline_of(str(path), ["h0", "h1"]) == ((2.0, "cut"), (5.0, "kill h1"))
+    assert load_timeline(str(path), ["h0", "h1"]) == ((2.0, "cut"), (5.0, "kill h1"))
     path.write_text('[[fault]]\nat = -1\nkind = "boom"\nhead = "h9"\n')
     with pytest.raises(Exception) as caught:
-        timeline_of(str(path), ["h0"])
-    told = str(caught.value)
-    assert "[[fault]] 1 at" in told and "'boom'" in told and "'h9'" in told
+        load_timeline(str(path), ["h0"])
+    error = str(caught.value)
+    assert "[[fault]] 1 at" in error and "'boom'" in error and "'h9'" in error
     assert bars([(1.5, "a", 50.0), (2.2, "b", 1.0)], "a", 1.0, 2.0, 100.0)[1] == " "
 
 
-def test_a_newcomers_timeline_is_taken() -> None:
+def test_the_timeline_for_newcomers_is_valid() -> None:
     path = Path(__file__).parents[2] / "deploy" / "trials" / "newcomer.toml"
-    assert [name for _, name in timeline_of(str(path), ["h0", "h1", "h2"])] == ["kill h1", "cut h2"]
+    assert [name for _, name in load_timeline(str(path), ["h0", "h1", "h2"])] == ["kill h1", "cut h2"]
 
 
-def test_ctl_shows_and_tells_a_running_head(tmp_path: Path) -> None:
-    listen, calls, fleet, nobody = free_ports(4)
-    head = HeadProcess("h0", tmp_path / "h0", listen, calls, fleet)
+def test_ctl_shows_and_controls_a_running_gateway(tmp_path: Path) -> None:
+    listen, management, fleet, closed_port = free_ports(4)
+    gateway = GatewayProcess("h0", tmp_path / "h0", listen, management, fleet)
     given = settings()
     given["contracts"][0] |= {"never_over": 100.0, "most_at_once": 40.0}
-    head.write(
-        {"name": "h0", "listen": f"127.0.0.1:{listen}", "management": f"127.0.0.1:{calls}", "seed": "1",
-         "discovery": f"127.0.0.1:{nobody}", "settings": given},
+    gateway.write_files(
+        {"name": "h0", "listen": f"127.0.0.1:{listen}", "management": f"127.0.0.1:{management}", "seed": "1",
+         "discovery": f"127.0.0.1:{closed_port}", "settings": given},
         {"fleet": {"name": "f", "head": "h0", "listen": f"127.0.0.1:{fleet}", "keepers": ["h0"],
                    "key": "k" * 20, "folder": str(tmp_path / "h0" / "store")}, "budgets": {"lease_ms": 1000}},
     )  # fmt: skip
-    head.start()
+    gateway.start()
 
     def call(*words: str) -> Any:
-        return CliRunner().invoke(ctl.command, [*words, "--at", f"127.0.0.1:{calls}"])
+        return CliRunner().invoke(ctl.command, [*words, "--at", f"127.0.0.1:{management}"])
 
-    def told(*words: str) -> Any:
+    def page_of(*words: str) -> Any:
         done = call(*words, "--json")
         return json.loads(done.output) if done.exit_code == 0 else {}
 
     try:
         end = time.monotonic() + 30
         while (
-            not any(floor["rate"] for floor in told("budgets").get("own", {}).get("floors", {}).values())
+            not any(floor["rate"] for floor in page_of("budgets").get("own", {}).get("floors", {}).values())
             and time.monotonic() < end
         ):
             time.sleep(0.2)
-        budgets = told("budgets")
+        budgets = page_of("budgets")
         assert budgets["own"]["floors"]["basic"]["rate"] == pytest.approx(100 * 0.1 / 8)
         assert budgets["wholes"]["basic"]["rate"] == 100.0 and budgets["leader"] == "h0"
-        assert told("members")["members"][0]["state"] == "alive"
+        assert page_of("members")["members"][0]["state"] == "alive"
         assert "h0" in call("members").output and "basic" in call("budgets").output
         done = call("forget", "h0")
         assert done.exit_code == 1 and "it is not gone" in done.output
         assert call("forget", "h7").exit_code == 0
         assert call("trust-store").exit_code == 0
     finally:
-        head.signal(signal.SIGTERM)
-        assert head.process is not None
-        code = head.process.wait(30)
-    assert code == 0 and not head.errors()
-    assert CliRunner().invoke(ctl.command, ["members", "--at", f"127.0.0.1:{calls}"]).exit_code == 1
+        gateway.signal(signal.SIGTERM)
+        assert gateway.process is not None
+        code = gateway.process.wait(30)
+    assert code == 0 and not gateway.errors()
+    assert CliRunner().invoke(ctl.command, ["members", "--at", f"127.0.0.1:{management}"]).exit_code == 1
     assert CliRunner().invoke(ctl.command, ["members", "--at", "nowhere"]).exit_code == 2
