--- a/gaugesail/rehearsal/faults/__init__.py
+++ b/gaugesail/rehearsal/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of the system below a process: a wall clock that is stepped, and library calls that fail."""
+"""Fault injection below a process: steps of the wall clock and failing library calls."""
--- a/gaugesail/rehearsal/faults/shim.c
+++ b/gaugesail/rehearsal/faults/shim.c
@@ -1,9 +1,9 @@
 /*
- * Fault injection for a process of the head, loaded with LD_PRELOAD.
+ * Fault injection for a gateway process, loaded with LD_PRELOAD.
  *
- * The test maps the file that GAUGESAIL_FAULTS names and writes to it while the process runs; this library maps the
- * same file and obeys it.  It steps the wall clock, and lets library calls fail as their manual pages document.
- * The monotonic clocks are never touched.  See shim.py for the layout of the file.
+ * The controlling process maps the file that GAUGESAIL_FAULTS names and writes to it at any time; this library maps
+ * the same file and applies its contents.  It steps the wall clock, and lets library calls fail as their manual
+ * pages document.  The monotonic clocks are never changed.  See shim.py for the layout of the file.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -22,16 +22,16 @@
 #include <unistd.h>
 
 enum call { ACCEPT, SOCKET, CONNECT, RECV, SEND, WAIT, WRITE, SYNC, RENAME, OPEN, UNLINK, CALLS };
-enum { SHORT = -1 }; /* in place of an error: one byte is read or written */
+enum { SHORT = -1 }; /* in place of an errno: the call reads or writes one byte */
 
 struct fault {
     int64_t error; /* errno, or SHORT */
-    int64_t left;  /* calls that are still to fail */
+    int64_t left;  /* how many further calls fail */
 };
 
 struct control {
     int64_t wall_step_ns;
-    int64_t hits; /* calls that failed so far */
+    int64_t hits; /* the number of calls that were made to fail so far */
     struct fault fault[CALLS];
 };
 
@@ -52,7 +52,7 @@
     control = found;
 }
 
-/* The C library's own function, looked up once. */
+/* The function of the C library, looked up once. */
 #define REAL(name)                                     \
     (*__extension__({                                  \
         static __typeof__(&name) found;                \
@@ -61,7 +61,7 @@
         &found;                                        \
     }))
 
-/* The error that this call is to fail with; 0 where it is not. */
+/* The errno that this call must fail with, or SHORT; 0 if it must not fail. */
 static int64_t drawn(enum call call) {
     struct fault *fault = &control->fault[call];
     if (__atomic_load_n(&fault->left, __ATOMIC_RELAXED) <= 0)
@@ -81,7 +81,7 @@
         }                          \
     } while (0)
 
-/* Files of the process: not its sockets, nor its standard streams. */
+/* Whether fd is a regular file other than a standard stream. */
 static int is_file(int fd) {
     struct stat found;
     int kept = errno;
--- a/gaugesail/rehearsal/faults/shim.py
+++ b/gaugesail/rehearsal/faults/shim.py
@@ -1,8 +1,8 @@
-"""Builds the library of ``shim.c`` and steers it in a running process through a file that both have mapped.
+"""Builds the library of ``shim.c`` and controls it in a running process through a file that both map.
 
-The library is compiled with the system's C compiler when it is first needed; nothing needs it but tests and
-`gaugesail trial soak`.  A process is started with ``environment()``, and from then on obeys
-``step_wall_clock`` and ``fail``.
+The library is compiled with the system's C compiler when it is first needed; only tests and `gaugesail trial`
+need it.  ``step_wall_clock`` and ``fail`` take effect in every process that was started with
+``environment()``.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 SOURCE = Path(__file__).with_name("shim.c")
 SHORT = -1  # in place of an error number: the call reads or writes one byte
 _HEADER_BYTES = 16
-_FAULT = struct.Struct("<qq")  # the error, and how many calls are still to fail
+_FAULT = struct.Struct("<qq")  # the error, and how many further calls fail
 
 
 class Call(enum.IntEnum):
@@ -37,7 +37,7 @@
     UNLINK = 10
 
 
-# What the manual pages document for each call, and a head has to bear for a while.
+# The errors that the manual pages document for each call; a gateway must survive them for a while.
 DOCUMENTED: dict[Call, tuple[int, ...]] = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR,
                   errno.EPROTO, errno.EPERM),
@@ -57,14 +57,16 @@
 
 
 class NoCompiler(RuntimeError):
-    """No C compiler is installed, so that the library cannot be built."""
+    """No C compiler is installed, which building the library requires."""
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into ``folder`` and return its path.  NoCompiler where there is none."""
+    """Compile the library into ``folder``, unless it is there, and return its path.  Raises NoCompiler."""
     compiler = shutil.which("cc") or shutil.which("gcc") or shutil.which("clang")
     if compiler is None:
-        raise NoCompiler("fault injection needs a C compiler (cc, gcc or clang) on the PATH")
+        raise NoCompiler(
+            "expected a C compiler (cc, gcc or clang) on the PATH for fault injection, found none"
+        )
     library = folder / "shim.so"
     if not library.exists():
         command = [compiler, "-O2", "-Wall", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
@@ -73,7 +75,7 @@
 
 
 class Faults:
-    """The faults of one process, and of those that are started after it with the same environment."""
+    """Controls the faults of the processes that are started with its environment, through a mapped file."""
 
     def __init__(self, library: Path, control: Path) -> None:
         self._library, self._path = library, control
@@ -82,7 +84,7 @@
             self._map = mmap.mmap(file.fileno(), 0)
 
     def environment(self) -> dict[str, str]:
-        """What the process has to find in its environment."""
+        """The environment variables that a process needs in order to load the library."""
         return {"LD_PRELOAD": str(self._library), "GAUGESAIL_FAULTS": str(self._path)}
 
     @property
@@ -91,23 +93,23 @@
         return float(struct.unpack_from("<q", self._map, 0)[0]) / 1e9
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Step the wall clock by so much more, forward or, below 0, back."""
+        """Step the wall clock further by ``seconds``, back if negative."""
         struct.pack_into("<q", self._map, 0, round((self.wall_step_s + seconds) * 1e9))
 
     @property
     def hits(self) -> int:
-        """How many calls have failed so far."""
+        """The number of calls that were made to fail so far."""
         return int(struct.unpack_from("<q", self._map, 8)[0])
 
     def fail(self, call: Call, error: int, times: int) -> None:
-        """Let the next ``times`` calls fail with ``error``; 0 times ends it."""
+        """Let the next ``times`` calls fail with ``error``, an errno or SHORT; 0 times ends the fault."""
         _FAULT.pack_into(self._map, _HEADER_BYTES + _FAULT.size * call, error, times)
 
     def clear(self) -> None:
-        """No call fails any more; the wall clock stays where it is."""
+        """End all failures of calls; the wall clock keeps its step."""
         for call in Call:
             self.fail(call, 0, 0)
 
     def close(self) -> None:
-        """Give the mapping back."""
+        """Unmap the control file."""
         self._map.close()
--- a/gaugesail/rehearsal/fleet/trial.py
+++ b/gaugesail/rehearsal/fleet/trial.py
@@ -30,7 +30,7 @@
 DISK_ERRORS = (errno.ENOSPC, errno.EIO)
 ALL_CALLS = 1_000_000  # that is, until the fault is cleared
 FINAL_SPAN_S = 4.0  # of the recovery, in which ``used_after`` is measured
-STORE_LOSS_INTERVAL_S = 20.0  # between losses of replicas' stores: a fleet does not survive most of them gone
+STORE_LOSS_INTERVAL_S = 20.0  # between losses of replicas' stores: no fleet survives the loss of most at once
 DRAIN_TIMEOUT_S = 8.0  # at the end, without new faults, for pending requests to be answered
 
 
--- a/gaugesail/rehearsal/soak/__init__.py
+++ b/gaugesail/rehearsal/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: many processes of the head on loopback, overlapping faults, and a judge of the invariants."""
+"""The soak: many gateway processes on loopback under overlapping faults, and a judge of the invariants."""
--- a/gaugesail/rehearsal/soak/command.py
+++ b/gaugesail/rehearsal/soak/command.py
@@ -1,4 +1,4 @@
-"""`gaugesail trial soak`: real heads on loopback under overlapping faults, judged by the invariants."""
+"""`gaugesail trial soak`: runs a soak of real gateways on loopback and reports its result."""
 
 from __future__ import annotations
 
@@ -14,34 +14,40 @@
 from ...core.clock import use_monotonic_time
 from ..faults.shim import NoCompiler
 from .plan import SoakPlan
-from .run import Soaked, play
+from .run import SoakResult, play
 
-SHOWN = 20  # breaches that are printed in full
+MAX_SHOWN_VIOLATIONS = 20  # printed in full
 
 
-def figures(plan: SoakPlan, soaked: Soaked) -> dict[str, Any]:
-    """What is printed with --json."""
+def report_fields(plan: SoakPlan, result: SoakResult) -> dict[str, Any]:
+    """The output of --json."""
     return {
-        "seed": plan.seed, "heads": plan.heads, "seconds": plan.seconds,
-        "requests": dict(soaked.counts), "troubles": dict(soaked.troubles), "calls_failed": soaked.injected,
-        "processes": soaked.heads,
+        "seed": plan.seed, "heads": plan.gateways, "seconds": plan.seconds,
+        "requests": dict(result.counts), "troubles": dict(result.faults), "calls_failed": result.failed_calls,
+        "processes": result.processes,
         "violations": [
-            {"rule": one.rule.value, "head": one.head, "detail": one.detail, "troubles": list(one.troubles)}
-            for one in soaked.violations
+            {"rule": violation.rule.value, "head": violation.gateway, "detail": violation.detail,
+             "troubles": list(violation.faults)}
+            for violation in result.violations
         ],
     }  # fmt: skip
 
 
-def report(plan: SoakPlan, soaked: Soaked) -> None:
-    """What a person reads."""
-    click.echo(f"seed {plan.seed}: {plan.heads} heads, {plan.seconds:.0f} s, {soaked.injected} calls failed")
-    click.echo("requests: " + ", ".join(f"{name} {count}" for name, count in sorted(soaked.counts.items())))
-    click.echo("troubles: " + ", ".join(f"{name} {count}" for name, count in sorted(soaked.troubles.items())))
-    click.echo("processes: " + ", ".join(f"{name} {value}" for name, value in soaked.heads.items()))
-    rules = Counter(one.rule.value for one in soaked.violations)
+def print_report(plan: SoakPlan, result: SoakResult) -> None:
+    """Print the result for people."""
+    click.echo(
+        f"seed {plan.seed}: {plan.gateways} gateways, {plan.seconds:.0f} s, "
+        f"{result.failed_calls} system calls failed"
+    )
+    click.echo("requests: " + ", ".join(f"{name} {count}" for name, count in sorted(result.counts.items())))
+    click.echo("faults: " + ", ".join(f"{name} {count}" for name, count in sorted(result.faults.items())))
+    click.echo("processes: " + ", ".join(f"{name} {value}" for name, value in result.processes.items()))
+    rules = Counter(violation.rule.value for violation in result.violations)
     click.echo("violations: " + (", ".join(f"{name} {count}" for name, count in rules.items()) or "none"))
-    for one in soaked.violations[:SHOWN]:
-        click.echo(f"  {one.rule.value} {one.head} [{'+'.join(one.troubles)}] {one.detail}")
+    for violation in result.violations[:MAX_SHOWN_VIOLATIONS]:
+        click.echo(
+            f"  {violation.rule.value} {violation.gateway} [{'+'.join(violation.faults)}] {violation.detail}"
+        )
 
 
 @click.command("soak")
@@ -49,29 +55,29 @@
 @click.option("--seconds", type=click.FloatRange(1, 3600), default=60.0, show_default=True)
 @click.option("--heads", type=click.IntRange(1, 100), default=24, show_default=True)
 @click.option(
-    "--overlap", type=click.IntRange(0, 10), default=3, show_default=True, help="Troubles at a time."
+    "--overlap", type=click.IntRange(0, 10), default=3, show_default=True, help="Concurrent faults, at most."
 )
-@click.option("--logs", type=click.Path(path_type=Path), help="A folder in which the heads' logs stay.")
+@click.option("--logs", type=click.Path(path_type=Path), help="A folder that keeps the logs of the gateways.")
 @click.option("--json", "as_json", is_flag=True)
 def command(seed: int, seconds: float, heads: int, overlap: int, logs: Path | None, as_json: bool) -> None:
-    """Many heads, overlapping faults, and the invariants.
+    """Run many real gateways under overlapping faults, and check the invariants.
 
-    Starts processes of the head on loopback among nodes, discovery and clients that misbehave; ends, kills,
-    stops and reloads them, steps their wall clocks and lets their system calls fail.  Exits with 1 where a
-    rule was broken.  Needs a C compiler for the faults of the system.
+    Starts gateway processes on loopback with nodes, discovery and clients that misbehave; ends, kills, pauses
+    and reloads the processes, steps their wall clocks and lets their system calls fail.  Exits with status 1
+    if a rule was violated.  Needs a C compiler for the faults of system calls and clocks.
     """
     from twisted.internet import reactor  # importing it installs it: only the command does
 
     use_monotonic_time(reactor)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
-    plan = SoakPlan(heads=heads, seconds=seconds, seed=seed, overlap=overlap)
+    plan = SoakPlan(gateways=heads, seconds=seconds, seed=seed, overlap=overlap)
     try:
-        soaked = play(reactor, plan, logs)
+        result = play(reactor, plan, logs)
     except NoCompiler as error:
         raise click.ClickException(str(error)) from None
     if as_json:
-        click.echo(json.dumps(figures(plan, soaked)))
+        click.echo(json.dumps(report_fields(plan, result)))
     else:
-        report(plan, soaked)
-    if soaked.violations:
+        print_report(plan, result)
+    if result.violations:
         raise SystemExit(1)
--- a/gaugesail/rehearsal/soak/discovery.py
+++ b/gaugesail/rehearsal/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a soak: one list for all, an address and troubles of its own for each head."""
+"""Discovery of a soak: one endpoint list for all gateways, but separate services and faults for each."""
 
 from __future__ import annotations
 
@@ -8,30 +8,35 @@
 
 from ...http.messages import Head
 from ..peers import HttpConnection, HttpListener
-from .judge import TOLD_LATEST_S
+from .judge import NOTIFIED_LATEST_S
 from .nodes import SoakNode
 
-BEAT_S = 2.0
+HEARTBEAT_S = 2.0
 
 
 class Membership:
-    """The list of nodes, and who is told of its changes."""
+    """The endpoint list, and the subscribers to its changes."""
 
     def __init__(self) -> None:
         self.revision = 1
         self.nodes: dict[str, SoakNode] = {}
         self._listeners: list[Callable[[SoakNode], None]] = []
 
-    def follow(self, changed: Callable[[SoakNode], None]) -> None:
+    def subscribe(self, changed: Callable[[SoakNode], None]) -> None:
+        """Call ``changed`` with each node whose entry changes."""
         self._listeners.append(changed)
 
-    def listing(self, only: SoakNode | None = None) -> dict[str, Any]:
-        """All that is listed, or one node's line alone."""
-        nodes = list(self.nodes.values()) if only is None else [only]
-        return {"revision": self.revision, "complete": only is None, "members": [one.line() for one in nodes]}
-
-    def change(self, node: SoakNode) -> None:
-        """A node's line is new."""
+    def endpoint_list(self, changed_node: SoakNode | None = None) -> dict[str, Any]:
+        """The complete list, or a change with the entry of one node."""
+        nodes = list(self.nodes.values()) if changed_node is None else [changed_node]
+        return {
+            "revision": self.revision,
+            "complete": changed_node is None,
+            "members": [listed.endpoint() for listed in nodes],
+        }
+
+    def update(self, node: SoakNode) -> None:
+        """Publish the changed entry of a node; a node in phase Gone is removed."""
         self.revision += 1
         self.nodes[node.name] = node
         if node.phase == "Gone":
@@ -40,37 +45,43 @@
             changed(node)
 
 
-class HeadDiscovery(HttpListener):
-    """What one head meets as discovery."""
+class GatewayDiscovery(HttpListener):
+    """The discovery service of one gateway.
+
+    It records when the gateway learns that a node drains or has ended.
+    """
 
-    def __init__(self, reactor: Any, head: str, membership: Membership) -> None:
-        self.head, self._membership = head, membership
+    def __init__(self, reactor: Any, gateway: str, membership: Membership) -> None:
+        self.gateway, self._membership = gateway, membership
         self._watches: list[HttpConnection] = []
         self.silent = False
         self._closed = self._down = False
-        self._untold: list[SoakNode] = []  # that drain or are gone, of which nothing was written to the head
-        super().__init__(reactor, f"discovery of {head}")
-        membership.follow(self._changed)
-        self._beat()
+        self._unnotified: list[SoakNode] = []  # draining or ended, but not yet sent to the gateway
+        super().__init__(reactor, f"discovery of {gateway}")
+        membership.subscribe(self._changed)
+        self._heartbeat()
 
     def saw(self, *words: str) -> None:
-        pass
+        """Ignored: discovery is no subject of the rules."""
 
     def opened(self, connection: HttpConnection) -> None:
+        """Reset the connection while discovery is down."""
         super().opened(connection)
         if self._down:
             connection.link.abortConnection()
 
     def lost(self, connection: HttpConnection) -> None:
+        """End the watch of a closed connection."""
         super().lost(connection)
         if connection in self._watches:
             self._watches.remove(connection)
 
     def message(self, connection: HttpConnection, head: Head, body: bytes) -> None:
+        """Answer a query with the complete list, or start a watch; while unreachable, do neither."""
         if not self.reachable:
             return
-        text = json.dumps(self._membership.listing()).encode()
-        self.told_all()
+        text = json.dumps(self._membership.endpoint_list()).encode()
+        self.full_list_sent()
         if "follow=1" in head.target:
             self._watches.append(connection)
             connection.link.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -82,83 +93,86 @@
     def _chunk(connection: HttpConnection, text: bytes) -> None:
         connection.link.write(b"%x\r\n%b\n\r\n" % (len(text) + 1, text))
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         if self._closed:
             return
-        self._reactor.callLater(BEAT_S, self._beat)
+        self._reactor.callLater(HEARTBEAT_S, self._heartbeat)
         if not self.silent:
             for watch in self._watches:
                 self._chunk(watch, b"")
 
     def _changed(self, node: SoakNode) -> None:
-        now, told = self._reactor.seconds(), bool(self._watches) and not self.silent
-        if told:
+        now, notified = self._reactor.seconds(), bool(self._watches) and not self.silent
+        if notified:
             for watch in self._watches:
-                self._chunk(watch, json.dumps(self._membership.listing(node)).encode())
-        if node.phase == "Ready" or self.head in node.drained_at:
+                self._chunk(watch, json.dumps(self._membership.endpoint_list(node)).encode())
+        if node.phase == "Ready" or self.gateway in node.drain_known_at:
             return
-        reached = now + TOLD_LATEST_S if self.reachable else float("inf")
-        node.drained_at[self.head] = now if told else reached
-        if told:
-            node.told_by[self.head] = f"{len(self._watches)} watches at {now:.3f}"
-        if not told:
-            self._untold.append(node)
+        notified_latest = now + NOTIFIED_LATEST_S if self.reachable else float("inf")
+        node.drain_known_at[self.gateway] = now if notified else notified_latest
+        if notified:
+            node.notified_by[self.gateway] = f"{len(self._watches)} watches at {now:.3f}"
+        if not notified:
+            self._unnotified.append(node)
 
     @property
     def reachable(self) -> bool:
+        """Whether queries are answered."""
         return not (self._down or self.silent)
 
-    def told_all(self) -> None:
-        """The head has the whole list as it is now."""
-        self._told_by(self._reactor.seconds())
-        self._untold = []
+    def full_list_sent(self) -> None:
+        """The gateway receives the complete current list."""
+        self._assume_notified_by(self._reactor.seconds())
+        self._unnotified = []
 
-    def _told_by(self, latest: float) -> None:
-        for node in self._untold:
-            if latest < node.drained_at[self.head]:
-                node.drained_at[self.head] = latest
-                node.told_by[self.head] = f"its list at {latest:.3f}"
+    def _assume_notified_by(self, latest: float) -> None:
+        for node in self._unnotified:
+            if latest < node.drain_known_at[self.gateway]:
+                node.drain_known_at[self.gateway] = latest
+                node.notified_by[self.gateway] = f"its list at {latest:.3f}"
 
-    # ---- troubles ----
+    # ---- faults ----
 
     def fall_silent(self) -> None:
-        """Open watches stay open; nothing is said on them any more, nor is a call answered."""
+        """Keep watches open, but send nothing on them and answer no queries."""
         self.silent = True
-        self._cannot_tell()
+        self._mark_unreachable()
 
-    def speak(self) -> None:
-        """Calls are answered again; what was silent stays so."""
+    def end_silence(self) -> None:
+        """Answer queries again; watches that were silent stay so."""
         self.silent = False
         self._watches = []
-        self._told_by(self._reactor.seconds() + TOLD_LATEST_S)
+        self._assume_notified_by(self._reactor.seconds() + NOTIFIED_LATEST_S)
 
     def cut(self) -> None:
+        """Abort all connections."""
         for connection in list(self.open):
             connection.link.abortConnection()
 
-    def down(self) -> None:
-        """Every connection is reset.  The port stays ours: another's connection could be given its number."""
+    def take_down(self) -> None:
+        """Reset every connection.  The port stays open, as another connection could be given its number."""
         self._down = True
-        self._cannot_tell()
+        self._mark_unreachable()
         self.cut()
 
-    def up(self) -> None:
-        """Calls are answered again."""
+    def bring_up(self) -> None:
+        """Answer queries again."""
         self._down = False
-        self._told_by(self._reactor.seconds() + TOLD_LATEST_S)
+        self._assume_notified_by(self._reactor.seconds() + NOTIFIED_LATEST_S)
 
-    def _cannot_tell(self) -> None:
-        """What was not told yet does not count as told while nobody can be reached."""
-        for node in self._untold:
-            node.drained_at[self.head] = float("inf")
+    def _mark_unreachable(self) -> None:
+        """The pending changes do not count as received while the service is unreachable."""
+        for node in self._unnotified:
+            node.drain_known_at[self.gateway] = float("inf")
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
+        """Stop listening and abort all connections."""
         self._closed = True
         self.port.stopListening()
         self.cut()
 
-    def move(self) -> None:
-        """Another address, which the head is told of; the old one closes a little later."""
+    def change_address(self) -> None:
+        """Listen at another address, for the next configuration; the old one closes 1 s later."""
         old = self.port
         self.address = ""
         self.listen()
--- a/gaugesail/rehearsal/soak/heads.py
+++ b/gaugesail/rehearsal/soak/heads.py
@@ -1,4 +1,4 @@
-"""The heads of a soak: processes that are started, told to end, killed, stopped and watched."""
+"""The gateways of a soak: starts, reloads, pauses, ends and monitors their processes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from ..faults.shim import Faults
 from ..fleet.heads import GatewayProcess
 from . import plan
-from .clients import ARRIVALS_S, SoakClients
-from .discovery import HeadDiscovery, Membership
+from .clients import CONNECT_AFTER_TERM_S, SoakClients
+from .discovery import GatewayDiscovery, Membership
 from .judge import Rule, SoakJudge
 
-READY_S = 10.0
-KILL_S = plan.LONGEST_DEADLINE_S + 0.7  # after a SIGTERM
-LOOK_S = 0.02
-ERRORS = (
+READY_S = 10.0  # within which a start counts as in time
+KILL_AFTER_TERM_S = (
+    plan.LONGEST_DEADLINE_S + 0.7
+)  # after a SIGTERM, until a process that still runs is killed
+POLL_INTERVAL_S = 0.02
+ERROR_EVENTS = (
     "policy_raised",
     "action_raised",
     "callback_raised",
@@ -33,157 +35,159 @@
 )
 
 
-class SoakHead:
-    """One head: its files and its address stay, its processes come and go."""
+class SoakGateway:
+    """A gateway whose files and addresses outlive its processes."""
 
     def __init__(
-        self, reactor: Any, process: GatewayProcess, faults: Faults, discovery: HeadDiscovery,
-        membership: Membership, clients: SoakClients, judge: SoakJudge, soak: plan.SoakPlan, me: int,
+        self, reactor: Any, process: GatewayProcess, faults: Faults, discovery: GatewayDiscovery,
+        membership: Membership, clients: SoakClients, judge: SoakJudge, soak_plan: plan.SoakPlan, index: int,
     ) -> None:  # fmt: skip
         self.reactor, self.process, self.faults = reactor, process, faults
         self.discovery, self.clients = discovery, clients
-        self._membership, self._judge, self._plan, self._me = membership, judge, soak, me
+        self._membership, self._judge, self._plan, self._index = membership, judge, soak_plan, index
         self.name = process.name
-        self.busy = False  # a trouble of the process has hold of it
-        self.up = self._closed = False
-        self.starts: list[float] = []  # seconds that each took to be ready
+        self.busy = False  # under a fault of its process
+        self.ready = self._closed = False
+        self.start_times_s: list[float] = []  # of each start, until it was ready
         self._revision = 0
-        self._log_read = 0
-        self._listening = False  # the process that runs has said so
+        self._log_offset = 0
+        self._listening = False  # as the log of the current process shows
         process.with_fleet = False
         process.environ = faults.environment()
-        self.write()
+        self.write_config()
 
-    def write(self) -> None:
-        """Its file, with the list as it is now."""
+    def write_config(self) -> None:
+        """Write the configuration, with the current endpoint list."""
         config = {
             "name": self.name, "listen": f"127.0.0.1:{self.process.listen_port}",
             "management": f"127.0.0.1:{self.process.management_port}", "discovery": self.discovery.address,
             "seed": f"{self._plan.seed:x}", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-            "known": self._membership.listing(),
-            "settings": plan.settings(self._plan, self._me, self._revision),
+            "known": self._membership.endpoint_list(),
+            "settings": plan.settings(self._plan, self._index, self._revision),
         }  # fmt: skip
         self.process.write_files(config, None)
 
     # ---- starting ----
 
     def start(self, then: Callable[[], None] = lambda: None) -> None:
-        """Start a process, and let clients come once it is ready."""
+        """Start a process and, when it is ready, its clients; then call ``then``, also after a failure."""
         if self._closed:
             return
-        self.write()
-        self.discovery.told_all()
+        self.write_config()
+        self.discovery.full_list_sent()
         self.faults.clear()
         self._read_log()
         self._listening = False
         self.process.start()
-        self._await(self.reactor.seconds(), then)
+        self._await_ready(self.reactor.seconds(), then)
 
-    def _await(self, began: float, then: Callable[[], None]) -> None:
+    def _await_ready(self, started_at: float, then: Callable[[], None]) -> None:
         now = self.reactor.seconds()
         if self._closed:
             return
         self._read_log()
         if not self.process.alive:
-            self._judge.broke(Rule.CRASH, self.name, "it ended as it started")
+            self._judge.report(Rule.CRASH, self.name, "it ended as it started")
             then()
         elif self._listening:
-            self.starts.append(now - began)
-            self.up = True
-            self.clients.begin()
+            self.start_times_s.append(now - started_at)
+            self.ready = True
+            self.clients.process_ready()
             then()
-        elif now - began > 3 * READY_S:
-            self._judge.broke(Rule.NOT_READY, self.name, f"not ready after {now - began:.1f} s")
+        elif now - started_at > 3 * READY_S:
+            self._judge.report(Rule.NOT_READY, self.name, f"not ready after {now - started_at:.1f} s")
             then()
         else:
-            self.reactor.callLater(LOOK_S, self._await, began, then)
+            self.reactor.callLater(POLL_INTERVAL_S, self._await_ready, started_at, then)
 
     def _read_log(self) -> None:
-        """Look at what it has logged since; what it should never log is entered."""
+        """Read the new lines of the log, and report those with ERROR_EVENTS."""
         if not self.process.log.exists():
             return
         with self.process.log.open("rb") as log:
-            log.seek(self._log_read)
+            log.seek(self._log_offset)
             text = log.read().decode(errors="replace")
-        whole = text.rpartition("\n")[0]
-        self._log_read += len(whole.encode()) + (1 if whole else 0)
-        for line in whole.splitlines():
-            if any(word in line for word in ERRORS):
-                self._judge.broke(Rule.RAISED, self.name, line[:2000])
+        complete = text.rpartition("\n")[0]
+        self._log_offset += len(complete.encode()) + (1 if complete else 0)
+        for line in complete.splitlines():
+            if any(word in line for word in ERROR_EVENTS):
+                self._judge.report(Rule.RAISED, self.name, line[:2000])
             self._listening = self._listening or "event=listening" in line
 
-    def look(self) -> None:
-        """It runs, and has logged nothing that it should not."""
+    def check(self) -> None:
+        """Report new errors in the log, and the end of a process that should run."""
         self._read_log()
-        if self.up and not self.busy and not self.process.alive:
-            self.up = False
-            self._judge.broke(Rule.CRASH, self.name, "it ended by itself")
-            self.clients.end()
+        if self.ready and not self.busy and not self.process.alive:
+            self.ready = False
+            self._judge.report(Rule.CRASH, self.name, "it ended by itself")
+            self.clients.process_killed()
 
     # ---- ending ----
 
     def term(self, then: Callable[[], None]) -> None:
-        """An orderly end; what is left at the time of the kill is lost."""
-        self.up = False
+        """Send SIGTERM, and SIGKILL after KILL_AFTER_TERM_S; call ``then`` when the process has ended."""
+        self.ready = False
         self.process.term()
-        self.reactor.callLater(ARRIVALS_S, self._no_more)
+        self.reactor.callLater(CONNECT_AFTER_TERM_S, self._stop_connecting)
         self._await_end(self.reactor.seconds(), then)
 
-    def _no_more(self) -> None:
-        if not self.up:
+    def _stop_connecting(self) -> None:
+        if not self.ready:
             self.clients.serving = False
 
-    def _await_end(self, began: float, then: Callable[[], None]) -> None:
+    def _await_end(self, started_at: float, then: Callable[[], None]) -> None:
         now = self.reactor.seconds()
         if self._closed:
             return
         if not self.process.alive:
             code = self.process.process.returncode if self.process.process is not None else 0
             if code != 0:
-                self._judge.broke(Rule.CRASH, self.name, f"it ended with {code} after SIGTERM")
+                self._judge.report(Rule.CRASH, self.name, f"it ended with {code} after SIGTERM")
             then()
-        elif now - began > KILL_S:
-            self._judge.broke(Rule.NOT_ENDED, self.name, f"it runs {now - began:.2f} s after SIGTERM")
+        elif now - started_at > KILL_AFTER_TERM_S:
+            self._judge.report(Rule.NOT_ENDED, self.name, f"it runs {now - started_at:.2f} s after SIGTERM")
             self.process.kill()
             then()
         else:
-            self.reactor.callLater(LOOK_S, self._await_end, began, then)
+            self.reactor.callLater(POLL_INTERVAL_S, self._await_end, started_at, then)
 
     def kill(self) -> None:
-        """SIGKILL: what it owes dies with it."""
-        self.up = False
-        self.clients.end()
+        """Send SIGKILL; its pending requests are excused."""
+        self.ready = False
+        self.clients.process_killed()
         self.process.kill()
 
-    # ---- standing still ----
+    # ---- pausing ----
 
     def pause(self) -> None:
-        self._judge.exemptions.stops(self.name, self.reactor.seconds())
+        """Send SIGSTOP, and exempt the gateway."""
+        self._judge.exemptions.pause_began(self.name, self.reactor.seconds())
         self.process.pause()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Send SIGCONT, and end the exemption."""
         if self.process.paused:
             self.process.resume()
-            self._judge.exemptions.goes_on(self.name, self.reactor.seconds())
+            self._judge.exemptions.pause_ended(self.name, self.reactor.seconds())
 
-    # ---- a new configuration ----
+    # ---- reloading ----
 
-    def reload(self, move: bool) -> None:
-        """Other settings; with ``move`` discovery is at another address."""
+    def reload(self, move_discovery: bool) -> None:
+        """Reload with changed settings and, with ``move_discovery``, another address of discovery."""
         self._revision += 1
-        if move:
-            self.discovery.move()
-        self.write()
+        if move_discovery:
+            self.discovery.change_address()
+        self.write_config()
         self.process.signal(signal.SIGHUP)
 
-    def spoil(self) -> None:
-        """A file that cannot be read, and the signal: nothing may change."""
+    def reload_invalid(self) -> None:
+        """Reload with a file that is no valid JSON: nothing may change."""
         (self.process.folder / "config").write_text('{"settings": ')
         self.process.signal(signal.SIGHUP)
 
     @property
     def memory_kb(self) -> int:
-        """Resident memory of its process."""
+        """Resident memory of its process; 0 if there is none."""
         if self.process.process is None or not self.process.alive:
             return 0
         try:
@@ -194,19 +198,20 @@
         return int(line.split()[1])
 
     def close(self) -> None:
-        self.up, self._closed = False, True
+        """End its process, clients and discovery."""
+        self.ready, self._closed = False, True
         self.clients.close()
         self.process.kill()
         self._read_log()
-        self.discovery.shut()
+        self.discovery.shut_down()
         self.faults.close()
 
 
-def summary(heads: list[SoakHead]) -> dict[str, Any]:
-    """How fast they were ready, and how large they grew."""
-    starts = sorted(took for head in heads for took in head.starts)
+def summary(gateways: list[SoakGateway]) -> dict[str, Any]:
+    """Start times and memory of the processes; --json prints it as ``processes``."""
+    starts = sorted(took for gateway in gateways for took in gateway.start_times_s)
     late = sum(took > READY_S for took in starts)
     return {
         "starts": len(starts), "starts_late": late, "start_most_s": round(starts[-1], 2) if starts else None,
-        "memory_most_kb": max((head.memory_kb for head in heads), default=0),
+        "memory_most_kb": max((gateway.memory_kb for gateway in gateways), default=0),
     }  # fmt: skip
--- a/gaugesail/rehearsal/soak/judge.py
+++ b/gaugesail/rehearsal/soak/judge.py
@@ -1,6 +1,6 @@
-"""The invariants of a soak, judged by what reaches the nodes and what the clients are told.
+"""The invariants of a soak, judged by what reaches the nodes and which answers the clients receive.
 
-Nothing that a head says of itself is believed.  All times are seconds of the harness's monotonic clock.
+It uses nothing that gateways report about themselves.  All times are seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from . import plan
 from .plan import RequestKind
 
-LEFT_S = 0.1  # after its client has closed, no attempt of a request may begin
-TOLD_SLACK_S = 0.15  # of the time that a node is told
-TOLD_LATEST_S = 6.0  # a change counts as told at the latest, once discovery could be reached
-LATE_S = 0.5  # beyond its time an answer is lost, up to there it only earns nothing
-HARNESS_S = 0.15  # of our own: between an event and its being seen here
+LEAVE_SLACK_S = 0.1  # after its client has closed, until no attempt of a request may start
+TIMEOUT_SLACK_S = 0.15  # of the Request-Timeout-Ms that a node receives
+NOTIFIED_LATEST_S = 6.0  # after discovery is reachable, until a gateway counts as notified of a change
+MAX_LATENESS_S = 0.5  # after its deadline, until an answer counts as lost; before, it is merely useless
+HARNESS_DELAY_S = 0.15  # of the harness itself, from an event to its observation
 
 
 class Rule(Enum):
-    """What is never to happen."""
+    """What must never happen; the values are printed."""
 
     LOST = "lost"
     LATE = "late"
@@ -45,210 +45,246 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One breach."""
+    """A violation of a rule."""
 
     rule: Rule
     at: float
-    head: str
+    gateway: str
     detail: str
-    troubles: tuple[str, ...] = ()  # that were on
+    faults: tuple[str, ...] = ()  # that were active
 
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """One attempt, as it reached a node whole."""
+    """An attempt that has arrived at a node completely."""
 
     at: float
     node: str
     connection: Any
-    ended: bool = False  # answered in full, or turned away unrun
+    ended: bool = False  # answered completely, or rejected without being started
     may_have_run: bool = True
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """One request of a client."""
+class SentRequest:
+    """A request of a client."""
 
     name: str
-    head: str
+    gateway: str
     kind: RequestKind
     at: float
     due_s: float
-    answered: int = 0
-    left_at: float | None = None  # its client closed
-    given_up: bool = False  # it was entered as lost, or excused
-    excused: bool = False  # its head's process was killed, or a fault broke its connection
+    answers: int = 0
+    left_at: float | None = None  # when its client closed the connection
+    abandoned: bool = False  # counted as lost or excused: no answer is expected any more
+    excused: bool = False  # its gateway's process was killed, or a fault broke its connection
     arrivals: list[Arrival] = field(default_factory=list)
 
 
 class Exemptions:
-    """Spans in which a head could not do what it owes: it was stopped or its calls were made to fail."""
+    """Spans in which a gateway cannot meet its guarantees: it is paused, or its system calls fail."""
 
     def __init__(self) -> None:
-        self._stopped: dict[str, list[tuple[float, float]]] = {}
-        self._broken: dict[str, float] = {}
+        self._pauses: dict[str, list[tuple[float, float]]] = {}
+        self._broken_until: dict[str, float] = {}
 
-    def stops(self, head: str, now: float) -> None:
-        """The process stands still from now on (SIGSTOP)."""
-        self._stopped.setdefault(head, []).append((now, float("inf")))
+    def pause_began(self, gateway: str, now: float) -> None:
+        """The process is paused from ``now`` on (SIGSTOP)."""
+        self._pauses.setdefault(gateway, []).append((now, float("inf")))
 
-    def goes_on(self, head: str, now: float) -> None:
-        """It runs again."""
-        spans = self._stopped.get(head, [])
+    def pause_ended(self, gateway: str, now: float) -> None:
+        """The process runs again."""
+        spans = self._pauses.get(gateway, [])
         if spans and spans[-1][1] == float("inf"):
             spans[-1] = spans[-1][0], now
 
-    def standstill(self, head: str, since: float, until: float) -> float:
-        """For how long of a span it stood still."""
-        spans = self._stopped.get(head, ())
+    def paused_time_s(self, gateway: str, since: float, until: float) -> float:
+        """For how much of a span the process was paused."""
+        spans = self._pauses.get(gateway, ())
         return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in spans)
 
-    def break_connections(self, head: str, until: float) -> None:
-        """Calls on its connections fail as though the other side had gone."""
-        self._broken[head] = max(until, self._broken.get(head, 0.0))
+    def break_connections(self, gateway: str, until: float) -> None:
+        """Until then, calls on its connections may fail as if the peer had closed them."""
+        self._broken_until[gateway] = max(until, self._broken_until.get(gateway, 0.0))
 
-    def connections_break(self, head: str, since: float) -> bool:
-        return since <= self._broken.get(head, -1.0)
+    def has_broken_connections(self, gateway: str, since: float) -> bool:
+        """Whether connections that were open at ``since`` may have been broken."""
+        return since <= self._broken_until.get(gateway, -1.0)
 
 
 class SoakJudge:
-    """Counts, and keeps each breach."""
+    """Counts requests and answers, and records violations.
 
-    def __init__(self, seconds: Callable[[], float], troubles: Callable[[], tuple[str, ...]]) -> None:
-        self.now, self._troubles = seconds, troubles
+    ``active_faults`` returns the names of the faults that are active now.
+    """
+
+    def __init__(self, seconds: Callable[[], float], active_faults: Callable[[], tuple[str, ...]]) -> None:
+        self.now, self._active_faults = seconds, active_faults
         self.exemptions = Exemptions()
         self.violations: list[Violation] = []
         self.counts: Counter[str] = Counter()
-        self._open: dict[str, Asked] = {}
-        self._recent: deque[Asked] = deque()
+        self._open: dict[str, SentRequest] = {}
+        self._recent: deque[SentRequest] = deque()
 
-    def broke(self, rule: Rule, head: str, detail: str) -> None:
-        """Enter a breach."""
-        self.violations.append(Violation(rule, self.now(), head, detail, self._troubles()))
+    def report(self, rule: Rule, gateway: str, detail: str) -> None:
+        """Record a violation."""
+        self.violations.append(Violation(rule, self.now(), gateway, detail, self._active_faults()))
 
     # ---- clients ----
 
-    def asked(self, name: str, head: str, kind: RequestKind, due_s: float) -> Asked:
-        """A client is about to write a request."""
-        asked = self._open[name] = Asked(name, head, kind, self.now(), due_s)
-        self._recent.append(asked)
+    def request_sent(self, name: str, gateway: str, kind: RequestKind, due_s: float) -> SentRequest:
+        """Enter a request that a client is about to write; it is due in ``due_s`` seconds."""
+        request = self._open[name] = SentRequest(name, gateway, kind, self.now(), due_s)
+        self._recent.append(request)
         self.counts["asked"] += 1
-        return asked
+        return request
 
-    def answered(self, asked: Asked, status: int, body: bytes) -> None:
-        """A whole answer came."""
-        if asked.given_up:
+    def answer_received(self, request: SentRequest, status: int, body: bytes) -> None:
+        """Check a complete answer."""
+        if request.abandoned:
             self.counts["answered_when_lost"] += 1
             return
-        asked.answered += 1
-        if asked.answered > 1:
-            self.broke(Rule.TWO_ANSWERS, asked.head, asked.name)
+        request.answers += 1
+        if request.answers > 1:
+            self.report(Rule.TWO_ANSWERS, request.gateway, request.name)
             return
-        took, stood = self.now() - asked.at, self.exemptions.standstill(asked.head, asked.at, self.now())
-        if took > asked.due_s + LATE_S + HARNESS_S + stood:
-            self.broke(Rule.LATE, asked.head, f"{asked.name}: {took:.2f} of {asked.due_s:.2f} s, {status}")
-        if status == 200 and body != asked.name.encode():
-            self.broke(Rule.WRONG_ANSWER, asked.head, f"{asked.name} got {body[:40]!r}")
+        took, paused_s = (
+            self.now() - request.at,
+            self.exemptions.paused_time_s(request.gateway, request.at, self.now()),
+        )
+        if took > request.due_s + MAX_LATENESS_S + HARNESS_DELAY_S + paused_s:
+            self.report(
+                Rule.LATE, request.gateway, f"{request.name}: {took:.2f} of {request.due_s:.2f} s, {status}"
+            )
+        if status == 200 and body != request.name.encode():
+            self.report(Rule.WRONG_ANSWER, request.gateway, f"{request.name} got {body[:40]!r}")
         how = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
         self.counts[how] += 1
-        ran = any(one.may_have_run for one in asked.arrivals)
-        if how == "refused" and ran and asked.kind.effect == "fragile":
-            self.broke(Rule.RAN_TWICE, asked.head, f"{asked.name} was refused after it may have run")
+        ran = any(arrival.may_have_run for arrival in request.arrivals)
+        if how == "refused" and ran and request.kind.effect == "fragile":
+            self.report(Rule.RAN_TWICE, request.gateway, f"{request.name} was refused after it may have run")
 
-    def left(self, asked: Asked) -> None:
-        """Its client has closed the connection."""
-        asked.left_at = self.now()
+    def client_left(self, request: SentRequest) -> None:
+        """Note that its client has closed the connection."""
+        request.left_at = self.now()
         self.counts["left"] += 1
 
-    def unanswered(self, asked: Asked, why: str) -> None:
-        """Its connection ended with no answer, or its time is long over."""
-        if asked.answered or asked.given_up or asked.left_at is not None:
+    def no_answer(self, request: SentRequest, reason: str) -> None:
+        """Count a request as lost or excused: its connection ended without an answer, or it is overdue."""
+        if request.answers or request.abandoned or request.left_at is not None:
             return
-        asked.given_up = True
-        if asked.excused or self.exemptions.connections_break(asked.head, asked.at):
+        request.abandoned = True
+        if request.excused or self.exemptions.has_broken_connections(request.gateway, request.at):
             self.counts["excused"] += 1
         else:
             now = self.now()
-            arrived = [f"{one.node} {one.at - asked.at:+.3f}" for one in asked.arrivals]
-            old = f"{asked.name} ({asked.kind.name}) {now - asked.at:.3f} s old"
-            self.broke(Rule.LOST, asked.head, f"{old}: {why}; arrivals {arrived}")
+            arrived = [f"{arrival.node} {arrival.at - request.at:+.3f}" for arrival in request.arrivals]
+            age = f"{request.name} ({request.kind.name}) {now - request.at:.3f} s old"
+            self.report(Rule.LOST, request.gateway, f"{age}: {reason}; arrivals {arrived}")
 
     def sweep(self) -> None:
-        """Requests whose time is long over must have their answer."""
+        """Count overdue requests without an answer as lost."""
         now = self.now()
         while self._recent and now - self._recent[0].at > 12.0:
             self._open.pop(self._recent.popleft().name, None)
-        for asked in self._recent:
-            stood = self.exemptions.standstill(asked.head, asked.at, now)
-            if now - asked.at > asked.due_s + LATE_S + HARNESS_S + stood:
-                self.unanswered(asked, "no answer in its time")
+        for request in self._recent:
+            paused_s = self.exemptions.paused_time_s(request.gateway, request.at, now)
+            if now - request.at > request.due_s + MAX_LATENESS_S + HARNESS_DELAY_S + paused_s:
+                self.no_answer(request, "no answer in its time")
 
     # ---- nodes ----
 
-    def arrived(self, name: str, node: str, connection: Any, told_ms: int, late_s: float) -> Asked | None:
-        """An attempt has come whole; ``late_s`` at most it had waited unread."""
-        asked, now = self._open.get(name), self.now()
-        if asked is None:
-            self.broke(Rule.UNKNOWN_REQUEST, "", f"{name} at {node}")
+    def attempt_arrived(
+        self, name: str, node: str, connection: Any, timeout_ms: int, unread_s: float
+    ) -> SentRequest | None:
+        """Enter an attempt that has arrived completely, and return its request; None if that is unknown.
+
+        ``timeout_ms`` is its Request-Timeout-Ms; it was unread for ``unread_s`` seconds at most.
+        """
+        request, now = self._open.get(name), self.now()
+        if request is None:
+            self.report(Rule.UNKNOWN_REQUEST, "", f"{name} at {node}")
             return None
-        self._check_attempt(asked, now, told_ms, late_s)
-        asked.arrivals.append(Arrival(now, node, connection))
+        self._check_attempt(request, now, timeout_ms, unread_s)
+        request.arrivals.append(Arrival(now, node, connection))
         self.counts["attempts"] += 1
-        return asked
+        return request
 
-    def _check_attempt(self, asked: Asked, now: float, told_ms: int, late_s: float) -> None:
-        head, earlier = asked.head, asked.arrivals
-        stood = self.exemptions.standstill(head, asked.at, now) + late_s
+    def _check_attempt(self, request: SentRequest, now: float, timeout_ms: int, unread_s: float) -> None:
+        gateway, earlier = request.gateway, request.arrivals
+        paused_s = self.exemptions.paused_time_s(gateway, request.at, now) + unread_s
         if len(earlier) >= plan.MAX_ATTEMPTS:
-            self.broke(Rule.TOO_MANY_ATTEMPTS, head, f"{asked.name}: {len(earlier) + 1}")
-        out = [one for one in earlier if not one.ended and not hung_up(one.connection.link)]
-        if any(one.connection.link.connected for one in out):
-            self.broke(Rule.TWO_OUT, head, asked.name)
-        risky = [one for one in earlier if one.may_have_run]
-        if risky and asked.kind.effect == "fragile":
-            self.broke(Rule.RAN_TWICE, head, f"{asked.name} again after {now - risky[0].at:.3f} s")
-        window = plan.KEYED_WINDOW_S + HARNESS_S + stood
-        if risky and asked.kind.effect == "dedup" and now - risky[0].at > window:
-            self.broke(Rule.RAN_TWICE, head, f"{asked.name} after its window: {now - risky[0].at:.3f} s")
-        if asked.left_at is not None and now - asked.left_at > LEFT_S + HARNESS_S + stood:
-            self.broke(Rule.AFTER_CLIENT_LEFT, head, f"{asked.name}: {now - asked.left_at:.3f} s after")
-        left_ms = (asked.at + asked.due_s - now + TOLD_SLACK_S + stood) * 1000
-        if told_ms > left_ms + HARNESS_S * 1000:
-            self.broke(Rule.TOO_MUCH_TIME_TOLD, head, f"{asked.name}: {told_ms} of {left_ms:.0f} ms")
-
-    def sent_to_draining(self, asked: Asked, node: str, since_told: float) -> None:
-        """An attempt came so long after its head was told that the node drains or is gone."""
-        stood = self.exemptions.standstill(asked.head, self.now() - since_told, self.now())
-        if self.exemptions.connections_break(asked.head, self.now() - since_told):
-            stood += TOLD_LATEST_S  # what was written to it may have been lost with its connection
-        if since_told > plan.DRAIN_GRACE_S + HARNESS_S + stood:
-            self.broke(Rule.DRAIN, asked.head, f"{asked.name} at {node}, told {since_told:.3f} s before")
+            self.report(Rule.TOO_MANY_ATTEMPTS, gateway, f"{request.name}: {len(earlier) + 1}")
+        pending = [
+            arrival for arrival in earlier if not arrival.ended and not hung_up(arrival.connection.link)
+        ]
+        if any(arrival.connection.link.connected for arrival in pending):
+            self.report(Rule.TWO_OUT, gateway, request.name)
+        possibly_run = [arrival for arrival in earlier if arrival.may_have_run]
+        if possibly_run and request.kind.effect == "fragile":
+            self.report(
+                Rule.RAN_TWICE, gateway, f"{request.name} again after {now - possibly_run[0].at:.3f} s"
+            )
+        window = plan.DEDUP_WINDOW_S + HARNESS_DELAY_S + paused_s
+        if possibly_run and request.kind.effect == "dedup" and now - possibly_run[0].at > window:
+            self.report(
+                Rule.RAN_TWICE, gateway, f"{request.name} after its window: {now - possibly_run[0].at:.3f} s"
+            )
+        if request.left_at is not None and now - request.left_at > LEAVE_SLACK_S + HARNESS_DELAY_S + paused_s:
+            self.report(
+                Rule.AFTER_CLIENT_LEFT, gateway, f"{request.name}: {now - request.left_at:.3f} s after"
+            )
+        remaining_ms = (request.at + request.due_s - now + TIMEOUT_SLACK_S + paused_s) * 1000
+        if timeout_ms > remaining_ms + HARNESS_DELAY_S * 1000:
+            self.report(
+                Rule.TOO_MUCH_TIME_TOLD, gateway, f"{request.name}: {timeout_ms} of {remaining_ms:.0f} ms"
+            )
+
+    def sent_to_draining(self, request: SentRequest, node: str, since_notified_s: float) -> None:
+        """Check an attempt that arrived so long after its gateway was notified of the node's drain or end."""
+        paused_s = self.exemptions.paused_time_s(request.gateway, self.now() - since_notified_s, self.now())
+        if self.exemptions.has_broken_connections(request.gateway, self.now() - since_notified_s):
+            paused_s += NOTIFIED_LATEST_S  # what was written to it may have been lost with its connection
+        if since_notified_s > plan.DRAIN_GRACE_S + HARNESS_DELAY_S + paused_s:
+            self.report(
+                Rule.DRAIN, request.gateway, f"{request.name} at {node}, told {since_notified_s:.3f} s before"
+            )
 
 
 class ColdNodeWindow:
-    """What all heads together send to a node that has started: N calls and the chance that rule 4 leaves."""
+    """The work that all gateways send to a cold node: N requests and the spread that rule 4 permits."""
 
     def __init__(self, started: float) -> None:
         self._started = started
-        self._arrivals: deque[tuple[float, float]] = deque()  # when, requests of mean work
-
-    def share(self, now: float) -> float:
-        """Of its power, what it has by the slowest ramp that the settings allow."""
-        age = min(plan.WARM_AFTER_S, now - self._started)
-        return plan.COLD_SHARE + (1 - plan.COLD_SHARE) * age / plan.WARM_AFTER_S
-
-    def serving_s(self, now: float, units: float) -> float:
-        """How long it works on so many units: its power is what the settings' figure stands for."""
-        full = plan.COLD_UNITS / plan.FALL_MULTIPLE / plan.COLD_SHARE / plan.FALL_S
-        return units / (full * self.share(now))
-
-    def take(self, now: float, units: float) -> float:
-        """Enter an arrival; by how many requests the window is over what is allowed."""
+        self._arrivals: deque[tuple[float, float]] = deque()  # time, work in mean requests
+
+    def capacity_share(self, now: float) -> float:
+        """The share of its full capacity that the node has by the slowest ramp that the settings allow."""
+        age = min(plan.WARM_UP_S, now - self._started)
+        return plan.INITIAL_CAPACITY_SHARE + (1 - plan.INITIAL_CAPACITY_SHARE) * age / plan.WARM_UP_S
+
+    def service_time_s(self, now: float, units: float) -> float:
+        """Seconds of work for ``units``, with the full capacity that INITIAL_CAPACITY_UNITS implies."""
+        full = (
+            plan.INITIAL_CAPACITY_UNITS
+            / plan.OVERLOAD_FACTOR
+            / plan.INITIAL_CAPACITY_SHARE
+            / plan.OVERLOAD_WINDOW_S
+        )
+        return units / (full * self.capacity_share(now))
+
+    def add(self, now: float, units: float) -> float:
+        """Enter an arrival; returns by how many mean requests the window exceeds what is allowed."""
         self._arrivals.append((now, units / plan.MEAN_UNITS))
-        while self._arrivals[0][0] < now - plan.FALL_S:
+        while self._arrivals[0][0] < now - plan.OVERLOAD_WINDOW_S:
             self._arrivals.popleft()
-        if now - self._started >= plan.WARM_AFTER_S:
+        if now - self._started >= plan.WARM_UP_S:
             return 0.0
-        calls = plan.COLD_UNITS / plan.MEAN_UNITS * self.share(now) / plan.COLD_SHARE
-        chance = 2 * calls**0.5 + 2 if calls >= 30 else 3 * calls**0.5 + 3
-        return sum(work for _, work in self._arrivals) - float(calls + chance)
+        expected = (
+            plan.INITIAL_CAPACITY_UNITS
+            / plan.MEAN_UNITS
+            * self.capacity_share(now)
+            / plan.INITIAL_CAPACITY_SHARE
+        )
+        spread = 2 * expected**0.5 + 2 if expected >= 30 else 3 * expected**0.5 + 3
+        return sum(work for _, work in self._arrivals) - float(expected + spread)
--- a/gaugesail/rehearsal/soak/plan.py
+++ b/gaugesail/rehearsal/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a soak plays: its size, and the settings that its heads are given."""
+"""The parameters of a soak, and the settings of its gateways."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from .. import defaults
 
-MEAN_UNITS, MOST_UNITS = 2.0, 4
+MEAN_UNITS, MAX_UNITS = 2.0, 4
 MAX_ATTEMPTS = 4
 DRAIN_GRACE_S = 0.25
-KEYED_WINDOW_S = 0.8
-COLD_UNITS, COLD_SHARE, FALL_S, WARM_AFTER_S = 60.0, 0.31, 1.5, 8.0
-FALL_MULTIPLE = 3.0
-LONGEST_DEADLINE_S = 3.0  # the least that a SIGKILL after a SIGTERM is counted from
+DEDUP_WINDOW_S = 0.8
+INITIAL_CAPACITY_UNITS, INITIAL_CAPACITY_SHARE, OVERLOAD_WINDOW_S, WARM_UP_S = 60.0, 0.31, 1.5, 8.0
+OVERLOAD_FACTOR = 3.0
+LONGEST_DEADLINE_S = 3.0  # the time until a SIGKILL after a SIGTERM counts from here at least
 
 
 @dataclass(slots=True, frozen=True)
 class RequestKind:
-    """A class of requests as the soak asks for it."""
+    """A class of requests, and its share of all requests."""
 
     name: str
     deadline_s: float
-    effect: str  # as the settings spell it
+    effect: str  # as spelled in the settings
     share: float
     writes: bool
 
@@ -37,32 +37,36 @@
 
 @dataclass(slots=True, frozen=True)
 class SoakPlan:
-    """One soak."""
+    """The parameters of a soak."""
 
-    heads: int = 24
+    gateways: int = 24
     nodes: int = 8
     seconds: float = 60.0
     seed: int = 1
-    rate: float = 12.0  # requests a second at each head
-    overlap: int = 3  # troubles at a time
-    settle_s: float = 8.0  # without new troubles at the end
-
-
-def settings(plan: SoakPlan, me: int, revision: int = 0) -> dict[str, Any]:
-    """The settings of one head in the platform's form; another revision has another aim."""
-    made = defaults.settings()
-    made["balancers"], made["me"] = plan.heads, me
-    made["categories"] = [_category(kind, revision) for kind in KINDS]
-    made["domain"] |= {
-        "class_writes": [kind.writes for kind in KINDS], "cold_bears": COLD_UNITS, "max_units": MOST_UNITS,
-        "slots_total": plan.nodes, "usual_units": MEAN_UNITS,
+    rate: float = 12.0  # requests a second at each gateway
+    overlap: int = 3  # concurrent faults, at most
+    settle_s: float = 8.0  # at the end, without new faults
+
+
+def settings(plan: SoakPlan, index: int, revision: int = 0) -> dict[str, Any]:
+    """The settings of a gateway in the platform's format.
+
+    Odd and even revisions have different latency objectives.
+    """
+    result = defaults.settings()
+    result["balancers"], result["me"] = plan.gateways, index
+    result["categories"] = [_category(kind, revision) for kind in KINDS]
+    result["domain"] |= {
+        "class_writes": [kind.writes for kind in KINDS], "cold_bears": INITIAL_CAPACITY_UNITS,
+        "max_units": MAX_UNITS, "slots_total": plan.nodes, "usual_units": MEAN_UNITS,
     }  # fmt: skip
-    made["guarantees"] |= {
-        "cold_share": COLD_SHARE, "fall_multiple": FALL_MULTIPLE, "fall_us": int(FALL_S * 1e6),
-        "drain_grace_us": int(DRAIN_GRACE_S * 1e6), "ramp_time_us": int(WARM_AFTER_S * 1e6),
+    result["guarantees"] |= {
+        "cold_share": INITIAL_CAPACITY_SHARE, "fall_multiple": OVERLOAD_FACTOR,
+        "fall_us": int(OVERLOAD_WINDOW_S * 1e6), "drain_grace_us": int(DRAIN_GRACE_S * 1e6),
+        "ramp_time_us": int(WARM_UP_S * 1e6),
     }  # fmt: skip
-    made["permissions"] |= {"max_attempts": MAX_ATTEMPTS, "conn_idle_us": 4_000_000}
-    return made
+    result["permissions"] |= {"max_attempts": MAX_ATTEMPTS, "conn_idle_us": 4_000_000}
+    return result
 
 
 def _category(kind: RequestKind, revision: int) -> dict[str, Any]:
@@ -70,5 +74,5 @@
         "name": kind.name, "aim_us": 400_000 + 50_000 * (revision % 2),
         "give_up_us": int(kind.deadline_s * 1e6),
         "gain": 2.0, "late_share": 0.15, "effect": kind.effect, "group": "all",
-        "window_us": int(KEYED_WINDOW_S * 1e6) if kind.effect == "dedup" else 0,
+        "window_us": int(DEDUP_WINDOW_S * 1e6) if kind.effect == "dedup" else 0,
     }  # fmt: skip
--- a/gaugesail/rehearsal/soak/run.py
+++ b/gaugesail/rehearsal/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: heads start, clients ask, troubles overlap, and the judge looks on."""
+"""Runs a soak: gateways under load and overlapping faults, observed by the judge."""
 
 from __future__ import annotations
 
@@ -13,68 +13,71 @@
 from ..faults.shim import Faults, build
 from ..fleet.heads import GatewayProcess, free_ports
 from .clients import SoakClients
-from .discovery import HeadDiscovery, Membership
-from .heads import READY_S, SoakHead, summary
+from .discovery import GatewayDiscovery, Membership
+from .heads import READY_S, SoakGateway, summary
 from .judge import Rule, SoakJudge, Violation
 from .nodes import SoakNode
 from .plan import SoakPlan
-from .troubles import KINDS, Stage
+from .troubles import KINDS, FaultContext
 
-TURN_S = 0.002
-SWEEP_S = 0.1
-GONE_AFTER_S = (0.5, 2.0)  # a node that drains is gone so much later
-STARTS_LATE = 0.1  # of all starts may take longer than READY_S
+REACTOR_STEP_S = 0.002
+SWEEP_INTERVAL_S = 0.1
+NODE_EXIT_DELAY_S = (0.5, 2.0)  # from the start of its drain until a node has ended
+MAX_LATE_START_SHARE = 0.1  # of all starts may take longer than READY_S
 
 
 @dataclass(slots=True)
-class Soaked:
-    """What came of a soak."""
+class SoakResult:
+    """The outcome of a soak."""
 
     counts: Counter[str]
-    troubles: Counter[str]
+    faults: Counter[str]
     violations: list[Violation]
-    heads: dict[str, Any]
-    injected: int  # calls that failed
+    processes: dict[str, Any]
+    failed_calls: int  # system calls that were made to fail
 
 
 class Soak:
-    """One soak while it is played."""
+    """A running soak."""
 
     def __init__(self, reactor: Any, plan: SoakPlan, folder: Path) -> None:
         self.reactor, self.plan = reactor, plan
         self._rng = random.Random(plan.seed)
         self._active: list[str] = []
-        self.troubles: Counter[str] = Counter()
+        self.faults: Counter[str] = Counter()
         self.judge = SoakJudge(reactor.seconds, lambda: tuple(self._active))
         self.membership = Membership()
-        self._numbers = 0
+        self._nodes_created = 0
         for shard in range(plan.nodes):
             self._new_node(shard)
         library = build(folder)
-        ports = free_ports(2 * plan.heads)
-        self.heads = [self._head(me, folder, library, ports[2 * me : 2 * me + 2]) for me in range(plan.heads)]
-        self._stage = Stage(
-            reactor, self._rng, self.heads, self._ready_nodes, self._replace, self.judge.exemptions
+        ports = free_ports(2 * plan.gateways)
+        self.gateways = [
+            self._new_gateway(number, folder, library, ports[2 * number : 2 * number + 2])
+            for number in range(plan.gateways)
+        ]
+        self._fault_context = FaultContext(
+            reactor, self._rng, self.gateways, self._ready_nodes, self._replace, self.judge.exemptions
         )
-        self._over = False
+        self._closed = False
 
     def _new_node(self, shard: int) -> SoakNode:
-        self._numbers += 1
+        self._nodes_created += 1
         rng = random.Random(self._rng.random())
-        node = SoakNode(self.reactor, f"node-{self._numbers}", shard, self.judge, rng)
+        node = SoakNode(self.reactor, f"node-{self._nodes_created}", shard, self.judge, rng)
         self.membership.nodes[node.name] = node
         return node
 
-    def _head(self, number: int, folder: Path, library: Path, ports: list[int]) -> SoakHead:
+    def _new_gateway(self, number: int, folder: Path, library: Path, ports: list[int]) -> SoakGateway:
         name = f"h{number}"
         process = GatewayProcess(name, folder / name, ports[0], ports[1], 0)
-        discovery = HeadDiscovery(self.reactor, name, self.membership)
+        discovery = GatewayDiscovery(self.reactor, name, self.membership)
         clients = SoakClients(
             self.reactor, name, ("127.0.0.1", ports[0]), self.judge, random.Random(self._rng.random()),
-            self.plan.nodes, self.plan.heads,
+            self.plan.nodes, self.plan.gateways,
         )  # fmt: skip
         faults = Faults(library, folder / name / "faults")
-        return SoakHead(
+        return SoakGateway(
             self.reactor, process, faults, discovery, self.membership, clients, self.judge, self.plan, number
         )
 
@@ -84,94 +87,100 @@
         return [node for node in self.membership.nodes.values() if node.phase == "Ready"]
 
     def _replace(self, node: SoakNode) -> None:
-        """It drains and goes; another process takes its shard, and is cold."""
-        if node.phase != "Ready" or self._over:
+        """Drain a node and remove it; a new, cold one takes over its shard."""
+        if node.phase != "Ready" or self._closed:
             return
         node.phase = "Terminating"
-        self.membership.change(node)
+        self.membership.update(node)
         fresh = self._new_node(node.shard)
-        fresh.started_cold(self.reactor.seconds(), time.time_ns() // 1_000_000)
-        self.reactor.callLater(self._rng.uniform(0.0, 1.0), self.membership.change, fresh)
-        self.reactor.callLater(self._rng.uniform(*GONE_AFTER_S), self._gone, node)
+        fresh.start_cold(self.reactor.seconds(), time.time_ns() // 1_000_000)
+        self.reactor.callLater(self._rng.uniform(0.0, 1.0), self.membership.update, fresh)
+        self.reactor.callLater(self._rng.uniform(*NODE_EXIT_DELAY_S), self._remove, node)
 
-    def _gone(self, node: SoakNode) -> None:
+    def _remove(self, node: SoakNode) -> None:
         node.phase = "Gone"
-        self.membership.change(node)
+        self.membership.update(node)
 
     # ---- time ----
 
-    def _turn_until(self, end: float) -> None:
+    def _run_until(self, end: float) -> None:
         while self.reactor.seconds() < end:
-            self.reactor.iterate(TURN_S)
+            self.reactor.iterate(REACTOR_STEP_S)
 
-    def play(self) -> Soaked:
-        """Start all, play, let it come to rest, end all."""
+    def play(self) -> SoakResult:
+        """Run the soak from the start of the processes to their end."""
         try:
-            for head in self.heads:
-                head.start()
+            for gateway in self.gateways:
+                gateway.start()
             started = self.reactor.seconds()
-            while not all(head.up for head in self.heads) and self.reactor.seconds() < started + 3 * READY_S:
-                self.reactor.iterate(TURN_S)
-            for head in self.heads:
-                head.starts.clear()  # all at once, on one machine: no restart
-            self._ask()
+            while (
+                not all(gateway.ready for gateway in self.gateways)
+                and self.reactor.seconds() < started + 3 * READY_S
+            ):
+                self.reactor.iterate(REACTOR_STEP_S)
+            for gateway in self.gateways:
+                gateway.start_times_s.clear()  # a simultaneous start on one machine is no restart
+            self._send_requests()
             self._sweep()
             end = self.reactor.seconds() + self.plan.seconds
-            self.reactor.callLater(0.5, self._draw, end)
-            self._turn_until(end + self.plan.settle_s)
+            self.reactor.callLater(0.5, self._inject_faults, end)
+            self._run_until(end + self.plan.settle_s)
         finally:
-            self._over = True
-            told, hits = summary(self.heads), sum(head.faults.hits for head in self.heads)
-            for head in self.heads:
-                head.close()
+            self._closed = True
+            processes, hits = summary(self.gateways), sum(gateway.faults.hits for gateway in self.gateways)
+            for gateway in self.gateways:
+                gateway.close()
             for node in self.membership.nodes.values():
                 node.close([])
-            self._turn_until(self.reactor.seconds() + 0.1)
-        if told["starts_late"] > STARTS_LATE * told["starts"]:
-            late = f"{told['starts_late']} of {told['starts']} starts were late"
-            self.judge.broke(Rule.NOT_READY, "", late)
-        return Soaked(self.judge.counts, self.troubles, self.judge.violations, told, hits)
-
-    def _ask(self) -> None:
-        """All heads' clients ask; arrivals do not wait for answers."""
-        if self._over:
+            self._run_until(self.reactor.seconds() + 0.1)
+        if processes["starts_late"] > MAX_LATE_START_SHARE * processes["starts"]:
+            late = f"{processes['starts_late']} of {processes['starts']} starts were late"
+            self.judge.report(Rule.NOT_READY, "", late)
+        return SoakResult(self.judge.counts, self.faults, self.judge.violations, processes, hits)
+
+    def _send_requests(self) -> None:
+        """Send a request to each gateway; arrivals do not depend on answers."""
+        if self._closed:
             return
-        for head in self.heads:
-            head.clients.ask()
+        for gateway in self.gateways:
+            gateway.clients.send_request()
         gap = random.Random(self._rng.random()).expovariate(self.plan.rate)
-        self.reactor.callLater(min(1.0, gap), self._ask)
+        self.reactor.callLater(min(1.0, gap), self._send_requests)
 
     def _sweep(self) -> None:
-        if self._over:
+        if self._closed:
             return
         self.judge.sweep()
-        for head in self.heads:
-            head.look()
-        self.reactor.callLater(SWEEP_S, self._sweep)
+        for gateway in self.gateways:
+            gateway.check()
+        self.reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
 
-    # ---- troubles ----
+    # ---- faults ----
 
-    def _draw(self, end: float) -> None:
-        """Keep as many troubles going as the plan says."""
-        if self.reactor.seconds() > end or self._over:
+    def _inject_faults(self, end: float) -> None:
+        """Keep up to ``plan.overlap`` faults active."""
+        if self.reactor.seconds() > end or self._closed:
             return
         if len(self._active) < self.plan.overlap:
             kind = self._rng.choices(KINDS, [kind.weight for kind in KINDS])[0]
-            begun = kind.begin(self._stage)
-            if begun is not None:
+            started = kind.begin(self._fault_context)
+            if started is not None:
                 self._active.append(kind.name)
-                self.troubles[kind.name] += 1
-                self.reactor.callLater(begun[0], self._ended, kind.name, begun[1])
-        self.reactor.callLater(self._rng.uniform(0.05, 0.5), self._draw, end)
+                self.faults[kind.name] += 1
+                self.reactor.callLater(started[0], self._end_fault, kind.name, started[1])
+        self.reactor.callLater(self._rng.uniform(0.05, 0.5), self._inject_faults, end)
 
-    def _ended(self, name: str, end: Any) -> None:
+    def _end_fault(self, name: str, end: Any) -> None:
         self._active.remove(name)
-        if not self._over:
+        if not self._closed:
             end()
 
 
-def play(reactor: Any, plan: SoakPlan, keep: Path | None = None) -> Soaked:
-    """One soak in a folder of its own; with ``keep`` the heads' logs stay there."""
+def play(reactor: Any, plan: SoakPlan, keep: Path | None = None) -> SoakResult:
+    """Run a soak in a temporary folder or, to keep the logs of the gateways, in ``keep``.
+
+    Raises NoCompiler if the fault shim cannot be built.
+    """
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
         return Soak(reactor, plan, keep).play()
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short one of real processes breaks nothing, and its judge finds each breach."""
+"""A short soak of real processes violates no rule, and the judge of soaks finds each violation."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 DUE_S = 1.0
 
 
-def test_a_short_soak_breaks_nothing() -> None:
+def test_a_short_soak_violates_no_rule() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "gaugesail.cli", "trial", "soak", "--heads", "4", "--seconds", "10",
          "--overlap", "2", "--seed", "3", "--json"],
         cwd=ROOT, capture_output=True, text=True, timeout=120, check=False,
     )  # fmt: skip
     assert done.stdout, done.stderr
-    told: dict[str, Any] = json.loads(done.stdout)
-    print(told)
-    assert done.returncode == 0 and not told["violations"]
-    assert told["requests"]["served"] > 100 and len(told["troubles"]) > 3
+    report: dict[str, Any] = json.loads(done.stdout)
+    print(report)
+    assert done.returncode == 0 and not report["violations"]
+    assert report["requests"]["served"] > 100 and len(report["troubles"]) > 3
 
 
 class Link:
-    """A node's connection that is open."""
+    """An open connection of a node."""
 
     connected = True
 
@@ -41,85 +41,85 @@
         return self
 
 
-class Bench:
-    """A judge with a clock of its own."""
+class Harness:
+    """A judge with a manual clock."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.judge = SoakJudge(lambda: self.now, lambda: ())
 
-    def asked(self, kind: plan.RequestKind = READ) -> Any:
-        return self.judge.asked("r", "h", kind, DUE_S)
+    def send(self, kind: plan.RequestKind = READ) -> Any:
+        return self.judge.request_sent("r", "h", kind, DUE_S)
 
-    def arrives(self, after_s: float = 0.0, told_ms: int = 100, late_s: float = 0.0) -> Any:
+    def arrives(self, after_s: float = 0.0, timeout_ms: int = 100, unread_s: float = 0.0) -> Any:
         self.now += after_s
-        return self.judge.arrived("r", "n", Link(), told_ms, late_s)
+        return self.judge.attempt_arrived("r", "n", Link(), timeout_ms, unread_s)
 
     @property
     def rules(self) -> list[Rule]:
         return [violation.rule for violation in self.judge.violations]
 
 
-def ends(asked: Any, may_have_run: bool = True) -> None:
-    asked.arrivals[-1].ended, asked.arrivals[-1].may_have_run = True, may_have_run
+def end_attempt(request: Any, may_have_run: bool = True) -> None:
+    request.arrivals[-1].ended, request.arrivals[-1].may_have_run = True, may_have_run
 
 
-def test_a_good_request_is_no_breach() -> None:
-    bench = Bench()
-    asked = bench.asked()
-    ends(bench.arrives(0.01))
-    bench.judge.answered(asked, 200, b"r")
-    bench.now += 20
-    bench.judge.sweep()
-    assert bench.rules == []
+def test_a_correct_request_is_no_violation() -> None:
+    harness = Harness()
+    request = harness.send()
+    end_attempt(harness.arrives(0.01))
+    harness.judge.answer_received(request, 200, b"r")
+    harness.now += 20
+    harness.judge.sweep()
+    assert harness.rules == []
 
 
-def test_answers_that_are_late_second_wrong_or_missing() -> None:
-    late, second, wrong, lost, closed = Bench(), Bench(), Bench(), Bench(), Bench()
-    asked = late.asked()
+def test_late_second_wrong_and_missing_answers_are_violations() -> None:
+    late, second, wrong, lost, closed = Harness(), Harness(), Harness(), Harness(), Harness()
+    request = late.send()
     late.now += DUE_S + 0.7
-    late.judge.answered(asked, 200, b"r")
-    asked = second.asked()
-    second.judge.answered(asked, 200, b"r")
-    second.judge.answered(asked, 503, b"")
-    wrong.judge.answered(wrong.asked(), 200, b"other")
-    lost.asked()
+    late.judge.answer_received(request, 200, b"r")
+    request = second.send()
+    second.judge.answer_received(request, 200, b"r")
+    second.judge.answer_received(request, 503, b"")
+    wrong.judge.answer_received(wrong.send(), 200, b"other")
+    lost.send()
     lost.now += DUE_S + 0.7
     lost.judge.sweep()
-    closed.judge.unanswered(closed.asked(), "closed")
+    closed.judge.no_answer(closed.send(), "closed")
     found = [late.rules, second.rules, wrong.rules, lost.rules, closed.rules]
     assert found == [[Rule.LATE], [Rule.TWO_ANSWERS], [Rule.WRONG_ANSWER], [Rule.LOST], [Rule.LOST]]
 
 
-def test_what_is_owed_to_nobody_is_no_breach() -> None:
-    left, killed, stopped, broken = Bench(), Bench(), Bench(), Bench()
-    left.judge.left(left.asked())
-    asked = killed.asked()
-    asked.excused = True
-    killed.judge.unanswered(asked, "closed")
-    stopped.asked()
-    stopped.judge.exemptions.stops("h", stopped.now)
+def test_excused_requests_without_an_answer_are_no_violation() -> None:
+    left, killed, paused, broken = Harness(), Harness(), Harness(), Harness()
+    left.judge.client_left(left.send())
+    request = killed.send()
+    request.excused = True
+    killed.judge.no_answer(request, "closed")
+    paused.send()
+    paused.judge.exemptions.pause_began("h", paused.now)
     broken.judge.exemptions.break_connections("h", broken.now + 1)
-    broken.asked()
-    for bench in (left, killed, stopped, broken):
-        bench.now += DUE_S + 0.7
-        bench.judge.sweep()
-        assert bench.rules == []
-
-
-def test_attempts_beside_each_other_too_many_and_after_the_client_left() -> None:
-    beside, many, gone = Bench(), Bench(), Bench()
-    beside.asked()
-    beside.arrives()
-    beside.arrives()
-    many.asked()
+    broken.send()
+    for harness in (left, killed, paused, broken):
+        harness.now += DUE_S + 0.7
+        harness.judge.sweep()
+        assert harness.rules == []
+
+
+def test_concurrent_attempts_too_many_and_after_the_client_left_are_violations() -> None:
+    concurrent, many, left = Harness(), Harness(), Harness()
+    concurrent.send()
+    concurrent.arrives()
+    concurrent.arrives()
+    many.send()
     for _ in range(plan.MAX_ATTEMPTS + 1):
-        ends(many.arrives())
-    gone.judge.left(gone.asked())
-    gone.arrives(0.3)
-    unknown = Bench()
+        end_attempt(many.arrives())
+    left.judge.client_left(left.send())
+    left.arrives(0.3)
+    unknown = Harness()
     unknown.arrives()
-    found = [beside.rules, many.rules, gone.rules, unknown.rules]
+    found = [concurrent.rules, many.rules, left.rules, unknown.rules]
     assert found == [
         [Rule.TWO_OUT], [Rule.TOO_MANY_ATTEMPTS], [Rule.AFTER_CLIENT_LEFT], [Rule.UNKNOWN_REQUEST]
     ]  # fmt: skip
@@ -128,38 +128,40 @@
 @pytest.mark.parametrize(("kind", "after_s", "broken"), [
     (READ, 0.9, []), (BOOKING, 0.1, [Rule.RAN_TWICE]), (LEDGER, 0.1, []), (LEDGER, 1.0, [Rule.RAN_TWICE]),
 ])  # fmt: skip
-def test_repeats_of_what_may_have_run(kind: plan.RequestKind, after_s: float, broken: list[Rule]) -> None:
-    bench = Bench()
-    bench.asked(kind)
-    ends(bench.arrives())
-    bench.arrives(after_s)
-    assert bench.rules == broken
-
-
-def test_a_refusal_of_what_may_have_run_and_must_not_run_twice() -> None:
-    bench = Bench()
-    asked = bench.asked(BOOKING)
-    ends(bench.arrives())
-    bench.judge.answered(asked, 503, b"")
-    assert bench.rules == [Rule.RAN_TWICE]
-
-
-def test_the_time_told_and_the_drain() -> None:
-    much, enough, waited, drained = Bench(), Bench(), Bench(), Bench()
-    for bench in (much, enough, waited, drained):
-        bench.asked()
-    much.arrives(0.5, told_ms=900)
-    enough.arrives(0.5, told_ms=600)
-    waited.arrives(0.5, told_ms=900, late_s=0.5)
+def test_repeats_of_requests_that_may_have_run(
+    kind: plan.RequestKind, after_s: float, broken: list[Rule]
+) -> None:
+    harness = Harness()
+    harness.send(kind)
+    end_attempt(harness.arrives())
+    harness.arrives(after_s)
+    assert harness.rules == broken
+
+
+def test_a_rejection_of_a_fragile_request_that_may_have_run_is_a_violation() -> None:
+    harness = Harness()
+    request = harness.send(BOOKING)
+    end_attempt(harness.arrives())
+    harness.judge.answer_received(request, 503, b"")
+    assert harness.rules == [Rule.RAN_TWICE]
+
+
+def test_a_long_timeout_and_attempts_to_a_draining_node_are_violations() -> None:
+    too_much, enough, waited, drained = Harness(), Harness(), Harness(), Harness()
+    for harness in (too_much, enough, waited, drained):
+        harness.send()
+    too_much.arrives(0.5, timeout_ms=900)
+    enough.arrives(0.5, timeout_ms=600)
+    waited.arrives(0.5, timeout_ms=900, unread_s=0.5)
     drained.judge.sent_to_draining(drained.arrives(), "n", plan.DRAIN_GRACE_S + 0.2)
-    assert [much.rules, enough.rules, waited.rules] == [[Rule.TOO_MUCH_TIME_TOLD], [], []]
+    assert [too_much.rules, enough.rules, waited.rules] == [[Rule.TOO_MUCH_TIME_TOLD], [], []]
     assert drained.rules == [Rule.DRAIN]
 
 
-def test_a_cold_node_bears_what_the_settings_say_and_the_chance() -> None:
+def test_a_cold_node_may_receive_its_capacity_and_the_random_spread() -> None:
     cold = ColdNodeWindow(100.0)
-    calls = plan.COLD_UNITS / plan.MEAN_UNITS
-    allowed = int(calls + 2 * calls**0.5 + 2)
-    assert all(cold.take(100.0, plan.MEAN_UNITS) <= 0 for _ in range(allowed))
-    assert cold.take(100.0, plan.MEAN_UNITS) > 0
-    assert cold.take(100.0 + plan.WARM_AFTER_S, plan.MEAN_UNITS) <= 0
+    expected = plan.INITIAL_CAPACITY_UNITS / plan.MEAN_UNITS
+    allowed = int(expected + 2 * expected**0.5 + 2)
+    assert all(cold.add(100.0, plan.MEAN_UNITS) <= 0 for _ in range(allowed))
+    assert cold.add(100.0, plan.MEAN_UNITS) > 0
+    assert cold.add(100.0 + plan.WARM_UP_S, plan.MEAN_UNITS) <= 0
