--- a/gaugesail/rehearsal/faults/shim.py
+++ b/gaugesail/rehearsal/faults/shim.py
@@ -1,7 +1,7 @@
 """Builds the library of ``shim.c`` and controls it in a running process through a file that both map.
 
-The library is compiled with the system's C compiler when it is first needed; only tests and `gaugesail trial`
-need it.  ``step_wall_clock`` and ``fail`` take effect in every process that was started with
+The library is compiled with the system's C compiler when it is first needed; only tests and
+`gaugesail trial` need it.  ``step_wall_clock`` and ``fail`` apply to every process that was started with
 ``environment()``.
 """
 
--- a/gaugesail/rehearsal/fleet/command.py
+++ b/gaugesail/rehearsal/fleet/command.py
@@ -97,7 +97,7 @@
     for name in ("gateway", "", "units a second at the nodes"):
         table.add_column(name)
     for name, gateway in rig.gateways.items():
-        state = "stopped" if gateway.paused else "up" if gateway.alive else "down"
+        state = "paused" if gateway.paused else "up" if gateway.alive else "down"
         row = bars(counts.arrivals, name, rig.started_at, rig.elapsed_s, rig.limit.rate)
         table.add_row(name, state, row[-60:])
     last = rig.events[-1] if rig.events else None
@@ -136,11 +136,11 @@
             else "."
         ),
         f"Requests: {counts.asked}; served {counts.served / asked:.0%}, rejected at once with Retry-After"
-        f" {counts.refused / asked:.0%}, failed {counts.failed}, not delivered {counts.unreached}.",
+        f" {counts.refused / asked:.0%}, failed {counts.failed}, gateway unreachable {counts.unreached}.",
     ]
     console.print(Panel("\n".join(summary), title="Summary", title_align="left"))
     verdict = Table(
-        title="Violations, as counted at nodes and clients (expected: 0)", title_justify="left", box=None
+        title="Violations counted at nodes and clients (expected: 0)", title_justify="left", box=None
     )
     verdict.add_column("what")
     verdict.add_column("times", justify="right")
--- a/gaugesail/rehearsal/fleet/trial.py
+++ b/gaugesail/rehearsal/fleet/trial.py
@@ -335,7 +335,7 @@
     def stop(self) -> None:
         """SIGSTOP at any instruction, mostly until after the end of the lease; then SIGCONT."""
         if (gateway := self._pick_gateway()) is not None:
-            self._record("stopped", gateway.name)
+            self._record("paused", gateway.name)
             gateway.pause()
             self._occupy(gateway, self.rng.uniform(0.3, 2.5 * self.trial.lease_ms / 1000), gateway.resume)
 
@@ -367,7 +367,7 @@
     def store_lost(self) -> None:
         """SIGKILL, and a restart without the store."""
         if (gateway := self._pick_gateway()) is not None and self._may_lose_store(gateway):
-            self._record("killed, its store lost", gateway.name)
+            self._record("killed, store lost", gateway.name)
             self._kill_process(gateway)
             gateway.delete_store()
             self._occupy(gateway, self.rng.uniform(0.1, 2.0), gateway.start)
@@ -382,7 +382,7 @@
         def put_back() -> None:
             if gateway.name in self._busy or not self._may_lose_store(gateway):
                 return
-            self._record("killed, an old store restored", gateway.name)
+            self._record("killed, old store restored", gateway.name)
             self._kill_process(gateway)
             gateway.restore_store(copy)
             self._occupy(gateway, self.rng.uniform(0.1, 2.0), gateway.start)
@@ -433,7 +433,7 @@
     def halves(self) -> None:
         """Partition the gateways into halves."""
         names = list(self.gateways)
-        self._cut_off(set(self.rng.sample(names, len(names) // 2)), True, "cut in halves")
+        self._cut_off(set(self.rng.sample(names, len(names) // 2)), True, "partitioned into halves")
 
     def _relays_of_one(self) -> list[Relay]:
         """All relays from and to one gateway."""
--- a/gaugesail/rehearsal/soak/nodes.py
+++ b/gaugesail/rehearsal/soak/nodes.py
@@ -50,9 +50,7 @@
         self.drain_known_at: dict[str, float] = {}  # by gateway: when it was notified of the drain or end
         self.notified_by: dict[str, str] = {}  # by gateway: how it was notified
         self._accept_paused_since = self._accept_paused_until = 0.0
-        self._accept_delays: dict[
-            HttpConnection, float
-        ] = {}  # by connection: seconds until it was accepted, at most
+        self._accept_delays: dict[HttpConnection, float] = {}  # at most, in seconds
         self.silent = False  # it has vanished: connections stay open, but it sends nothing
         super().__init__(reactor, name)
 
--- a/gaugesail/rehearsal/soak/plan.py
+++ b/gaugesail/rehearsal/soak/plan.py
@@ -13,7 +13,7 @@
 DEDUP_WINDOW_S = 0.8
 INITIAL_CAPACITY_UNITS, INITIAL_CAPACITY_SHARE, OVERLOAD_WINDOW_S, WARM_UP_S = 60.0, 0.31, 1.5, 8.0
 OVERLOAD_FACTOR = 3.0
-LONGEST_DEADLINE_S = 3.0  # the time until a SIGKILL after a SIGTERM counts from here at least
+LONGEST_DEADLINE_S = 3.0  # the least that is assumed between a SIGTERM and a SIGKILL
 
 
 @dataclass(slots=True, frozen=True)
--- a/gaugesail/rehearsal/soak/troubles.py
+++ b/gaugesail/rehearsal/soak/troubles.py
@@ -256,11 +256,11 @@
     for clients in found:
         clients.leave_share = 0.6
 
-    def stay() -> None:
+    def restore() -> None:
         for clients in found:
             clients.leave_share = 0.02
 
-    return context.rng.uniform(0.3, 2.0), stay
+    return context.rng.uniform(0.3, 2.0), restore
 
 
 def _bad_clients(context: FaultContext) -> tuple[float, End] | None:
