--- a/gaugesail/rehearsal/fleet/trial.py
+++ b/gaugesail/rehearsal/fleet/trial.py
@@ -442,13 +442,13 @@
     def drop(self) -> None:
         """Lose a share of the datagrams of one gateway."""
         share = self.rng.uniform(0.1, 0.6)
-        self._record("datagram loss", f"{share:.0%}")
+        self._record("losses", f"{share:.0%}")
         self._impair(self._relays_of_one(), lambda relay: setattr(relay.impairment, "drop", share), 1.0, 5.0)
 
     def delay(self) -> None:
         """Delay all traffic of one gateway."""
         delay_s = self.rng.choice([0.05, 0.3, 1.5, 4.0])
-        self._record("delay", f"{delay_s} s")
+        self._record("late", f"{delay_s} s")
         self._impair(
             self._relays_of_one(), lambda relay: setattr(relay.impairment, "delay", delay_s), 0.5, 4.0
         )
@@ -504,7 +504,7 @@
         """Multiply the limit by ``factor`` in the files of one gateway after another."""
         old = self.limit
         fresh = self.limit = Limit(old.rate * factor, old.burst * factor)
-        self._record("limit", f"{fresh.rate:.0f}/s")
+        self._record("whole", f"{fresh.rate:.0f}/s")
         self.judge.change_limit(fresh)
         self._limits.append((self.reactor.seconds(), fresh.rate))
         pending = set(self.gateways)
