--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,5 +1,5 @@
-"""What dbd4a08 wrote is read by this version, and this version writes what dbd4a08 reads.
+"""Compatibility with dbd4a08: this version reads what dbd4a08 wrote, and writes what dbd4a08 can read.
 
-dbd4a08 is the version before the renames of 2026-12-03; the files in data/ are what its own code wrote.
-Data of a later version may be added beside them; none is changed or removed.
+dbd4a08 is the version before the renames of 2026-12-03; its own code wrote the files in data/.  Data of a
+later version may be added beside them; no file is changed or removed.
 """
--- a/tests/compatibility/test_fleet_records.py
+++ b/tests/compatibility/test_fleet_records.py
@@ -1,4 +1,4 @@
-"""A fleet's frames, log and store as dbd4a08 wrote them: read, and written again to the same bytes."""
+"""A fleet's frames, log and store as dbd4a08 wrote them are read, and written again as the same bytes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A record as nested lists of its values: names of fields may change, their order may not."""
+    """Return a record as nested lists of its values: field names may change, their order may not."""
     if isinstance(value, msgspec.Struct):
         return [plain(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, tuple):
@@ -41,7 +41,7 @@
     return {str(kind.__struct_config__.tag) for kind in get_args(union)}
 
 
-def test_there_is_a_frame_of_every_kind() -> None:
+def test_the_data_has_a_frame_and_an_entry_of_every_kind() -> None:
     assert len(FRAMES) == 21 and len(ENTRIES) == 9
     assert set(FRAMES) == tags(Message) and set(ENTRIES) == tags(Command)
 
@@ -53,11 +53,11 @@
     assert read is not None
     sender, process, message = read
     assert (sender, process, plain(message)) == ("h1", 99, values)
-    number = list(FRAMES).index(tag)
-    sends = Wire("f", "h1", 99, KEY)
-    for _ in range(number):
-        sends.pack("h0", message)
-    assert sends.pack("h0", message) == frame
+    previous_frames = list(FRAMES).index(tag)
+    sender_wire = Wire("f", "h1", 99, KEY)
+    for _ in range(previous_frames):
+        sender_wire.pack("h0", message)
+    assert sender_wire.pack("h0", message) == frame
 
 
 @pytest.mark.parametrize("tag", ENTRIES)
@@ -74,13 +74,13 @@
     assert ledger.dump().hex() == LEDGER["dump"]
 
 
-def test_a_store_is_read_whole(tmp_path: Path) -> None:
+def test_a_store_is_read_completely(tmp_path: Path) -> None:
     shutil.copy(DATA / STORE_NAME, tmp_path / STORE_NAME)
-    FleetStore(str(tmp_path), "h1").accept_move()  # the file was moved here, which only an operator can know
+    FleetStore(str(tmp_path), "h1").accept_move()  # an operator confirms that the file was moved
     store = FleetStore(str(tmp_path), "h1")
     loaded = store.open()
     store.close()
-    assert not store.quarantined, "put aside"
+    assert not store.quarantined, "quarantined"
     assert msgspec.msgpack.encode(loaded.state).hex() == LEDGER["kept"]
     assert (loaded.snapshot.index, loaded.snapshot.term) == (8, 2)
     assert loaded.snapshot.state.hex() == LEDGER["dump"]
--- a/tests/compatibility/test_handover.py
+++ b/tests/compatibility/test_handover.py
@@ -1,4 +1,4 @@
-"""The hand-over of the listening socket beside dbd4a08, both ways, with the bytes that dbd4a08 wrote."""
+"""Handover of the listening socket from and to dbd4a08, with the bytes that dbd4a08 wrote."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..support.faulty_process import HOST, READY_S, ServingNode, faulty, wait_until
 from ..support.scenario_runner import play, scenarios
 
-SAID: dict[str, list[tuple[str, str]]] = json.loads(
+RECORDED: dict[str, list[tuple[str, str]]] = json.loads(
     (Path(__file__).parent / "data" / "handover_lines.json").read_text()
 )
 SCENARIOS = scenarios("operations.txt", "large.txt", "http.txt")
@@ -27,23 +27,23 @@
 WAIT_S = 5.0
 
 
-def said_by(who: str, key: str) -> bytes:
-    """A line that dbd4a08 said, as the running process or as the next one."""
-    lines = [line for rows in SAID.values() for speaker, line in rows if speaker == who]
+def recorded_line(role: str, key: str) -> bytes:
+    """Return the first line with this key that dbd4a08 sent, as the running process or as the next one."""
+    lines = [line for messages in RECORDED.values() for sender, line in messages if sender == role]
     return next(line for line in lines if key in json.loads(line)).encode()
 
 
-def shape(value: Any) -> Any:
-    """Keys and types alone; of a list the first item's."""
+def types_of(value: Any) -> Any:
+    """Return only the keys and types of a value; of a list, those of its first item."""
     if isinstance(value, dict):
-        return {key: shape(item) for key, item in value.items()}
+        return {key: types_of(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [shape(item) for item in value[:1]]
+        return [types_of(item) for item in value[:1]]
     return type(value).__name__
 
 
-class Lines:
-    """What the other process says over a Unix socket, read in a thread of its own."""
+class ReceivedLines:
+    """The lines that the other process sends over a Unix socket, read in a separate thread."""
 
     def __init__(self, stream: socket.socket) -> None:
         self.stream = stream
@@ -65,76 +65,76 @@
 
 
 @contextmanager
-def running_process(folder: Path, listener: socket.socket) -> Iterator[list[Lines]]:
-    """A stand-in for a running process of dbd4a08 that hands its listening socket over."""
+def running_process(folder: Path, listener: socket.socket) -> Iterator[list[ReceivedLines]]:
+    """Simulate a running process of dbd4a08 that hands over its listening socket."""
     unix = socket.socket(socket.AF_UNIX)
     unix.bind(str(folder / SOCKET_NAME))
     unix.listen(1)
-    linked: list[Lines] = []
+    connections: list[ReceivedLines] = []
 
     def hand_over() -> None:
         with suppress(OSError):
             stream, _ = unix.accept()
-            socket.send_fds(stream, [said_by(RUNNING, "known")], [listener.fileno()])
-            linked.append(Lines(stream))
+            socket.send_fds(stream, [recorded_line(RUNNING, "known")], [listener.fileno()])
+            connections.append(ReceivedLines(stream))
 
     threading.Thread(target=hand_over, daemon=True).start()
     try:
-        yield linked
+        yield connections
     finally:
         unix.close()
-        for lines in linked:
+        for lines in connections:
             lines.stream.close()
 
 
 def test_this_version_takes_over_from_a_running_dbd4a08(tmp_path: Path, library: Path) -> None:
     listener = socket.create_server((HOST, 0))
-    listener.setblocking(False)  # as that of a head is
+    listener.setblocking(False)  # as a gateway's is
     with (
-        running_process(tmp_path, listener) as linked,
-        faulty(tmp_path, library, [ServingNode(0)]) as head,
+        running_process(tmp_path, listener) as connections,
+        faulty(tmp_path, library, [ServingNode(0)]) as gateway,
     ):
-        assert head.port == listener.getsockname()[1]
-        assert wait_until(lambda: bool(linked) and linked[0].has("serving"), READY_S)
-        assert said_by(NEXT, "serving") in linked[0].data
-        answer = head.send_request("a")
-        assert wait_until(lambda: answer.status == 200, WAIT_S), (answer.status, head.text)
-        linked[0].stream.sendall(said_by(RUNNING, "clients") + said_by(NEXT, "node"))
-        assert wait_until(lambda: "maintenance_begins" in head.text, WAIT_S), head.text
-        assert "handover_message_malformed" not in head.text
+        assert gateway.port == listener.getsockname()[1]
+        assert wait_until(lambda: bool(connections) and connections[0].has("serving"), READY_S)
+        assert recorded_line(NEXT, "serving") in connections[0].data
+        answer = gateway.send_request("a")
+        assert wait_until(lambda: answer.status == 200, WAIT_S), (answer.status, gateway.text)
+        connections[0].stream.sendall(recorded_line(RUNNING, "clients") + recorded_line(NEXT, "node"))
+        assert wait_until(lambda: "maintenance_begins" in gateway.text, WAIT_S), gateway.text
+        assert "handover_message_malformed" not in gateway.text
     listener.close()
 
 
 def test_this_version_hands_over_to_the_next_dbd4a08(tmp_path: Path, library: Path) -> None:
-    with faulty(tmp_path, library, [ServingNode(0)]) as head:
+    with faulty(tmp_path, library, [ServingNode(0)]) as gateway:
         stream = socket.socket(socket.AF_UNIX)
         stream.connect(str(tmp_path / SOCKET_NAME))
-        lines = Lines(stream)
+        lines = ReceivedLines(stream)
         assert wait_until(lambda: lines.has("known"), WAIT_S)
-        told = json.loads(lines.data.split(b"\n")[0])
-        assert shape(told) == shape(json.loads(said_by(RUNNING, "known")))
+        first_message = json.loads(lines.data.split(b"\n")[0])
+        assert types_of(first_message) == types_of(json.loads(recorded_line(RUNNING, "known")))
         listener = socket.socket(fileno=lines.descriptors[0])
-        assert listener.getsockname()[1] == head.port
-        stream.sendall(said_by(NEXT, "serving") + said_by(NEXT, "node"))
+        assert listener.getsockname()[1] == gateway.port
+        stream.sendall(recorded_line(NEXT, "serving") + recorded_line(NEXT, "node"))
         assert wait_until(lambda: lines.has("clients"), WAIT_S)
-        assert wait_until(lambda: "maintenance_begins" in head.text, WAIT_S), head.text
+        assert wait_until(lambda: "maintenance_begins" in gateway.text, WAIT_S), gateway.text
         listener.settimeout(WAIT_S)
-        with socket.create_connection((HOST, head.port), WAIT_S):
-            listener.accept()[0].close()  # the head has left the address to the next process
-        assert "handover_message_malformed" not in head.text
+        with socket.create_connection((HOST, gateway.port), WAIT_S):
+            listener.accept()[0].close()  # the gateway no longer accepts: the next process does
+        assert "handover_message_malformed" not in gateway.text
         stream.close()
         listener.close()
 
 
-@pytest.mark.parametrize("name", SAID)
-def test_processes_say_to_each_other_what_dbd4a08_said(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    said: list[tuple[str, str]] = []
+@pytest.mark.parametrize("name", RECORDED)
+def test_processes_exchange_the_messages_of_dbd4a08(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    sent: list[tuple[str, str]] = []
     send = HandoverConnection.send
 
     def record(connection: HandoverConnection, message: HandoverMessage) -> None:
-        said.append((NEXT if connection.is_successor else RUNNING, encode(message).decode()))
+        sent.append((NEXT if connection.is_successor else RUNNING, encode(message).decode()))
         send(connection, message)
 
     monkeypatch.setattr(HandoverConnection, "send", record)
     play(SCENARIOS[name])
-    assert said == [tuple(row) for row in SAID[name]]
+    assert sent == [tuple(row) for row in RECORDED[name]]
--- a/tests/compatibility/test_state_file.py
+++ b/tests/compatibility/test_state_file.py
@@ -1,4 +1,4 @@
-"""The operators' state file as dbd4a08 wrote it: read, and written again to the same bytes."""
+"""The operators' state file as dbd4a08 wrote it is read, and written again as the same bytes."""
 
 from __future__ import annotations
 
