--- a/gaugesail/rehearsal/__init__.py
+++ b/gaugesail/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals: scenarios of send, expect, close and wait, played against a daemon with stand-in peers."""
+"""Rehearsals: scenarios of send, expect, close and wait, played against a daemon with simulated peers."""
--- a/gaugesail/rehearsal/__main__.py
+++ b/gaugesail/rehearsal/__main__.py
@@ -1,4 +1,4 @@
-"""Plays scenarios against a daemon on loopback."""
+"""Plays scenario files against a daemon on loopback."""
 
 import sys
 
--- a/gaugesail/rehearsal/defaults.py
+++ b/gaugesail/rehearsal/defaults.py
@@ -1,4 +1,4 @@
-"""The settings that a rehearsal starts the daemon with, in the platform's form."""
+"""The default settings of a rehearsal's daemon, in the platform's format."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
 
 
 def settings() -> dict[str, Any]:
+    """Return a copy of the default settings."""
     return copy.deepcopy(_SETTINGS)
 
 
 def change(tree: Any, path: str, text: str) -> None:
-    """Set one value of nested settings by its dotted path.
+    """Set one value of nested settings by its dotted path; numbers keep their type.
 
-    One past the end of a list is a copy of its last row; a value that is a list is given as JSON; no text at
-    all takes the value, or the row, away.
+    An index one past the end of a list appends a copy of its last row.  A list is given as JSON.  An empty
+    ``text`` deletes the value or the row.
     """
-    *way, last = path.split(".")
-    for step in way:
-        if isinstance(tree, list) and int(step) == len(tree):
+    *parents, last = path.split(".")
+    for key in parents:
+        if isinstance(tree, list) and int(key) == len(tree):
             tree.append(copy.deepcopy(tree[-1]))
-        tree = tree[int(step)] if isinstance(tree, list) else tree.setdefault(step, {})
+        tree = tree[int(key)] if isinstance(tree, list) else tree.setdefault(key, {})
     if not text:
         del tree[int(last) if isinstance(tree, list) else last]
     elif isinstance(tree.get(last), list):
--- a/gaugesail/rehearsal/judge.py
+++ b/gaugesail/rehearsal/judge.py
@@ -1,6 +1,7 @@
-"""What must hold in every scenario, whatever its lines say: each request has its answer, each process serves.
+"""Invariants of every scenario: each request gets one final answer in time, and each process serves or ends.
 
-A scenario that leaves a request without one says so: ``unanswered WHO ID...``, and just these must be.
+A scenario that leaves a request unanswered declares it with ``unanswered WHO ID...``.  Exactly the declared
+requests must stay unanswered.
 """
 
 from __future__ import annotations
@@ -13,225 +14,260 @@
 from ..http.messages import BadMessage, EndOfMessage, Head
 from ..http.parser import Parser
 
-SLACK_S = 0.05  # that the protocol adds to each time limit
-STALL_LOOK_S = 0.1
-LOOK_S = 0.05  # between looks at the processes
-LEAST_LONGEST_S, KILL_S = 3.0, 0.7  # SIGKILL comes the longest deadline, 3 s at the least, and 0.7 s later
-COMING_S = 0.4  # after SIGTERM new connections come for so long
-SHUT_S = 0.1  # how long nobody may be able to come in
-USELESS_S = 0.5  # how long a process may stay that serves nobody
+PROTOCOL_SLACK_S = 0.05  # the protocol's allowance on each time limit
+STALLED_CLIENT_POLL_S = 0.1
+PROCESS_POLL_S = 0.05
+# SIGKILL follows SIGTERM after the longest deadline, but at least 3 s, plus 0.7 s.
+MIN_KILL_DEADLINE_S, KILL_DELAY_S = 3.0, 0.7
+ACCEPT_AFTER_SIGTERM_S = 0.4  # clients still open new connections for this long after SIGTERM
+MAX_UNREACHABLE_S = 0.1  # longest time during which no process may accept connections
+MAX_LINGER_S = 0.5  # longest time that a process may run without a listener, connections and requests
 
 
 class Process(Protocol):
-    """One process of the daemon, as it is seen from outside."""
+    """One process of the daemon, as seen from outside."""
 
     name: str
-    stop_at: float | None  # when it got SIGTERM
+    stop_at: float | None  # when it received SIGTERM
 
     @property
-    def running(self) -> bool: ...
+    def running(self) -> bool:
+        """Whether it has not ended."""
+        ...
+
     @property
-    def has_listener(self) -> bool: ...
+    def has_listener(self) -> bool:
+        """Whether its listening socket for clients is open."""
+        ...
+
     @property
-    def accepts(self) -> bool: ...
+    def accepts(self) -> bool:
+        """Whether a client can connect to it."""
+        ...
+
     @property
     def busy(self) -> bool:
-        """It has connections of clients, or requests that are open."""
+        """Whether it has client connections or open requests."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class Owed:
-    """A request that is owed its one final answer."""
+class TrackedRequest:
+    """A request for which one final answer is expected."""
 
-    who: str
+    client: str
     name: str
-    start: int = 0  # its first byte on its connection
-    whole: bool = False
-    begun: bool = False  # the head of its answer has come
-    over: bool = False  # answered, lost, or its client has gone
+    start_offset: int = 0  # offset of its first byte on its connection
+    complete: bool = False  # its last byte is written
+    answer_begun: bool = False  # the header section of its answer was received
+    settled: bool = False  # no answer is expected any more: answered, lost, or closed by its client
 
 
 class Judge:
-    """Keeps the books of one scenario.  ``faults`` are told as soon as they are seen."""
+    """Checks the invariants of one scenario; ``faults`` lists the violations in the order of detection."""
 
     def __init__(self, reactor: Any, processes: Callable[[], Sequence[Process]], margin_s: float) -> None:
         self.reactor, self._processes = reactor, processes
-        self._margin_s = margin_s  # against real processes
-        self.longest_s = LEAST_LONGEST_S
+        self._margin_s = margin_s  # tolerance for processes in real time
+        self.max_deadline_s = MIN_KILL_DEADLINE_S
         self.faults: list[str] = []
-        self.allowed: set[str] = set()  # that the scenario says are left without an answer
+        self.expected_unanswered: set[str] = set()  # "CLIENT ID", as declared by the scenario
         self.unanswered: list[str] = []
         self.closed_unread = 0
-        self._owed: list[Owed] = []
-        self._since: dict[tuple[str, str], float] = {}  # what holds of which process, and since when
+        self._requests: list[TrackedRequest] = []
+        self._condition_since: dict[tuple[str, str], float] = {}  # by process and condition: when it began
         self._ended = False
 
     # ---- requests ----
 
-    def asked(self, who: str, name: str, start: int = 0) -> Owed:
-        owed = Owed(who, name, start)
-        self._owed.append(owed)
-        return owed
-
-    def is_whole(self, owed: Owed, within_s: float | None, waits: Callable[[], bool]) -> None:
-        """Its last byte is written: its time runs.  ``waits``: its client reads what comes."""
-        owed.whole = True
-        within = self.longest_s if within_s is None else within_s
-        self.reactor.callLater(within + SLACK_S + self._margin_s, self._due, owed, waits)
-
-    def _due(self, owed: Owed, waits: Callable[[], bool]) -> None:
-        if owed.over or owed.begun or self._ended:
+    def add_request(self, client: str, name: str, start_offset: int = 0) -> TrackedRequest:
+        """Track a request whose header section, or command, was written."""
+        request = TrackedRequest(client, name, start_offset)
+        self._requests.append(request)
+        return request
+
+    def request_complete(
+        self, request: TrackedRequest, within_s: float | None, is_reading: Callable[[], bool]
+    ) -> None:
+        """Start the time limit of a request whose last byte was written.
+
+        ``within_s`` is its own limit, or None for the longest deadline.  While ``is_reading`` returns false
+        the client does not read, and a missing answer is not a fault.
+        """
+        request.complete = True
+        limit_s = self.max_deadline_s if within_s is None else within_s
+        self.reactor.callLater(
+            limit_s + PROTOCOL_SLACK_S + self._margin_s, self._check_deadline, request, is_reading
+        )
+
+    def _check_deadline(self, request: TrackedRequest, is_reading: Callable[[], bool]) -> None:
+        if request.settled or request.answer_begun or self._ended:
             return
-        if waits():
-            self.left(owed, "no answer in its time")
+        if is_reading():
+            self.mark_unanswered(request, "no answer in its time")
         else:
-            self.reactor.callLater(STALL_LOOK_S, self._due, owed, waits)
+            self.reactor.callLater(STALLED_CLIENT_POLL_S, self._check_deadline, request, is_reading)
 
-    def answered(self, owed: Owed) -> None:
-        owed.over = True
+    def answered(self, request: TrackedRequest) -> None:
+        """Settle a request whose answer is complete."""
+        request.settled = True
 
-    def left(self, owed: Owed, why: str) -> None:
-        """It has no final answer, and will have none."""
-        if owed.over:
+    def mark_unanswered(self, request: TrackedRequest, reason: str) -> None:
+        """Settle a request that will get no final answer: a fault unless the scenario declares it."""
+        if request.settled:
             return
-        owed.over = True
-        key = f"{owed.who} {owed.name}"
+        request.settled = True
+        key = f"{request.client} {request.name}"
         self.unanswered.append(key)
-        if key not in self.allowed:
-            self.fault(f"{owed.who}: request {owed.name}: {why}")
+        if key not in self.expected_unanswered:
+            self.add_fault(f"{request.client}: request {request.name}: {reason}")
 
-    def fault(self, text: str) -> None:
+    def add_fault(self, text: str) -> None:
+        """Record a violation with the current time."""
         self.faults.append(f"{self.reactor.seconds():.3f}: {text}")
 
     @property
     def pending(self) -> bool:
-        """Some request has its time yet."""
-        return any(owed.whole and not (owed.over or owed.begun) for owed in self._owed)
+        """Whether a complete request waits for the start of its answer."""
+        return any(
+            request.complete and not (request.settled or request.answer_begun) for request in self._requests
+        )
 
     def finish(self) -> None:
-        """The scenario is over, and all times are up."""
+        """Check the requests after the end of the scenario, when every time limit has passed."""
         self._ended = True
-        for owed in self._owed:
-            if owed.begun and not owed.over:
-                self.left(owed, "its answer never ended")
-        for key in sorted(self.allowed - set(self.unanswered)):
-            self.fault(f"{key} is to be left unanswered and is not")
+        for request in self._requests:
+            if request.answer_begun and not request.settled:
+                self.mark_unanswered(request, "its answer never ended")
+        for key in sorted(self.expected_unanswered - set(self.unanswered)):
+            self.add_fault(f"{key} is to be left unanswered and is not")
 
     # ---- processes ----
 
-    def watch(self) -> None:
-        """Look at the processes from now on."""
+    def poll_processes(self) -> None:
+        """Check the processes now and every PROCESS_POLL_S until the scenario ends."""
         if not self._ended:
-            self.look()
-            self.reactor.callLater(LOOK_S, self.watch)
+            self.check_processes()
+            self.reactor.callLater(PROCESS_POLL_S, self.poll_processes)
 
-    def look(self) -> None:
+    def check_processes(self) -> None:
+        """Check once that each process serves or ends."""
         now, processes = self.reactor.seconds(), self._processes()
         for process in processes:
             if not process.running:
                 continue
-            others = any(p.running and p.accepts for p in processes if p is not process)
-            coming = process.stop_at is None or now < process.stop_at + COMING_S
-            shut = coming and not process.accepts and not others
-            self._holds(process, "nobody can come in", shut, SHUT_S)
-            useless = not process.has_listener and not process.busy
-            self._holds(process, "it runs on and serves nobody", useless, USELESS_S)
+            other_accepts = any(p.running and p.accepts for p in processes if p is not process)
+            must_accept = process.stop_at is None or now < process.stop_at + ACCEPT_AFTER_SIGTERM_S
+            unreachable = must_accept and not process.accepts and not other_accepts
+            self._check_condition(process, "nobody can come in", unreachable, MAX_UNREACHABLE_S)
+            lingers = not process.has_listener and not process.busy
+            self._check_condition(process, "it runs on and serves nobody", lingers, MAX_LINGER_S)
             if process.stop_at is not None:
-                # What is being passed on may go on for as long as nobody kills it.
-                passing = any(owed.begun and not owed.over for owed in self._owed)
-                late = now > process.stop_at + self.kill_s + self._margin_s and not passing
-                self._holds(process, "it has not ended in its time", late, 0.0)
-
-    def _holds(self, process: Process, what: str, true: bool, for_s: float) -> None:
-        now, key = self.reactor.seconds(), (process.name, what)
-        if not true:
-            self._since.pop(key, None)
-        elif now - self._since.setdefault(key, now) >= for_s + self._margin_s:
-            self.fault(f"process {process.name}: {what}")
-            self._since[key] = float("inf")  # said once
+                # An answer that is being forwarded may go on until the process is killed.
+                forwarding = any(request.answer_begun and not request.settled for request in self._requests)
+                late = now > process.stop_at + self.kill_after_s + self._margin_s and not forwarding
+                self._check_condition(process, "it has not ended in its time", late, 0.0)
+
+    def _check_condition(self, process: Process, condition: str, holds: bool, allowed_s: float) -> None:
+        """Record a fault once a condition of a process has held for longer than allowed."""
+        now, key = self.reactor.seconds(), (process.name, condition)
+        if not holds:
+            self._condition_since.pop(key, None)
+        elif now - self._condition_since.setdefault(key, now) >= allowed_s + self._margin_s:
+            self.add_fault(f"process {process.name}: {condition}")
+            self._condition_since[key] = float("inf")  # reported once
 
     @property
-    def kill_s(self) -> float:
-        return max(LEAST_LONGEST_S, self.longest_s) + KILL_S
+    def kill_after_s(self) -> float:
+        """Seconds from SIGTERM to SIGKILL."""
+        return max(MIN_KILL_DEADLINE_S, self.max_deadline_s) + KILL_DELAY_S
 
     @property
     def ending(self) -> bool:
-        """A process that was told to end runs yet."""
+        """Whether a process that received SIGTERM still runs."""
         return any(p.running and p.stop_at is not None for p in self._processes())
 
 
 @dataclass(slots=True, eq=False)
-class RequestBook:
-    """What one connection of a client has asked, read out of what it writes."""
+class RequestTracker:
+    """Tracks the requests of one client connection by parsing what the client writes."""
 
     judge: Judge
-    who: str
-    waits: Callable[[], bool]
-    _sent: Parser = field(default_factory=lambda: Parser(answers=False, max_body=None))
-    _open: deque[Owed] = field(default_factory=deque)
+    client: str
+    is_reading: Callable[[], bool]
+    _parser: Parser = field(default_factory=lambda: Parser(answers=False, max_body=None))
+    _open: deque[TrackedRequest] = field(default_factory=deque)
     _head: Head | None = None
-    _start: int = 0  # where the one that is being written began
-    _owed: Owed | None = None  # the one that is being written
-    _bad: bool = False  # what it wrote from here on is no request
-    _refused: bool = False  # an error of the client's has ended the connection
-
-    def wrote(self, data: bytes) -> None:
-        if self._bad:
+    _start_offset: int = 0  # of the request that is being written
+    _request: TrackedRequest | None = None  # that is being written
+    _malformed: bool = False  # what the client writes from here on is not a request
+    _closed_by_error: bool = False  # a 4xx answer has announced the end of the connection
+
+    def record_write(self, data: bytes) -> None:
+        """Track the requests in bytes that the client writes."""
+        if self._malformed:
             return
-        self._sent.feed(data)
+        self._parser.feed(data)
         try:
             more = True
             while more:
                 more = False
-                for part in self._sent.parts():
+                for part in self._parser.parts():
                     if isinstance(part, Head):
                         self._head = part
                         name = part.headers.get("request-id", part.target)
-                        self._owed = self.judge.asked(self.who, name, self._start)
-                        self._open.append(self._owed)
+                        self._request = self.judge.add_request(self.client, name, self._start_offset)
+                        self._open.append(self._request)
                     elif isinstance(part, EndOfMessage):
-                        self._whole()
-                        self._start = self._sent.bytes_read
-                        more = self._sent.buffered > 0
+                        self._request_complete()
+                        self._start_offset = self._parser.bytes_read
+                        more = self._parser.buffered > 0
         except BadMessage:
-            self._bad = True
+            self._malformed = True
 
-    def _whole(self) -> None:
-        owed, head = self._owed, self._head
-        if owed is None or head is None:
+    def _request_complete(self) -> None:
+        request, head = self._request, self._head
+        if request is None or head is None:
             return
-        told = head.headers.get("request-timeout-ms", "")
-        self._owed = self._head = None
-        if not owed.over:
-            self.judge.is_whole(owed, int(told) / 1000 if told.isdigit() else None, self.waits)
-
-    def headed(self, head: Head) -> None:
-        """The head of a final answer has come."""
+        timeout_ms = head.headers.get("request-timeout-ms", "")
+        self._request = self._head = None
+        if not request.settled:
+            self.judge.request_complete(
+                request, int(timeout_ms) / 1000 if timeout_ms.isdigit() else None, self.is_reading
+            )
+
+    def header_received(self, head: Head) -> None:
+        """Record the header section of a final answer."""
         if self._open:
-            self._open[0].begun = True
-        elif not self._bad and self._sent.between_messages:
-            self.judge.fault(f"{self.who}: an answer that nothing asked for: {head.status}")
-        self._refused = 400 <= head.status < 500 and not head.keep_alive
+            self._open[0].answer_begun = True
+        elif not self._malformed and self._parser.between_messages:
+            self.judge.add_fault(f"{self.client}: an answer that nothing asked for: {head.status}")
+        self._closed_by_error = 400 <= head.status < 500 and not head.keep_alive
 
     def answered(self) -> None:
+        """Settle the oldest open request: its answer is complete."""
         if self._open:
             self.judge.answered(self._open.popleft())
 
-    def lost(self, delivered: int | None) -> None:
-        """The head has ended the connection; ``delivered``: how much of what was written it has read."""
-        for owed in self._open:
-            if not owed.whole or (self._refused and not owed.begun):
-                owed.over = True  # it never came whole, or was written behind what ended the connection
-            elif not owed.begun and delivered is not None and owed.start >= delivered:
-                owed.over = True
+    def connection_lost(self, delivered: int | None) -> None:
+        """Settle all open requests: the gateway has closed the connection.
+
+        ``delivered`` is how many of the written bytes the gateway has read, or None if that is not known.
+        """
+        for request in self._open:
+            if not request.complete or (self._closed_by_error and not request.answer_begun):
+                request.settled = True  # never written completely, or written after the closing error
+            elif not request.answer_begun and delivered is not None and request.start_offset >= delivered:
+                request.settled = True
                 self.judge.closed_unread += 1
             else:
-                self.judge.left(owed, "its answer broke off" if owed.begun else "its connection ended")
+                self.judge.mark_unanswered(
+                    request, "its answer broke off" if request.answer_begun else "its connection ended"
+                )
         self._open.clear()
 
-    def gone(self) -> None:
-        """The client has left: nothing is owed to it."""
-        for owed in self._open:
-            owed.over = True
+    def client_closed(self) -> None:
+        """Settle all open requests: the client has closed the connection and expects no answers."""
+        for request in self._open:
+            request.settled = True
         self._open.clear()
--- a/gaugesail/rehearsal/memory.py
+++ b/gaugesail/rehearsal/memory.py
@@ -1,7 +1,7 @@
-"""A reactor in memory: TCP between parties of one process, in time that only a rehearsal moves.
+"""A reactor in memory: TCP between the parties of one process, in virtual time.
 
-It lets a scenario play the same way every time.  It keeps to what Twisted's own transports promise: bytes
-in order, callbacks never from inside ``write``, producers paused and resumed, one connectionLost.
+A scenario plays the same way every time.  The transports keep the guarantees of Twisted's own: bytes arrive
+in order, no callback runs inside ``write``, producers are paused and resumed, connectionLost is called once.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from .timeline import Timeline
 
-Failure: Any = failure.Failure  # these have no annotations
+Failure: Any = failure.Failure  # Twisted does not annotate these
 CannotListenError: Any = error.CannotListenError
 ConnectionAborted: Any = error.ConnectionAborted
 ConnectionDone: Any = error.ConnectionDone
@@ -26,22 +26,22 @@
 
 
 class MemoryTransport:
-    """One end of a connection."""
+    """One end of a connection, with the interface of a Twisted transport."""
 
-    bufferSize = 64 * 1024  # noqa: N815  Twisted's: what it may hold unsent before its producer is paused
+    bufferSize = 64 * 1024  # noqa: N815  Twisted's name: unsent bytes above which the producer is paused
 
     def __init__(self, reactor: MemoryReactor, protocol: Any, host: Any, peer: Any) -> None:
         self._reactor, self._protocol = reactor, protocol
         self._addresses = host, peer
         self.other: MemoryTransport | None = None
         self._out = bytearray()
-        self.delivered = 0  # bytes that the other side has read
+        self.delivered = 0  # bytes that the other end has read
         self._producer: Any = None
         self._streaming = self._producer_paused = self._reading_paused = False
-        self._scheduled = self._closing = False
-        self._descriptors: list[int] = []  # on their way to the other side
+        self._flush_scheduled = self._close_requested = False
+        self._descriptors: list[int] = []  # sent, and not yet received by the other end
         self.disconnected = False
-        self.process: ProcessReactor | None = None  # that holds it
+        self.process: ProcessReactor | None = None  # the process that owns this end
 
     def setTcpNoDelay(self, on: bool) -> None:
         pass
@@ -53,20 +53,20 @@
         return self._addresses[1]
 
     def write(self, data: bytes) -> None:
-        if self.disconnected or (self._closing and self._producer is None):
+        if self.disconnected or (self._close_requested and self._producer is None):
             return
         self._out += data
         full = len(self._out) > self.bufferSize
         if full and self._producer and self._streaming and not self._producer_paused:
             self._producer_paused = True
             self._producer.pauseProducing()
-        self._soon()
+        self._schedule_flush()
 
     def sendFileDescriptor(self, descriptor: int) -> None:
         self._descriptors.append(self._reactor.descriptor(self._reactor.descriptors[descriptor]))
 
     def startWriting(self) -> None:
-        self._soon()
+        self._schedule_flush()
 
     def stopWriting(self) -> None:
         pass
@@ -79,21 +79,21 @@
         return self
 
     def detach(self) -> int:
-        """What stands for this end of the connection from now on; whoever adopts it is its protocol."""
+        """Return a descriptor for this end of the connection, which has no protocol until it is adopted."""
         self._protocol = self._producer = None
         return self._reactor.descriptor(self)
 
-    def _soon(self) -> None:
-        if not self._scheduled and not self.disconnected:
-            self._scheduled = True
-            self._reactor.callLater(0, self._push)
+    def _schedule_flush(self) -> None:
+        if not self._flush_scheduled and not self.disconnected:
+            self._flush_scheduled = True
+            self._reactor.callLater(0, self._flush)
 
-    def _push(self) -> None:
-        self._scheduled = False
+    def _flush(self) -> None:
+        self._flush_scheduled = False
         if self.disconnected or self.other is None or self.other._reading_paused or not self.other._protocol:
             return
         if self._out:
-            data = bytes(self._out[: self.other.bufferSize])  # as much as it reads at once
+            data = bytes(self._out[: self.other.bufferSize])  # one read of the other end
             del self._out[: self.other.bufferSize]
             if not self.other.disconnected:
                 self.delivered += len(data)
@@ -102,18 +102,18 @@
                     self.other._protocol.fileDescriptorReceived(descriptor)
                 self.other._protocol.dataReceived(data)
         if self._out:
-            self._soon()
+            self._schedule_flush()
             return
         if self._producer is not None and not self.disconnected:
             if not self._streaming or self._producer_paused:
                 self._producer_paused = False
                 self._producer.resumeProducing()
-        elif self._closing and not self._out:
+        elif self._close_requested and not self._out:
             self._end(ConnectionDone(), ConnectionDone())
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
         if self._producer is not None:
-            raise RuntimeError("a producer is registered already")
+            raise RuntimeError("a producer is already registered")
         if self.disconnected:
             producer.stopProducing()
             return
@@ -123,8 +123,8 @@
 
     def unregisterProducer(self) -> None:
         self._producer = None
-        if self._closing:
-            self._soon()
+        if self._close_requested:
+            self._schedule_flush()
 
     def pauseProducing(self) -> None:
         self._reading_paused = True
@@ -132,46 +132,46 @@
     def resumeProducing(self) -> None:
         self._reading_paused = False
         if self.other is not None:
-            self.other._soon()
+            self.other._schedule_flush()
 
     def loseConnection(self) -> None:
-        self._closing = True
-        self._soon()
+        self._close_requested = True
+        self._schedule_flush()
 
     def loseWriteConnection(self) -> None:
-        """The other side reads the end; as no protocol here takes half a close, it closes in turn."""
+        """Close the connection: no protocol here continues after a half-close, the other end closes too."""
         self.loseConnection()
 
     def abortConnection(self) -> None:
         if not self.disconnected:
             self._reactor.callLater(0, self._end, ConnectionAborted(), ConnectionLost())
 
-    def _end(self, mine: Exception, theirs: Exception) -> None:
+    def _end(self, local_reason: Exception, remote_reason: Exception) -> None:
         if self.disconnected:
             return
         other = self.other
-        self._lost(mine)
+        self._lost(local_reason)
         if other is not None:
-            self._reactor.callLater(0, other._lost, theirs)
+            self._reactor.callLater(0, other._lost, remote_reason)
 
-    def _lost(self, why: Exception) -> None:
+    def _lost(self, reason: Exception) -> None:
         if self.disconnected:
             return
         self.disconnected = True
         if self._protocol is None:
-            return  # on its way from one process to another
+            return  # detached, and not yet adopted by another process
         producer, self._producer = self._producer, None
         if producer is not None:
             producer.stopProducing()
-        self._protocol.connectionLost(Failure(why))
+        self._protocol.connectionLost(Failure(reason))
 
 
 class _Port:
-    """A listening socket; several ports may share one, as processes do that hand it over."""
+    """A listening socket; several ports may share one, as when one process hands it over to another."""
 
     def __init__(self, reactor: MemoryReactor, address: Any, factory: Any) -> None:
         self._reactor, self._address, self.factory = reactor, address, factory
-        self.held = False  # connections wait to be accepted
+        self.accepting_paused = False  # new connections wait
         self.process: ProcessReactor | None = None
         reactor.ports.setdefault(address, []).append(self)
 
@@ -179,14 +179,14 @@
         return self._address
 
     def fileno(self) -> int:
-        """A descriptor of its own for each call, that stands for the socket."""
+        """Return a new descriptor for the socket."""
         return self._reactor.descriptor(self._address)
 
     def stopReading(self) -> None:
-        self.held = True
+        self.accepting_paused = True
 
     def startReading(self) -> None:
-        self.held = False
+        self.accepting_paused = False
 
     def stopListening(self) -> None:
         ports = self._reactor.ports.get(self._address, [])
@@ -205,12 +205,12 @@
 
 
 class MemoryReactor(Timeline):
-    """callLater, listenTCP and connectTCP, all in memory.  ``silent`` addresses never answer a connect."""
+    """The reactor interface that gaugesail uses, in memory; a connect to a ``silent`` address times out."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.ports: dict[Any, list[_Port]] = {}  # by address; a Unix socket's is its path
-        self.descriptors: dict[int, Any] = {}  # real ones, that stand for the socket at an address
+        self.ports: dict[Any, list[_Port]] = {}  # by address; the address of a Unix socket is its path
+        self.descriptors: dict[int, Any] = {}  # real descriptors, and what each represents
         self.silent: set[tuple[str, int]] = set()
         self._next_port = 20_000
 
@@ -227,20 +227,21 @@
         return _Port(self, os.path.realpath(address), factory)
 
     def descriptor(self, address: Any) -> int:
-        made = os.open(os.devnull, os.O_RDONLY)
-        self.descriptors[made] = address
-        return made
+        """Return a new descriptor that represents the socket at an address, or a transport."""
+        created = os.open(os.devnull, os.O_RDONLY)
+        self.descriptors[created] = address
+        return created
 
     def adoptStreamPort(self, descriptor: int, family: int, factory: Any) -> _Port:
         return _Port(self, self.descriptors[descriptor], factory)
 
     def adoptStreamConnection(self, descriptor: int, family: int, factory: Any) -> None:
-        end: MemoryTransport = self.descriptors[descriptor]
-        if end.disconnected:
+        transport: MemoryTransport = self.descriptors[descriptor]
+        if transport.disconnected:
             raise OSError("not connected")
-        end._protocol = factory.buildProtocol(end.getPeer())
-        end._protocol.makeConnection(end)
-        end.resumeProducing()
+        transport._protocol = factory.buildProtocol(transport.getPeer())
+        transport._protocol.makeConnection(transport)
+        transport.resumeProducing()
 
     def connectUNIX(
         self,
@@ -262,10 +263,10 @@
         return self.connect(IPv4Address("TCP", host, port), factory, timeout)
 
     def connect(
-        self, there: Any, factory: Any, timeout: float, process: ProcessReactor | None = None
+        self, address: Any, factory: Any, timeout: float, process: ProcessReactor | None = None
     ) -> _Connector:
         connector = _Connector()
-        silent = isinstance(there, IPv4Address) and (there.host, there.port) in self.silent
+        silent = isinstance(address, IPv4Address) and (address.host, address.port) in self.silent
         factory.doStart()
 
         def failed(error: Exception) -> None:
@@ -274,74 +275,77 @@
             connector.failed = lambda error: None
             factory.clientConnectionFailed(connector, Failure(error))
 
-        def up() -> None:
+        def establish() -> None:
             connector.failed = lambda error: None
             if silent:
                 factory.clientConnectionFailed(connector, Failure(TimeoutError()))
                 return
-            ports = self.ports.get(there, [])
-            listener = next((port for port in ports if not port.held), None)
+            ports = self.ports.get(address, [])
+            listener = next((port for port in ports if not port.accepting_paused), None)
             if ports and listener is None:
-                self.callLater(0.01, up)
+                self.callLater(0.01, establish)
                 return
-            server = listener.factory.buildProtocol(there) if listener is not None else None
+            server = listener.factory.buildProtocol(address) if listener is not None else None
             if listener is None or server is None:
                 factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))
                 return
             self._next_port += 1
-            here = IPv4Address("TCP", "127.0.0.1", self._next_port)
-            client = factory.buildProtocol(there)
-            ends = MemoryTransport(self, client, here, there), MemoryTransport(self, server, there, here)
-            ends[0].other, ends[1].other = ends[1], ends[0]
-            ends[0].process, ends[1].process = process, listener.process
-            for end in ends:
-                if end.process is not None:
-                    end.process.ends.append(end)
-            server.makeConnection(ends[1])
-            client.makeConnection(ends[0])
+            client_address = IPv4Address("TCP", "127.0.0.1", self._next_port)
+            client = factory.buildProtocol(address)
+            transports = (
+                MemoryTransport(self, client, client_address, address),
+                MemoryTransport(self, server, address, client_address),
+            )
+            transports[0].other, transports[1].other = transports[1], transports[0]
+            transports[0].process, transports[1].process = process, listener.process
+            for transport in transports:
+                if transport.process is not None:
+                    transport.process.transports.append(transport)
+            server.makeConnection(transports[1])
+            client.makeConnection(transports[0])
 
         connector.failed = failed
-        call: Any = self.callLater(timeout if silent else 0, up)
+        call: Any = self.callLater(timeout if silent else 0, establish)
         return connector
 
 
 class ProcessReactor:
-    """The reactor as one process has it: what it holds goes when the process ends, and its calls with it."""
+    """The reactor of one process: its ports, connections and delayed calls end with the process."""
 
     def __init__(self, reactor: MemoryReactor) -> None:
         self._reactor = reactor
-        self.listening: list[_Port] = []
-        self.ends: list[MemoryTransport] = []
-        self.over = False
+        self.listening_ports: list[_Port] = []
+        self.transports: list[MemoryTransport] = []
+        self.ended = False
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._reactor, name)
 
     def callLater(self, delay: float, call: Callable[..., Any], /, *args: Any, **named: Any) -> Any:
         def run() -> None:
-            if not self.over:
+            if not self.ended:
                 call(*args, **named)
 
         return self._reactor.callLater(delay, run)
 
-    def _own(self, port: _Port) -> _Port:
+    def _add_port(self, port: _Port) -> _Port:
         port.process = self
-        self.listening.append(port)
+        self.listening_ports.append(port)
         return port
 
     def listenTCP(self, *args: Any, **named: Any) -> _Port:
-        return self._own(self._reactor.listenTCP(*args, **named))
+        return self._add_port(self._reactor.listenTCP(*args, **named))
 
     def listenUNIX(self, *args: Any, **named: Any) -> _Port:
-        return self._own(self._reactor.listenUNIX(*args, **named))
+        return self._add_port(self._reactor.listenUNIX(*args, **named))
 
     def adoptStreamPort(self, *args: Any) -> _Port:
-        return self._own(self._reactor.adoptStreamPort(*args))
+        return self._add_port(self._reactor.adoptStreamPort(*args))
 
     def adoptStreamConnection(self, descriptor: int, family: int, factory: Any) -> None:
-        end: MemoryTransport = self._reactor.descriptors[descriptor]
-        end.process = self
-        self.ends.append(end)
+        transport: MemoryTransport = self._reactor.descriptors[descriptor]
+        transport.process = self
+        self.transports.append(transport)
         self._reactor.adoptStreamConnection(descriptor, family, factory)
 
     def connectUNIX(
@@ -364,26 +368,26 @@
         return self._reactor.connect(IPv4Address("TCP", host, port), factory, timeout, self)
 
     def end(self) -> None:
-        """The process is there no more: nothing of it is called again, and its connections end."""
-        self.over = True
-        for port in self.listening:
+        """End the process: none of its calls run any more, its ports close and its connections end."""
+        self.ended = True
+        for port in self.listening_ports:
             port.stopListening()
-        for end in self.ends:
-            if end.process is not self or end.disconnected:
+        for transport in self.transports:
+            if transport.process is not self or transport.disconnected:
                 continue
-            other, end.disconnected = end.other, True
+            other, transport.disconnected = transport.other, True
             if other is None:
                 continue
-            # What the system has of us it still sends, unless there is something that nobody read.
-            if other._out or not end._out:
-                why = ConnectionLost() if other._out else ConnectionDone()
-                self._reactor.callLater(0, other._lost, why)
+            # The kernel still sends written data, but resets the connection if received data was not read.
+            if other._out or not transport._out:
+                reason = ConnectionLost() if other._out else ConnectionDone()
+                self._reactor.callLater(0, other._lost, reason)
             else:
-                rest = bytes(end._out)
-                self._reactor.callLater(0, self._last_words, other, rest)
+                unread = bytes(transport._out)
+                self._reactor.callLater(0, self._deliver_rest, other, unread)
 
     @staticmethod
-    def _last_words(other: MemoryTransport, rest: bytes) -> None:
+    def _deliver_rest(other: MemoryTransport, unread: bytes) -> None:
         if not other.disconnected and other._protocol is not None:
-            other._protocol.dataReceived(rest)
+            other._protocol.dataReceived(unread)
             other._lost(ConnectionDone())
--- a/gaugesail/rehearsal/scenario.py
+++ b/gaugesail/rehearsal/scenario.py
@@ -1,32 +1,32 @@
 """The scenario language and its runner.
 
-One line is one step; ``#`` starts a comment.  A file may hold several scenarios, each after a line
+Each line is one step; ``#`` starts a comment.  A file may hold several scenarios, each after a line
 
     scenario NAME
 
 In each, declarations come first:
 
-    daemon http|iscsi [path=value ...]   which head, and changes to its settings
-    brick NAME shard=N                   a stand-in brick that the list names (http)
-    node NAME shard=N                    a stand-in storage node (iscsi)
-    client NAME / initiator NAME         a stand-in client
-    caller NAME                          one who calls at the second address
+    daemon http|iscsi [path=value ...]   the gateway's protocol, and changes to its settings
+    brick NAME shard=N                   a simulated node that the endpoint list names (http)
+    node NAME shard=N                    a simulated storage node (iscsi)
+    client NAME / initiator NAME         a simulated client
+    caller NAME                          a client of the management address
     unanswered CLIENT ID...              requests that get no final answer, as the scenario is about that
 
 then the four verbs:
 
-    send WHO WORDS...                    the stand-in tells what they mean (peers.py, iscsi_peers.py)
-    expect WHO WORDS... [within SECONDS] the next thing that WHO saw; a word may hold * and ?
-    expect WHO nothing                   WHO has seen nothing more by now
-    close WHO [WORDS...]                 a client leaves, a node dies, the daemon gets SIGTERM
+    send WHO WORDS...                    an action of the peer (peers.py, iscsi_peers.py)
+    expect WHO WORDS... [within SECONDS] the next event that WHO observed; a word may contain * and ?
+    expect WHO nothing                   WHO has observed nothing more so far
+    close WHO [WORDS...]                 a client disconnects, a node dies, the daemon gets SIGTERM
     wait SECONDS
 
-Beside its lines, ``judge.py`` checks in each scenario that every request has its one answer in time, and that
-every process serves or ends.
+In addition to these lines, ``judge.py`` checks in each scenario that every request has one answer in time,
+and that every process serves or ends.
 
-``list`` is discovery and ``daemon`` the daemon itself, whose end is seen as ``exit CODE``;
-``send daemon reload`` replaces its file, ``send daemon replace`` starts the next process beside it, and
-``close daemon`` then means the one that has run for longest.  ``send daemon kill`` is SIGKILL to the latest.
+``list`` is discovery.  ``daemon`` is the daemon itself; its end is observed as ``exit CODE``.
+``send daemon reload`` replaces its file, ``send daemon replace`` starts another process beside it, and
+``close daemon`` then means the oldest running process.  ``send daemon kill`` is SIGKILL to the newest.
 """
 
 from __future__ import annotations
@@ -40,15 +40,25 @@
 
 from . import defaults, iscsi_peers
 from .judge import Judge, Process
-from .peers import Caller, Directory, HttpBrick, HttpClient, Listener, Peer, ScenarioError, Words, options
-
-PATIENCE_S = 10.0  # how long an expect without ``within`` waits
+from .peers import (
+    Directory,
+    HttpClient,
+    HttpNode,
+    Listener,
+    ManagementClient,
+    Peer,
+    ScenarioError,
+    Words,
+    options,
+)
+
+DEFAULT_EXPECT_S = 10.0  # how long an expect without ``within`` waits
 DECLARATIONS = ("daemon", "brick", "node", "client", "initiator", "caller", "unanswered")
 VERBS = ("send", "expect", "close", "wait")
 
 
 class ScenarioFailed(Exception):
-    """A step did not come true; the text names the line."""
+    """A step failed; the text names its line."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,14 +71,14 @@
 
 
 def split(text: str) -> dict[str, list[Step]]:
-    """The scenarios of a file by name; ScenarioError names the line that cannot be read."""
+    """Parse the scenarios of a file, by name; a ScenarioError names the invalid line."""
     parts: dict[str, list[tuple[int, str]]] = {}
     current: list[tuple[int, str]] = []
     for number, line in enumerate(text.splitlines(), 1):
         if line.startswith("scenario "):
             name = line.partition(" ")[2].strip()
             if name in parts:
-                raise ScenarioError(f"line {number}: a second scenario {name!r}")
+                raise ScenarioError(f"line {number}: duplicate scenario {name!r}")
             current = parts[name] = []
         elif parts:
             current.append((number, line))
@@ -78,9 +88,9 @@
 
 
 def parse(lines: list[tuple[int, str]]) -> list[Step]:
-    """The steps of one scenario from its numbered lines."""
+    """Parse the numbered lines of one scenario; a ScenarioError names the invalid line."""
     steps: list[Step] = []
-    acting = False
+    after_verb = False
     for number, line in lines:
         try:
             words = shlex.split(line, comments=True)
@@ -91,11 +101,11 @@
         verb, rest = words[0], tuple(words[1:])
         if verb not in DECLARATIONS + VERBS:
             raise ScenarioError(f"line {number}: unknown word {verb!r}")
-        if verb in DECLARATIONS and acting:
+        if verb in DECLARATIONS and after_verb:
             raise ScenarioError(f"line {number}: {verb} must come before the first verb")
         if not rest or (verb in ("send", "expect") and len(rest) < 2):
             raise ScenarioError(f"line {number}: {verb} needs more words")
-        acting = acting or verb in VERBS
+        after_verb = after_verb or verb in VERBS
         steps.append(Step(number, verb, rest))
     if not any(step.verb == "expect" for step in steps):
         first = lines[0][0] if lines else 0
@@ -104,22 +114,48 @@
 
 
 class World(Protocol):
-    """Where a scenario is played: in memory and its own time, or on loopback against a process."""
+    """The environment of a scenario: in memory with virtual time, or on loopback with real processes."""
 
     reactor: Any
-    management: tuple[str, int]  # where the daemon takes calls, once it is started
-    margin_s: float  # by which anything may be late
-    watched: bool  # its processes can be looked at at any time
+    management: tuple[str, int]  # the daemon's management address, once it is started
+    margin_s: float  # tolerance on every time limit
+    monitored: bool  # its processes are polled while the scenario runs
+
+    def free_address(self) -> str:
+        """Return an address with a fixed port, for processes that share it."""
+        ...
+
+    def start(self, protocol: str, config: dict[str, Any], daemon: Peer) -> tuple[str, int]:
+        """Start a process and return its address for clients; ``daemon`` observes its end."""
+        ...
+
+    def reload(self, config: dict[str, Any]) -> None:
+        """Replace the file of the newest process and send it SIGHUP."""
+        ...
+
+    def stop(self) -> None:
+        """Send SIGTERM to the oldest running process."""
+        ...
+
+    def kill(self) -> None:
+        """Send SIGKILL to the newest running process."""
+        ...
 
-    def address(self) -> str: ...
-    def start(self, wire: str, config: dict[str, Any], daemon: Peer) -> tuple[str, int]: ...
-    def change(self, config: dict[str, Any]) -> None: ...
-    def stop(self) -> None: ...
-    def kill(self) -> None: ...
-    def processes(self) -> Sequence[Process]: ...
-    def until(self, done: Callable[[], bool], seconds: float) -> bool: ...
-    def settle(self) -> None: ...
-    def pass_time(self, seconds: float) -> None: ...
+    def processes(self) -> Sequence[Process]:
+        """Return all processes that have served, in the order of their starts."""
+        ...
+
+    def until(self, done: Callable[[], bool], seconds: float) -> bool:
+        """Let time pass until ``done`` is true; return false if it is not within ``seconds``."""
+        ...
+
+    def settle(self) -> None:
+        """Let what was sent arrive."""
+        ...
+
+    def pass_time(self, seconds: float) -> None:
+        """Let time pass."""
+        ...
 
 
 class Daemon(Peer):
@@ -129,30 +165,31 @@
         super().__init__("daemon")
         self._world = world
         self.config: dict[str, Any] = {}
-        self.wire = "http"
+        self.protocol = "http"
 
     def send_reload(self, words: Words) -> None:
-        """reload [path=value ...]: its file is replaced and SIGHUP sent; what was changed before stays so"""
+        """reload [path=value ...]: replace its file and send SIGHUP; earlier changes are kept"""
         self.config = copy.deepcopy(self.config)
         for path, value in options(words).items():
             defaults.change(self.config, path, value)
-        self._world.change(self.config)
+        self._world.reload(self.config)
 
     def send_misreload(self, words: Words) -> None:
-        """misreload path=value ...: as reload, with a file that is not good; the next one is again"""
+        """misreload path=value ...: reload with an invalid file; the next reload drops these changes"""
         kept = self.config
         self.send_reload(words)
         self.config = kept
 
     def send_replace(self, words: Words) -> None:
-        """replace: another process is started beside the one that runs, with the same address for clients"""
-        self._world.start(self.wire, self.config, self)
+        """replace: start another process beside the running one, with the same address for clients"""
+        self._world.start(self.protocol, self.config, self)
 
     def send_kill(self, words: Words) -> None:
-        """kill: SIGKILL to the process that was started last"""
+        """kill: send SIGKILL to the newest process"""
         self._world.kill()
 
     def close(self, words: Words) -> None:
+        """Send SIGTERM to the oldest process."""
         self._world.stop()
 
 
@@ -163,13 +200,13 @@
         self._world, self._steps = world, steps
         self._daemon = Daemon(world)
         self.peers: dict[str, Peer] = {"daemon": self._daemon}
-        self._wire, self._changes = "http", dict[str, str]()
+        self._protocol, self._changes = "http", dict[str, str]()
         self._started = False
         self._address = ("", 0)
         self.judge = Judge(world.reactor, world.processes, world.margin_s)
 
     def play(self) -> None:
-        """Returns when every step came true; ScenarioFailed names the first that did not."""
+        """Run all steps; ScenarioFailed names the first one that fails, or a broken invariant."""
         for step in self._steps:
             if self.judge.faults:
                 raise ScenarioFailed(f"before line {step.line}: {self.judge.faults[0]}")
@@ -179,57 +216,63 @@
                     continue
                 if not self._started:
                     self._start()
-                self._act(step)
+                self._run_step(step)
             except (ScenarioError, KeyError, IndexError, ValueError) as error:
                 raise ScenarioFailed(f"line {step.line}: {type(error).__name__}: {error}") from error
-        self._play_out()
+        self._finish_requests()
 
-    def _play_out(self) -> None:
-        """All that is owed has its time yet; then the judge has the last word."""
+    def _finish_requests(self) -> None:
+        """Wait for the pending answers and the ending processes, then run the judge's final checks."""
         judge = self.judge
         if self._started:
             self._world.settle()
-            self._world.until(lambda: bool(judge.faults) or not judge.pending, judge.longest_s + PATIENCE_S)
-            self._world.until(lambda: bool(judge.faults) or not judge.ending, judge.kill_s + PATIENCE_S)
-            judge.look()
+            self._world.until(
+                lambda: bool(judge.faults) or not judge.pending, judge.max_deadline_s + DEFAULT_EXPECT_S
+            )
+            self._world.until(
+                lambda: bool(judge.faults) or not judge.ending, judge.kill_after_s + DEFAULT_EXPECT_S
+            )
+            judge.check_processes()
             judge.finish()
         if judge.faults:
             raise ScenarioFailed(f"at the end: {'; '.join(judge.faults)}")
 
-    def _declare(self, what: str, words: Words) -> None:
+    def _declare(self, declaration: str, words: Words) -> None:
         reactor, given = self._world.reactor, options(words)
-        if what == "daemon":
-            self._wire, self._changes = words[0], given
-            if self._wire not in ("http", "iscsi"):
-                raise ScenarioError(f"no wire {self._wire!r}")
-        elif what == "unanswered":
-            self.judge.allowed |= {f"{words[0]} {name}" for name in words[1:]}
+        if declaration == "daemon":
+            self._protocol, self._changes = words[0], given
+            if self._protocol not in ("http", "iscsi"):
+                raise ScenarioError(f"unknown protocol {self._protocol!r}: expected http or iscsi")
+        elif declaration == "unanswered":
+            self.judge.expected_unanswered |= {f"{words[0]} {name}" for name in words[1:]}
         elif words[0] in self.peers:
             raise ScenarioError(f"{words[0]!r} is declared twice")
-        elif what == "brick":
-            self.peers[words[0]] = HttpBrick(reactor, words[0], int(given.get("shard", 0)))
-        elif what == "node":
+        elif declaration == "brick":
+            self.peers[words[0]] = HttpNode(reactor, words[0], int(given.get("shard", 0)))
+        elif declaration == "node":
             self.peers[words[0]] = iscsi_peers.IscsiNode(reactor, words[0], int(given.get("shard", 0)))
-        elif what == "client":
+        elif declaration == "client":
             self.peers[words[0]] = HttpClient(reactor, words[0], lambda: self._address)
-        elif what == "caller":
-            self.peers[words[0]] = Caller(reactor, words[0], lambda: self._world.management)
+        elif declaration == "caller":
+            self.peers[words[0]] = ManagementClient(reactor, words[0], lambda: self._world.management)
         else:
             self.peers[words[0]] = iscsi_peers.IscsiClient(reactor, words[0], lambda: self._address)
 
     def _start(self) -> None:
         self._started = True
-        if self._wire == "iscsi":
+        if self._protocol == "iscsi":
             nodes = [peer for peer in self.peers.values() if isinstance(peer, iscsi_peers.IscsiNode)]
             config = iscsi_peers.operator_file(nodes, self._changes)
             directory: Peer = iscsi_peers.OperatorFile(self._world, config)
         else:
             directory = Directory(
-                self._world.reactor, "list", lambda at: self._daemon.send_reload([f"discovery={at}"])
+                self._world.reactor,
+                "list",
+                lambda address: self._daemon.send_reload([f"discovery={address}"]),
             )
-            for brick in self.peers.values():
-                if isinstance(brick, HttpBrick):
-                    directory.add(brick)
+            for node in self.peers.values():
+                if isinstance(node, HttpNode):
+                    directory.add(node)
             config = {
                 "name": "rehearsed", "listen": "127.0.0.1:0", "discovery": directory.address, "seed": "7",
                 "management": "127.0.0.1:0",
@@ -239,58 +282,58 @@
             for path, value in self._changes.items():
                 defaults.change(config, path, value)
         if any(step.words[:2] == ("daemon", "replace") for step in self._steps):
-            # Both processes are told the same address: it can't be one that the system picks.
-            owner = config if self._wire == "http" else config["target"]
-            owner["listen"] = self._world.address()
+            # Both processes are given the same address, so the system cannot choose it.
+            owner = config if self._protocol == "http" else config["target"]
+            owner["listen"] = self._world.free_address()
         self.peers["list"] = directory
-        self._daemon.config, self._daemon.wire = config, self._wire
-        self.judge.longest_s = self._longest_s(config)
+        self._daemon.config, self._daemon.protocol = config, self._protocol
+        self.judge.max_deadline_s = self._max_deadline_s(config)
         for peer in self.peers.values():
             peer.judge = self.judge
-        self._address = self._world.start(self._wire, config, self._daemon)
-        if self._world.watched:
-            self.judge.watch()
+        self._address = self._world.start(self._protocol, config, self._daemon)
+        if self._world.monitored:
+            self.judge.poll_processes()
 
-    def _longest_s(self, config: dict[str, Any]) -> float:
-        """The longest deadline of a class."""
-        if self._wire == "iscsi":
+    def _max_deadline_s(self, config: dict[str, Any]) -> float:
+        """Return the longest deadline of all classes."""
+        if self._protocol == "iscsi":
             return float(max(row["deadline_ms"] for row in config["class"])) / 1e3
         return float(max(row["give_up_us"] for row in config["settings"]["categories"])) / 1e6
 
-    def _act(self, step: Step) -> None:
+    def _run_step(self, step: Step) -> None:
         words = list(step.words)
         if step.verb == "wait":
             self._world.pass_time(float(words[0]))
             return
-        who = self.peers.get(words[0])
-        if who is None:
-            raise ScenarioError(f"nobody is called {words[0]!r}")
+        peer = self.peers.get(words[0])
+        if peer is None:
+            raise ScenarioError(f"{words[0]!r} is not declared")
         if step.verb == "send":
-            who.send(words[1:])
+            peer.send(words[1:])
         elif step.verb == "close":
-            who.close(words[1:])
+            peer.close(words[1:])
         else:
-            self._expect(step, who, words[1:])
+            self._expect(step, peer, words[1:])
 
-    def _expect(self, step: Step, who: Peer, words: Words) -> None:
-        patience = PATIENCE_S
+    def _expect(self, step: Step, peer: Peer, words: Words) -> None:
+        timeout_s = DEFAULT_EXPECT_S
         if len(words) > 2 and words[-2] == "within":
-            patience, words = float(words[-1]), words[:-2]
+            timeout_s, words = float(words[-1]), words[:-2]
         if words == ["nothing"]:
             self._world.settle()
-            if who.inbox:
-                raise ScenarioFailed(f"line {step.line}: {who.name} saw {who.inbox[0]}, not nothing")
+            if peer.inbox:
+                raise ScenarioFailed(f"line {step.line}: {peer.name} saw {peer.inbox[0]}, not nothing")
             return
-        if not self._world.until(lambda: bool(who.inbox or self.judge.faults), patience):
-            raise ScenarioFailed(f"line {step.line}: {who.name} saw nothing for {patience} s, not {words}")
-        if not who.inbox:
+        if not self._world.until(lambda: bool(peer.inbox or self.judge.faults), timeout_s):
+            raise ScenarioFailed(f"line {step.line}: {peer.name} saw nothing for {timeout_s} s, not {words}")
+        if not peer.inbox:
             raise ScenarioFailed(f"line {step.line}: {self.judge.faults[0]}")
-        seen = who.inbox.popleft()
+        seen = peer.inbox.popleft()
         if len(seen) < len(words) or not all(map(fnmatchcase, seen, words)):
-            raise ScenarioFailed(f"line {step.line}: {who.name} saw {seen}, not {words}")
+            raise ScenarioFailed(f"line {step.line}: {peer.name} saw {seen}, not {words}")
 
     def finish(self) -> None:
-        """Take the listeners down."""
+        """Close the listeners."""
         for peer in self.peers.values():
             if isinstance(peer, Listener):
                 peer.close([])
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -204,7 +204,7 @@
 
 def test_a_large_answer_is_read_no_faster_than_its_client_reads() -> None:
     text = LARGE + "send c1 stall\nsend c1 request a\nexpect b1 request a\nsend b1 begin a 8000000\n"
-    head = play(text + "send b1 part a 8000000\nwait 30\nexpect c1 nothing").head
+    head = play(text + "send b1 part a 8000000\nwait 30\nexpect c1 nothing").gateway
     client = next(iter(head.front._open))
     assert len(client.link._out) < 200_000 and client.stream is not None and not client.lost
     assert len(client.stream.source.link.other._out) == 0 or client.stream.source._paused
@@ -215,9 +215,9 @@
     asks = "send c1 request a class=write large=8000000\nsend c1 part 70000\nexpect b1 begins a\n"
     many = "send b1 stall\n" + "send c1 part 100000\nwait 0.1\n" * 20
     world = play(LARGE + asks + many + "wait 30\nexpect c1 nothing")
-    client = next(iter(world.head.front._open))
+    client = next(iter(world.gateway.front._open))
     assert client.input.paused and client.link.other._out and client.input.parser.buffered < 100_000
-    assert len(client._upload._connection.link._out) < 400_000 and world.head.buffers.out == 0
+    assert len(client._upload._connection.link._out) < 400_000 and world.gateway.buffers.out == 0
 
 
 def test_a_large_answer_reaches_a_client_that_reads_now_and_then() -> None:
@@ -226,7 +226,7 @@
 
 
 def test_a_pipelined_requests_time_starts_at_its_own_last_byte() -> None:
-    front = play("client c1\nsend c1 get /_health\nexpect c1 200").head.front
+    front = play("client c1\nsend c1 get /_health\nexpect c1 200").gateway.front
     connection = front.buildProtocol(None)
     connection.transport = Mock()
     connection.connectionMade()
@@ -279,5 +279,5 @@
             text += f"send c1 request {name}{n}\nexpect b1 request {name}{n}\n"
             text += f"close b1 b{n}\nexpect b1 request b{n} within 0.02\n" if name == "b" else ""
             text += f"send b1 answer {name}{n} 200 x\nexpect c1 200\nwait 0.3\n"
-    pool = play(text).head.transport
+    pool = play(text).gateway.transport
     assert pool.idle_times.limit_us() == 160_000
--- a/tests/process/test_operations.py
+++ b/tests/process/test_operations.py
@@ -47,7 +47,7 @@
 def test_a_call_that_cannot_be_saved_is_rejected_and_not_carried_out() -> None:
     rejected = MAINTENANCE.replace("200", "503 *down*")
     serves = "send c1 request a\nexpect b1 request a\nsend b1 answer a 200 hello\nexpect c1 200 hello"
-    assert not play(rejected + serves, TMPDIR="/nowhere").head.engine.in_maintenance
+    assert not play(rejected + serves, TMPDIR="/nowhere").gateway.engine.in_maintenance
 
 
 def test_an_invalid_state_file_does_not_prevent_a_start(tmp_path: Path) -> None:
@@ -66,7 +66,7 @@
 
 
 def test_listed_nodes_are_remembered_up_to_a_bound() -> None:
-    engine = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head.engine
+    engine = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").gateway.engine
     for n in range(MAX_LISTED_NODES + 10):
         engine.update_endpoints(
             EndpointList(EndpointListKind.CHANGES, (Endpoint(b"s-%d" % n, 0, EndpointState.GONE),))
@@ -82,7 +82,7 @@
 
 
 def test_when_the_successor_dies_the_predecessor_accepts_again() -> None:
-    old, new = play(REPLACED + "wait 0.1\nexpect c1 nothing").heads
+    old, new = play(REPLACED + "wait 0.1\nexpect c1 nothing").gateways
     reactor = old._reactor
     assert not old.front.accepting and new.front.accepting and old.front.migration.on
     assert old.buffers.limit == new.buffers.limit == old._max_buffers // 2
@@ -95,7 +95,7 @@
 
 def test_a_successor_that_dies_before_it_serves_changes_nothing(tmp_path: Path) -> None:
     world = play("client c1\nsend c1 get /_health\nexpect c1 200\nsend list mute", TMPDIR=str(tmp_path))
-    old = world.head
+    old = world.gateway
     link = HandoverConnection(Handover(world.reactor, old.clock, old._log, None, ("", 0), old), True)
     link._handover._requested = Deferred()
     factory = type("One", (Factory,), {"noisy": False, "buildProtocol": lambda self, addr: link})()
@@ -141,7 +141,7 @@
 
 
 def test_an_invalid_configuration_is_not_applied_on_reload(tmp_path: Path) -> None:
-    gateway = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").head
+    gateway = play("brick b1\nclient c1\nsend c1 get /_health\nexpect c1 200").gateway
     file, good, wanted = tmp_path / "config.json", json.dumps(gateway._config.raw), gateway._latest_settings
     noise = good.replace('"read"', '"reads"')
     reads = noise.replace('"worth"', '"gain"')
@@ -194,7 +194,7 @@
 
 def test_simultaneous_calls_to_both_processes_apply_to_both_and_are_saved(tmp_path: Path) -> None:
     text = "brick b2 shard=1\n" + REPLACED + "wait 0.1\nexpect c1 nothing"
-    old, new = play(text, TMPDIR=str(tmp_path)).heads
+    old, new = play(text, TMPDIR=str(tmp_path)).gateways
     assert old.operations.maintain(b"b1", True) and new.operations.maintain(b"b2", True)
     old._reactor.run_until(lambda: False, 0.1)
     assert old.engine.in_maintenance == new.engine.in_maintenance == {b"b1", b"b2"}
@@ -217,7 +217,7 @@
     flood = "".join(f"client s{n}\n" for n in range(12))
     requests = "".join(f"send s{n} {'connect' if n < 9 else 'get /_health'}\n" for n in range(12))
     text = f"daemon http limits.sockets=116\n{flood}client c1\n{requests}wait 0.3\nexpect s11 200\n"
-    old, new = play(text + "send daemon replace\nwait 0.3\nexpect c1 nothing").heads
+    old, new = play(text + "send daemon replace\nwait 0.3\nexpect c1 nothing").gateways
     part = old._config.limits.of(2).client_connections
     assert part == 11 and old.front.connections == 3, (
         "silent clients are closed at once, as there are more than its share"
--- a/tests/process/test_persistent_folder.py
+++ b/tests/process/test_persistent_folder.py
@@ -102,7 +102,7 @@
 ) -> None:
     """The successor applies a call of the predecessor; its own write fails and is retried later."""
     world = play(REPLACED, TMPDIR=str(tmp_path))
-    first, second = world.heads
+    first, second = world.gateways
     write_state, write_fails = second._state.write, [True]
 
     def write(state: State) -> None:
--- a/tests/support/scenario_runner.py
+++ b/tests/support/scenario_runner.py
@@ -1,4 +1,4 @@
-"""The shared helper: play scenarios in memory, where time is their own and each plays the same every time."""
+"""Plays scenarios in memory, with virtual time: each plays the same way every time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def scenarios(*files: str) -> dict[str, list[Step]]:
-    """All scenarios of some files of the folder, by file and name."""
+    """Return the scenarios of some files of the folder, by file and name."""
     found = {}
     for file in files:
         for name, steps in split((FOLDER / file).read_text()).items():
@@ -20,7 +20,7 @@
 
 
 def play(steps: list[Step] | str, **environ: str) -> MemoryWorld:
-    """Play one scenario; what does not come true raises.  The world is returned for a look at its head."""
+    """Play one scenario; a failure raises ScenarioFailed.  Returns its world, which has its gateways."""
     world = MemoryWorld(**environ)
     rehearse(split(steps)[""] if isinstance(steps, str) else steps, world)
     return world
