--- a/gaugesail/rehearsal/iscsi_peers.py
+++ b/gaugesail/rehearsal/iscsi_peers.py
@@ -16,8 +16,8 @@
 from .peers import Listener, Peer, Words, options
 
 TARGET = "iqn.2026-12.ee.example:rehearsed"
-BLOCK = 512
-STATUS = {"good": 0x00, "check": 0x02, "busy": 0x08, "full": 0x28}
+BLOCK_BYTES = 512
+SCSI_STATUS = {"good": 0x00, "check": 0x02, "busy": 0x08, "full": 0x28}
 
 
 def operator_file(nodes: list[IscsiNode], changes: dict[str, str]) -> dict[str, Any]:
@@ -107,7 +107,7 @@
         self._write_data: dict[int, bytes] = {}  # by tag: data of writes, to be sent on an R2T
         self._requests: dict[int, list[TrackedRequest]] = {}  # by tag: tracked commands, oldest first
         self._unsent: dict[int, int] = {}  # by tag: bytes of a write that are not sent yet
-        self._aborting = -1
+        self._aborted_tag = -1
 
     def opened(self, connection: PduConnection) -> None:
         """Handle a new connection."""
@@ -172,7 +172,7 @@
                 self._answered(int.from_bytes(pdu.data[16:20], "big"), True)
             self.saw("reject", str(pdu.byte2))
         elif pdu.opcode == Op.TASK_RESPONSE:
-            for request in self._requests.pop(self._aborting, []):
+            for request in self._requests.pop(self._aborted_tag, []):
                 request.settled = True
             self.saw("aborted", str(pdu.byte2))
         elif pdu.opcode == Op.NOP_IN:
@@ -184,7 +184,7 @@
 
     def _status(self, pdu: Pdu, data: bytes) -> None:
         self._answered(pdu.itt)
-        name = next((name for name, code in STATUS.items() if code == pdu.byte3), str(pdu.byte3))
+        name = next((name for name, code in SCSI_STATUS.items() if code == pdu.byte3), str(pdu.byte3))
         more = [f"{len(data)}", data[:1].decode("latin-1")] if data and name == "good" else []
         if name == "check":
             more = [f"{data[4]:02x}/{data[14]:02x}/{data[15]:02x}"]
@@ -193,11 +193,11 @@
     def _answer_r2t(self, pdu: Pdu) -> None:
         data = self._write_data.get(pdu.itt)
         if data is not None:
-            start, end, number = pdu.word(40), pdu.word(40) + pdu.word(44), 0
+            start, end, data_sn = pdu.word(40), pdu.word(40) + pdu.word(44), 0
             while start < end:
                 part = data[start : min(end, start + 8192)]
-                words = {20: pdu.word(20), 36: number, 40: start}
-                start, number = start + len(part), number + 1
+                words = {20: pdu.word(20), 36: data_sn, 40: start}
+                start, data_sn = start + len(part), data_sn + 1
                 self._connected().write(Op.DATA_OUT, FINAL if start == end else 0, pdu.itt, words, data=part)
             if remaining := self._unsent.get(pdu.itt, 0):
                 self._track_data(pdu.itt, max(0, remaining - pdu.word(44)))
@@ -220,7 +220,7 @@
         connecting = dial(self._reactor, self._address(), 5.0, lambda: PduConnection(self))
         connecting.addCallbacks(lambda _: self.saw("connected"), lambda failure: self.saw("refused"))
 
-    def _command(self, cdb: bytes, words: Words, flags: int, size: int, data: bytes = b"") -> None:
+    def _send_command(self, cdb: bytes, words: Words, flags: int, size: int, data: bytes = b"") -> None:
         given, connection = options(words), self._connected()
         sn = int(given.get("sn", connection.cmd_sn))
         if "sn" not in given:
@@ -242,7 +242,7 @@
         given = options(words)
         blocks = int(given.get("blocks", 1))
         cdb = wire.block_cdb(False, int(given.get("lba", 0)), blocks)
-        self._command(cdb, words, 0x40, blocks * BLOCK)
+        self._send_command(cdb, words, 0x40, blocks * BLOCK_BYTES)
 
     def send_many_reads(self, words: Words) -> None:
         """many-reads N: send N reads with tags from 1000 on"""
@@ -253,17 +253,17 @@
         """write [options] [immediate=BYTES] [silent]: send a write command; a silent one answers no R2T"""
         given = options(words)
         blocks, tag = int(given.get("blocks", 1)), int(given.get("tag", 1))
-        data = given.get("fill", "w").encode() * (blocks * BLOCK)
+        data = given.get("fill", "w").encode() * (blocks * BLOCK_BYTES)
         self._write_data[tag] = data
         if "silent" in words:
             del self._write_data[tag]  # its R2Ts are not answered
         cdb = wire.block_cdb(True, int(given.get("lba", 0)), blocks)
         immediate = given.get("fill", "w").encode() * int(given.get("immediate", 0))
-        self._command(cdb, words, 0x20, len(data), immediate)
+        self._send_command(cdb, words, 0x20, len(data), immediate)
 
     def send_cdb(self, words: Words) -> None:
         """cdb HEX [length=N]: send any command that reads"""
-        self._command(bytes.fromhex(words[0]), words, 0x40, int(options(words).get("length", 255)))
+        self._send_command(bytes.fromhex(words[0]), words, 0x40, int(options(words).get("length", 255)))
 
     def send_nop(self, words: Words) -> None:
         """nop TEXT: send a NOP-Out with this data"""
@@ -278,9 +278,9 @@
 
     def send_abort(self, words: Words) -> None:
         """abort TAG: request the abort of a command"""
-        self._aborting = int(words[0])
-        numbers = {20: int(words[0]), 24: self._connected().cmd_sn}
-        self._connected().write(Op.TASK, FINAL | 1, 98, numbers, immediate=True)
+        self._aborted_tag = int(words[0])
+        header_words = {20: int(words[0]), 24: self._connected().cmd_sn}
+        self._connected().write(Op.TASK, FINAL | 1, 98, header_words, immediate=True)
 
     def send_text(self, words: Words) -> None:
         """text Key=value: send a text request"""
@@ -398,7 +398,7 @@
         """status N good|check|busy|full: send the status of a command"""
         connection, pdu = self.held.pop(words[0])
         data = wire.sense(0x04, 0x44, 0) if words[1] == "check" else b""
-        self._write(connection, Op.RESPONSE, FINAL, pdu.itt, byte3=STATUS[words[1]], data=data)
+        self._write(connection, Op.RESPONSE, FINAL, pdu.itt, byte3=SCSI_STATUS[words[1]], data=data)
 
     def send_r2t(self, words: Words) -> None:
         """r2t N offset= length=: request a part of a write's data"""
--- a/gaugesail/rehearsal/memory.py
+++ b/gaugesail/rehearsal/memory.py
@@ -139,7 +139,7 @@
         self._schedule_flush()
 
     def loseWriteConnection(self) -> None:
-        """Close the connection: no protocol here continues after a half-close, the other end closes too."""
+        """Close both directions, as no protocol here continues after a half-close."""
         self.loseConnection()
 
     def abortConnection(self) -> None:
