--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -2,7 +2,7 @@
 
 Each head has a clock of its own that drifts and starts anywhere, a store that keeps what it was given, and
 may stop at any step of what it is doing: die there, or sleep and go on with the rest.  The network loses,
-delays, doubles and reorders, and is cut one way or both.  Storage nodes serve at once; a judge counts what
+delays, doubles and reorders, and is cut one way or both.  Storage nodes serve at once; a bucket counts what
 reached them.
 """
 
@@ -98,7 +98,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Judge:
+class ReferenceBucket:
     """One volume's store as one mind would keep it, by what reached the nodes.
 
     When the whole is lowered, the larger figure holds until what was given under it has run out.
@@ -110,7 +110,7 @@
     units: float = 0.0
     least: float = 0.0
     spent: float = 0.0
-    overs: int = 0
+    violations: int = 0
     later: list[tuple[int, float, float]] = field(default_factory=list)  # from when, rate and burst
 
     def __post_init__(self) -> None:
@@ -142,16 +142,16 @@
         self.units = min(self.burst, self.units + (now - self.at) / SECOND * self.rate)
         self.at = now
 
-    def take(self, now: int, units: float) -> None:
+    def charge(self, now: int, units: float) -> None:
         self.fill(now)
         self.units -= units
         self.spent += units
         if self.units < -1e-6:
-            self.overs += 1
+            self.violations += 1
         self.least = min(self.least, self.units)
 
 
-class LabHead:
+class SimulatedGateway:
     """One head: a process that comes and goes, and a store that stays."""
 
     def __init__(self, world: FleetWorld, name: str, drift: float) -> None:
@@ -201,7 +201,7 @@
             EndpointList(EndpointListKind.CACHED, (Endpoint(NODE, 0),))
         ]))  # fmt: skip
         identity = GatewayIdentity(self.name, f"{self.name}:1", process, self.wall_ms + world.now // 1000)
-        self.node = FleetNode(world.charter, "charter", identity, loaded, seed, self.now())
+        self.node = FleetNode(world.fleet_terms, "charter", identity, loaded, seed, self.now())
         self.tell_limit()
         self.step(lambda node: node.tick(self.now()))
         world.at(world.now + WANT_US, lambda: self._wants(life))
@@ -211,7 +211,7 @@
             pair = round(self.limit.rate * 1000), round(self.limit.burst * 1000)
             self.node.set_limits({"plan": pair}, round(self.world.most_units * 1000))
 
-    def retune(self, limit: Limit, then: Callable[[], None] = lambda: None) -> None:
+    def change_limit(self, limit: Limit, then: Callable[[], None] = lambda: None) -> None:
         """Its file says another limit; asleep, it hears of it when it wakes."""
         self.limit = limit
         life = self.life
@@ -227,7 +227,7 @@
         else:
             heard()
 
-    def die(self) -> None:
+    def kill(self) -> None:
         self.node = self.gateway = None
         self.asleep = False
         late, self._late = self._late, deque()
@@ -265,7 +265,7 @@
                 if self.stop_after <= 0:
                     self.stop_after = None
                     if self.dies:
-                        self.die()
+                        self.kill()
                         return
                     self.asleep = True
                     self._late.extend(queue)
@@ -395,26 +395,26 @@
 
 
 @dataclass(slots=True)
-class Line:
+class Link:
     """What happens to messages from one head to another."""
 
     drop: float = 0.0
     delay_us: int = 300
     jitter_us: int = 700
-    double: float = 0.0
+    duplicate: float = 0.0
     cut: bool = False
 
 
 class FleetWorld:
-    """All heads, the network between them, and the nodes' judge."""
+    """All heads, the network between them, and the nodes' bucket."""
 
     def __init__(
-        self, seed: int, heads: int, keepers: int, limit: Limit, charter: FleetTerms | None = None,
+        self, seed: int, heads: int, keepers: int, limit: Limit, terms: FleetTerms | None = None,
         mounts: float | None = None, drift: float = 0.0, most_units: float = 8.0,
     ) -> None:  # fmt: skip
         self.rng, self.now = random.Random(seed), 0
         names = [f"h{n}" for n in range(heads)]
-        self.charter = charter or FleetTerms("lab", tuple(names[:keepers]), max_gateways=heads)
+        self.fleet_terms = terms or FleetTerms("lab", tuple(names[:keepers]), max_gateways=heads)
         self.limit, self.most_units = limit, most_units
         self.mounts = float(heads if mounts is None else mounts)
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -422,31 +422,33 @@
         self.counts: Counter[str] = Counter()
         self.next_request = 1
         self.guard_first_byte = True
-        self.judges: dict[int, Judge] = {}
-        self.lines: dict[tuple[str, str], Line] = {}
+        self.buckets: dict[int, ReferenceBucket] = {}
+        self.links: dict[tuple[str, str], Link] = {}
         self.volume_of: dict[int, int] = {}
         self.arrivals: list[tuple[int, str, float]] = []
-        self.fleet = True  # or each the even part
+        self.uses_fleet_quota = True  # or each the even part
         self.pack = msgspec.msgpack.Encoder().encode
-        self.weigh = False  # whether messages' bytes are counted
-        self.heads = {name: LabHead(self, name, drift * self.rng.uniform(-1, 1)) for name in names}
-        self.twins: dict[str, LabHead] = {}  # second processes under names that are taken
+        self.counts_bytes = False  # whether messages' bytes are counted
+        self.gateways = {
+            name: SimulatedGateway(self, name, drift * self.rng.uniform(-1, 1)) for name in names
+        }
+        self.twins: dict[str, SimulatedGateway] = {}  # second processes under names that are taken
 
-    def rename(self, head: LabHead, name: str) -> None:
+    def rename(self, head: SimulatedGateway, name: str) -> None:
         """A head is called otherwise from its next start on."""
-        self.heads = {name if item is head else old: item for old, item in self.heads.items()}
+        self.gateways = {name if item is head else old: item for old, item in self.gateways.items()}
         head.name = name
 
     def settings(self, limit: Limit) -> Settings:
         return Settings(
             classes=(RequestClass("read", 500_000, 2_000_000, 3.0, 0.15),),
             plans=(Plan("plan", limit.rate, 0.8 * limit.rate, limit=limit.rate, limit_burst=limit.burst),),
-            gateway_count=len(self.heads),
+            gateway_count=len(self.gateways),
             tick_us=1000,
             mean_request_units=2.0,
             max_request_units=self.most_units,
             max_attempts=4,
-            fleet_quota=self.fleet,
+            fleet_quota=self.uses_fleet_quota,
         )
 
     # ---- time ----
@@ -456,7 +458,7 @@
         heapq.heappush(self._heap, (at, self._made, call))
 
     def run(self, until: int) -> None:
-        most = MOST_CALLS + MOST_CALLS // 10 * len(self.heads)
+        most = MOST_CALLS + MOST_CALLS // 10 * len(self.gateways)
         while self._heap and self._heap[0][0] <= until:
             at, _, call = heapq.heappop(self._heap)
             if at // SECOND > self.now // SECOND:
@@ -470,29 +472,29 @@
 
     # ---- the network ----
 
-    def line(self, a: str, b: str) -> Line:
-        if (line := self.lines.get((a, b))) is None:
-            line = self.lines[a, b] = Line()
-        return line
+    def link(self, a: str, b: str) -> Link:
+        if (link := self.links.get((a, b))) is None:
+            link = self.links[a, b] = Link()
+        return link
 
-    def send(self, head: LabHead, life: int, to: str, process: int, message: Message) -> None:
+    def send(self, head: SimulatedGateway, life: int, to: str, process: int, message: Message) -> None:
         if life != head.life or head.node is None:
             return
         if to == head.name:
             self.at(self.now, lambda: self._deliver(head.name, to, process, message))
             return
-        if self.weigh:
+        if self.counts_bytes:
             head.sent_bytes += len(self.pack(message)) + ENVELOPE
-        line = self.line(head.name, to)
-        if line.cut or self.rng.random() < line.drop:
+        link = self.link(head.name, to)
+        if link.cut or self.rng.random() < link.drop:
             return
-        for _ in range(2 if self.rng.random() < line.double else 1):
-            late = line.delay_us + int(line.jitter_us * self.rng.random())
+        for _ in range(2 if self.rng.random() < link.duplicate else 1):
+            late = link.delay_us + int(link.jitter_us * self.rng.random())
             self.at(self.now + late, lambda: self._deliver(head.name, to, process, message))
 
     def _deliver(self, sender: str, to: str, process: int, message: Message) -> None:
         found = [twin for twin in self.twins.values() if twin.name == to and twin.node is not None]
-        head = self.heads.get(to)
+        head = self.gateways.get(to)
         if head is not None and head.node is not None:
             found.append(head)
         if found:  # of two under one name either may be the one that is reached
@@ -500,53 +502,53 @@
 
     def cut(self, side: set[str], both: bool = True, on: bool = True) -> None:
         """Between some heads and all others: what they say does not arrive, or nothing either way."""
-        for a in self.heads:
-            for b in self.heads:
+        for a in self.gateways:
+            for b in self.gateways:
                 if a in side and b not in side:
-                    self.line(a, b).cut = on
+                    self.link(a, b).cut = on
                     if both:
-                        self.line(b, a).cut = on
+                        self.link(b, a).cut = on
 
     # ---- the nodes ----
 
-    def judge(self, volume: int) -> Judge:
-        if (judge := self.judges.get(volume)) is None:
-            judge = self.judges[volume] = Judge(self.limit.rate, self.limit.burst, self.now)
-        return judge
+    def bucket(self, volume: int) -> ReferenceBucket:
+        if (bucket := self.buckets.get(volume)) is None:
+            bucket = self.buckets[volume] = ReferenceBucket(self.limit.rate, self.limit.burst, self.now)
+        return bucket
 
-    def arrived(self, head: LabHead, request: int, units: float) -> None:
-        self.judge(self.volume_of.pop(request, 0)).take(self.now, units)
+    def arrived(self, head: SimulatedGateway, request: int, units: float) -> None:
+        self.bucket(self.volume_of.pop(request, 0)).charge(self.now, units)
         self.arrivals.append((self.now, head.name, units))
 
-    def ask(self, name: str, units: float, volume: int = 1) -> None:
+    def send_request(self, name: str, units: float, volume: int = 1) -> None:
         """A client asks a head, or one of those that go under its name."""
         self.volume_of[self.next_request] = volume
         self.counts["asked"] += 1
         first = name.partition(".")[0]
-        found = [head for head in self.heads.values() if head.name.partition(".")[0] == first]
+        found = [head for head in self.gateways.values() if head.name.partition(".")[0] == first]
         found += [twin for twin in self.twins.values() if twin.name == name and twin.node is not None]
         self.rng.choice(found).ask(units, volume)
 
     @property
     def overspent(self) -> int:
-        return sum(judge.overs for judge in self.judges.values())
+        return sum(bucket.violations for bucket in self.buckets.values())
 
     def audit(self) -> None:
         """All that may be spent now, by each head's own clock and books, asleep or not, fits the whole."""
-        alive = [*self.heads.values(), *self.twins.values()]
-        for volume, judge in self.judges.items():
+        alive = [*self.gateways.values(), *self.twins.values()]
+        for volume, bucket in self.buckets.items():
             rate = burst = 0.0
             for head in alive:
                 if head.gateway is not None:
                     mine = head.gateway.rate_limits.allowance(head.now(), "plan", volume)
                     rate, burst = rate + mine[0], burst + mine[1]
-            most = max([judge.rate, *(item[1] for item in judge.later)])
-            judge.fill(self.now)
-            if rate > most + 1e-3 or burst > max([judge.burst, *(item[2] for item in judge.later)]) + 1e-3:
+            most = max([bucket.rate, *(item[1] for item in bucket.later)])
+            bucket.fill(self.now)
+            if rate > most + 1e-3 or burst > max([bucket.burst, *(item[2] for item in bucket.later)]) + 1e-3:
                 self.counts["rights_over"] += 1
         self.at(self.now + AUDIT_US, self.audit)
 
-    def used(self, since: int, until: int) -> float:
+    def utilization(self, since: int, until: int) -> float:
         """Units that reached the nodes within a span, of what the whole allows in it."""
         units = sum(units for at, _, units in self.arrivals if since <= at < until)
-        return units / (self.limit.rate * (until - since) / SECOND * max(1, len(self.judges)))
+        return units / (self.limit.rate * (until - since) / SECOND * max(1, len(self.buckets)))
--- a/gaugesail/lab/search.py
+++ b/gaugesail/lab/search.py
@@ -57,7 +57,7 @@
 class Budget:
     """How often each thing may still happen."""
 
-    asks: int = 2  # of all holders together
+    lease_requests: int = 2  # of all holders together
     elections: int = 0
     crashes: int = 0
     steps: int = 0  # of half a lease
@@ -217,11 +217,11 @@
             self.hear(fresh, item[1], item)
             yield "hear", self.act(fresh, item[1])
         left = room.left
-        if left.asks:
+        if left.lease_requests:
             for name in NAMES:
                 for whom in self._leaders(room):
                     fresh = pickle.loads(packed)
-                    fresh.left = replace(left, asks=left.asks - 1)
+                    fresh.left = replace(left, lease_requests=left.lease_requests - 1)
                     yield "ask", self.ask(fresh, name, whom)
         if left.elections:
             for name in NAMES[: room.keepers]:
@@ -332,9 +332,9 @@
 
     states: int
     steps: Counter[str]
-    whole: bool  # all states were seen
-    broken: list[str]  # the way to a state in which more may be spent than there is
-    both: int = 0  # states in which two believe that they lead
+    complete: bool  # all states were seen
+    counterexample: list[str]  # the way to a state in which more may be spent than there is
+    two_leaders: int = 0  # states in which two believe that they lead
     moved: int = 0  # states in which h2 has a part
 
 
@@ -359,16 +359,16 @@
                 seen.add(key)
                 back[key] = mine, step
                 found.states += 1
-                found.both += len(way._leaders(fresh)) > 1
+                found.two_leaders += len(way._leaders(fresh)) > 1
                 found.moved += AMOUNT in fresh.cells["h2"].holder.allocations
                 if not way.good(fresh):
-                    found.whole = False
+                    found.complete = False
                     while key in back:
                         key, step = back[key]
-                        found.broken.insert(0, step)
+                        found.counterexample.insert(0, step)
                     return found
                 if found.states >= most:
-                    found.whole = False
+                    found.complete = False
                     return found
                 following.append((key, pickle.dumps(fresh, 5)))
         layer = following
@@ -376,9 +376,9 @@
 
 
 INSTANCES = {  # what may happen, and how many keepers there are
-    "move": (Budget(asks=3), 1),
-    "expiry": (Budget(asks=2, steps=2), 1),
-    "crash": (Budget(asks=2, crashes=1, steps=2), 1),
-    "keepers": (Budget(asks=1, crashes=1, steps=1), 3),
-    "two_leaders": (Budget(asks=0, elections=1, steps=2), 3),
+    "move": (Budget(lease_requests=3), 1),
+    "expiry": (Budget(lease_requests=2, steps=2), 1),
+    "crash": (Budget(lease_requests=2, crashes=1, steps=2), 1),
+    "keepers": (Budget(lease_requests=1, crashes=1, steps=1), 3),
+    "two_leaders": (Budget(lease_requests=0, elections=1, steps=2), 3),
 }
--- a/gaugesail/lab/storm.py
+++ b/gaugesail/lab/storm.py
@@ -46,7 +46,7 @@
 class Storm:
     """One experiment."""
 
-    heads: int = 3
+    gateways: int = 3
     nodes: int = 2
     clients: str = "mixed"
     outage_s: float = 30.0
@@ -113,7 +113,7 @@
         self.heads: list[Any] = []
         self.decisions = [0, 0]  # events, nanoseconds
         self.log = io.StringIO()
-        for n in range(storm.heads):
+        for n in range(storm.gateways):
             self._start_head(n)
         self.terminals = self._populate()
         self._watch_cold()
@@ -151,7 +151,7 @@
         return settings
 
     def _start_head(self, number: int) -> None:
-        settings = self.settings | {"balancers": self.storm.heads, "me": number}
+        settings = self.settings | {"balancers": self.storm.gateways, "me": number}
         config = {
             "name": f"n{number}", "listen": "127.0.0.1:0", "discovery": self.list.address,
             "seed": f"{self.storm.seed:x}{number:04x}", "limits": {"memory_mb": 192, "sockets": 1024},
@@ -184,11 +184,11 @@
         for brick in self.bricks:
             rate = storm.load * CAPACITY * brick.model.machine.power / self.mean_work_s
             volumes, ends = list[Volume](), list[float]()
-            first = int(stream(storm.seed, "volumes", brick.number).integers(storm.heads))
+            first = int(stream(storm.seed, "volumes", brick.number).integers(storm.gateways))
             for n in range(storm.volumes):
                 name, share, price, *_ = PLANS[n % 3]
                 # Each volume comes through up to three heads, dealt in turn from one that is drawn.
-                heads = tuple((first + n + m) % storm.heads for m in range(min(3, storm.heads)))
+                heads = tuple((first + n + m) % storm.gateways for m in range(min(3, storm.gateways)))
                 made = Volume(brick.number * 1000 + n + 1, name, price, brick.number, heads)
                 volumes.append(made)
                 ends.append((ends[-1] if ends else 0.0) + share / (storm.volumes / 3))
--- a/gaugesail/lab/troubles.py
+++ b/gaugesail/lab/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of a fleet in virtual time: demand that moves, and schedules of faults drawn from a seed."""
+"""Faults of a fleet in virtual time: demand that moves, and schedules of faults drawn from a seed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from .fleet import SECOND, Disk, FleetWorld, LabHead, Limit, Line
+from .fleet import SECOND, Disk, FleetWorld, Limit, Link, SimulatedGateway
 
-SIZES = (1, 1, 2, 2, 2, 3, 4, 8)  # units of a request
-MEAN = sum(SIZES) / len(SIZES)
+REQUEST_UNITS = (1, 1, 2, 2, 2, 3, 4, 8)  # units of a request
+MEAN_REQUEST_UNITS = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
 MOVES_S = (5.0, 23.0)  # between two changes of who is busiest
 
 
@@ -19,9 +19,9 @@
 
     def __init__(self, world: FleetWorld, seed: int, rate: float, volume: int = 1) -> None:
         self._world, self._rng = world, random.Random(seed)
-        self._gap = MEAN / rate * SECOND
+        self._gap = MEAN_REQUEST_UNITS / rate * SECOND
         self._volume = volume
-        self._names = list(world.heads)
+        self._names = list(world.gateways)
         self._weights: list[float] = []
         self._move()
         self._arrive()
@@ -35,10 +35,10 @@
         world = self._world
         world.at(world.now + 1 + int(self._rng.expovariate(1 / self._gap)), self._arrive)
         name = self._rng.choices(self._names, self._weights)[0]
-        world.ask(name, float(self._rng.choice(SIZES)), self._volume)
+        world.send_request(name, float(self._rng.choice(REQUEST_UNITS)), self._volume)
 
 
-class Troubles:
+class FaultSchedule:
     """Draws faults and plays them: each kind is a method, and is counted."""
 
     def __init__(self, world: FleetWorld, seed: int, twins: bool = True) -> None:
@@ -72,14 +72,16 @@
     def _later(self, low: float, high: float, call: Callable[[], None]) -> None:
         self.world.at(self.world.now + int(self.rng.uniform(low, high) * SECOND), call)
 
-    def _any(self) -> LabHead:
-        return self.rng.choice(list(self.world.heads.values()))
+    def _any(self) -> SimulatedGateway:
+        return self.rng.choice(list(self.world.gateways.values()))
 
-    def _leader(self) -> LabHead:
-        leads = [head for head in self.world.heads.values() if head.node is not None and head.node.is_leader]
+    def _leader(self) -> SimulatedGateway:
+        leads = [
+            head for head in self.world.gateways.values() if head.node is not None and head.node.is_leader
+        ]
         return self.rng.choice(leads) if leads else self._any()
 
-    def _back(self, head: LabHead, store: bool = True) -> Callable[[], None]:
+    def _back(self, head: SimulatedGateway, store: bool = True) -> Callable[[], None]:
         """Its process starts again, unless it runs."""
 
         def back() -> None:
@@ -92,7 +94,7 @@
 
     def crash(self) -> None:
         head = self._any()
-        head.die()
+        head.kill()
         self._later(0.05, 8, self._back(head))
 
     def crash_mid_step(self) -> None:
@@ -100,7 +102,7 @@
         head.stop_after, head.dies = self.rng.randrange(6), True
         self._later(0.5, 8, self._back(head))
 
-    def _sleeps(self, head: LabHead, mid: bool) -> None:
+    def _sleeps(self, head: SimulatedGateway, mid: bool) -> None:
         if mid:
             head.stop_after, head.dies = self.rng.randrange(6), False
         else:
@@ -121,44 +123,44 @@
         head = self._any()
         if head.node is not None and not head.asleep:
             head.step(lambda node: node.leave(head.now()))
-            self._later(0.1, 0.5, head.die)
+            self._later(0.1, 0.5, head.kill)
             self._later(0.6, 6, self._back(head))
 
     def restart_all(self) -> None:
-        for head in self.world.heads.values():
-            head.die()
+        for head in self.world.gateways.values():
+            head.kill()
             self._later(0.05, 1.5, self._back(head))
 
     def rolling(self) -> None:
-        for n, head in enumerate(list(self.world.heads.values())):
+        for n, head in enumerate(list(self.world.gateways.values())):
             at = self.world.now + int((n * 1.5 + 0.01) * SECOND)
-            self.world.at(at, head.die)
+            self.world.at(at, head.kill)
             self.world.at(at + SECOND, self._back(head))
 
     def clock_back(self) -> None:
         """The wall clock is set back, and the head starts again."""
         head = self._any()
         head.wall_ms -= self.rng.randrange(10**9)
-        head.die()
+        head.kill()
         self._later(0.05, 2, self._back(head))
 
     def twin(self) -> None:
         """A second process starts under a name that is taken, with a store of its own."""
         head = self._any()
-        if self.world.charter.replicas == (head.name,):
+        if self.world.fleet_terms.replicas == (head.name,):
             return  # two processes that are each the one keeper are two fleets: the pages say so
         name = f"{head.name}~{self.faults['twin']}"
-        twin = LabHead(self.world, head.name, head.drift)
+        twin = SimulatedGateway(self.world, head.name, head.drift)
         self.world.twins[name] = twin
         twin.start()
-        self._later(2, 12, twin.die)
+        self._later(2, 12, twin.kill)
 
     def rename(self) -> None:
         """A head that is no keeper comes back under another name, with its store."""
         head = self._any()
-        if head.name in self.world.charter.replicas:
+        if head.name in self.world.fleet_terms.replicas:
             return
-        head.die()
+        head.kill()
         fresh = f"{head.name.partition('.')[0]}.{self.faults['rename']}"
         self.world.rename(head, fresh)
         self._later(0.05, 3, self._back(head))
@@ -167,9 +169,9 @@
 
     def lose_store(self) -> None:
         head = self._any()
-        if self.world.charter.replicas == (head.name,):
+        if self.world.fleet_terms.replicas == (head.name,):
             return  # with the one keeper's store the fleet is gone: the pages say so
-        head.die()
+        head.kill()
         head.disk = Disk()
         self._later(0.05, 5, self._back(head, self.rng.random() < 0.7))
 
@@ -180,8 +182,8 @@
             copy = head.disk.copy()
             self._later(3, 15, lambda: self._restore(head, copy))
 
-    def _restore(self, head: LabHead, copy: Disk) -> None:
-        head.die()
+    def _restore(self, head: SimulatedGateway, copy: Disk) -> None:
+        head.kill()
         head.disk = copy
         self._later(0.05, 5, self._back(head))
 
@@ -204,24 +206,24 @@
 
     def cut_one_way(self) -> None:
         head = self._leader() if self.rng.random() < 0.5 else self._any()
-        names = set(self.world.heads) - {head.name}
+        names = set(self.world.gateways) - {head.name}
         self._cuts({head.name} if self.rng.random() < 0.5 else names, False)
 
     def halves(self) -> None:
-        names = sorted(self.world.heads)
+        names = sorted(self.world.gateways)
         self._cuts(set(self.rng.sample(names, len(names) // 2)), True)
 
-    def _lines(self, change: Callable[[Line], None], low: float, high: float) -> None:
+    def _lines(self, change: Callable[[Link], None], low: float, high: float) -> None:
         """Change all lines of one head, for a while."""
         name = self._any().name
-        pairs = [pair for other in self.world.heads for pair in ((name, other), (other, name))]
-        lines = [self.world.line(*pair) for pair in pairs]
+        pairs = [pair for other in self.world.gateways for pair in ((name, other), (other, name))]
+        lines = [self.world.link(*pair) for pair in pairs]
         for line in lines:
             change(line)
 
         def undo() -> None:
             for line in lines:
-                line.drop, line.double, line.delay_us, line.jitter_us = 0.0, 0.0, 300, 700
+                line.drop, line.duplicate, line.delay_us, line.jitter_us = 0.0, 0.0, 300, 700
 
         self._later(low, high, undo)
 
@@ -234,8 +236,8 @@
         self._lines(lambda line: setattr(line, "jitter_us", much), 1, 10)
 
     def double(self) -> None:
-        def double(line: Line) -> None:
-            line.double, line.jitter_us = 0.7, 50_000
+        def double(line: Link) -> None:
+            line.duplicate, line.jitter_us = 0.7, 50_000
 
         self._lines(double, 1, 10)
 
@@ -249,19 +251,19 @@
         """The files change, at one head after another, and some not at all for a while."""
         world, old = self.world, self.world.limit
         fresh = world.limit = Limit(old.rate * factor, old.burst * factor)
-        waits = set(world.heads)
-        for judge in world.judges.values():
+        waits = set(world.gateways)
+        for judge in world.buckets.values():
             judge.change(world.now, fresh)
 
         def heard(name: str) -> None:
             waits.discard(name)
             if not waits and world.limit is fresh:
-                for judge in world.judges.values():
-                    judge.settle(world.now + 2 * world.charter.lease_with_drift_us)
+                for judge in world.buckets.values():
+                    judge.settle(world.now + 2 * world.fleet_terms.lease_with_drift_us)
 
-        for name, head in world.heads.items():
+        for name, head in world.gateways.items():
             at = world.now + int(self.rng.uniform(0, 4) * SECOND)
-            world.at(at, lambda head=head, name=name: head.retune(fresh, lambda: heard(name)))  # type: ignore[misc]
+            world.at(at, lambda head=head, name=name: head.change_limit(fresh, lambda: heard(name)))  # type: ignore[misc]
 
     def lower(self) -> None:
         if self.world.limit.rate > 30:
--- a/gaugesail/measure/budgets.py
+++ b/gaugesail/measure/budgets.py
@@ -19,7 +19,7 @@
 
 from ..lab.fleet import SECOND, FleetWorld, Limit
 from ..lab.search import INSTANCES, search
-from ..lab.troubles import Demand, Troubles
+from ..lab.troubles import Demand, FaultSchedule
 from .cases import CASES
 from .planted import PLANTS, planted
 
@@ -36,8 +36,8 @@
 def world_of(heads: int, seed: int, drift: float = 0.0, fleet: bool = True, keepers: int = 3) -> FleetWorld:
     """Heads that have begun, and have what they need."""
     world = FleetWorld(seed, heads, min(keepers, heads), Limit(RATE, BURST_A_HEAD * heads), drift=drift)
-    world.fleet = fleet
-    for head in world.heads.values():
+    world.uses_fleet_quota = fleet
+    for head in world.gateways.values():
         head.start()
     world.run(SETTLE_S * SECOND)
     return world
@@ -57,7 +57,7 @@
     world = world_of(heads, seed, drift=0.01)
     Demand(world, seed + 1, OVER * RATE)
     world.audit()
-    troubles = Troubles(world, seed + 2)
+    troubles = FaultSchedule(world, seed + 2)
     troubles.draw(world.now + seconds * SECOND, gap_s)
     world.run(world.now + (seconds + 8) * SECOND)
     return Schedule(world.overspent, world.counts["rights_over"], troubles.faults)
@@ -69,28 +69,28 @@
     Demand(world, seed + 1, OVER * RATE)
     start = world.now
     world.run(start + seconds * SECOND)
-    return world.used(start + 3 * SECOND, world.now)
+    return world.utilization(start + 3 * SECOND, world.now)
 
 
 def back(seed: int, heads: int) -> float:
     """Seconds from a head's end, which had most of the whole, until the others use it."""
     world = world_of(heads, seed)
-    names = list(world.heads)
+    names = list(world.gateways)
     dead, *others = world.rng.sample(names, len(names))
 
     def ask(who: list[str], rate: float, until: int) -> None:
         gap = int(2 / rate * SECOND)
         while world.now < until:
             world.run(world.now + gap)
-            world.ask(world.rng.choice(who), 2.0)
+            world.send_request(world.rng.choice(who), 2.0)
 
     ask([dead], 1.5 * RATE, world.now + 5 * SECOND)
-    world.heads[dead].die()
+    world.gateways[dead].kill()
     end = world.now
     for tenth in range(1, 300):
         ask(others, 1.5 * RATE, end + tenth * SECOND // 10)
         since = world.now - SECOND
-        if since >= end and world.used(since, world.now) >= BACK_AT:
+        if since >= end and world.utilization(since, world.now) >= BACK_AT:
             return (since - end) / SECOND
     return 30.0
 
@@ -98,15 +98,15 @@
 def cut_off(seed: int, heads: int) -> float:
     """What a head that is cut off has, as a share of its floor."""
     world = world_of(heads, seed)
-    name = world.rng.choice(list(world.heads))
+    name = world.rng.choice(list(world.gateways))
     world.cut({name})
     end = world.now + 20 * SECOND
     start = world.now + 6 * SECOND  # its lease is over
     while world.now < end:
         world.run(world.now + SECOND // 10)
-        world.ask(name, 1.0)
+        world.send_request(name, 1.0)
     mine = sum(units for at, who, units in world.arrivals if who == name and at >= start)
-    floor = world.charter.floor(round(RATE * 1000), 0)[0] / 1000
+    floor = world.fleet_terms.floor(round(RATE * 1000), 0)[0] / 1000
     return mine / ((end - start) / SECOND * floor)
 
 
@@ -114,12 +114,14 @@
     """Bytes a second that a head which is no keeper sends, and a keeper, where demand moves."""
     world = world_of(heads, seed)
     Demand(world, seed + 1, OVER * RATE)
-    world.weigh = True
-    for head in world.heads.values():
+    world.counts_bytes = True
+    for head in world.gateways.values():
         head.sent_bytes = 0
     world.run(world.now + seconds * SECOND)
-    kept = [head.sent_bytes for name, head in world.heads.items() if name in world.charter.replicas]
-    rest = [head.sent_bytes for name, head in world.heads.items() if name not in world.charter.replicas]
+    kept = [head.sent_bytes for name, head in world.gateways.items() if name in world.fleet_terms.replicas]
+    rest = [
+        head.sent_bytes for name, head in world.gateways.items() if name not in world.fleet_terms.replicas
+    ]
     return sum(rest) / max(1, len(rest)) / seconds, sum(kept) / len(kept) / seconds
 
 
@@ -162,8 +164,8 @@
 def _explore(name: str) -> dict[str, Any]:
     found = search(*INSTANCES[name])
     return {
-        "states": found.states, "all": found.whole, "steps": dict(found.steps), "two_leaders": found.both,
-        "moved": found.moved, "broken": found.broken,
+        "states": found.states, "all": found.complete, "steps": dict(found.steps),
+        "two_leaders": found.two_leaders, "moved": found.moved, "broken": found.counterexample,
     }  # fmt: skip
 
 
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -20,7 +20,7 @@
 from gaugesail.coordination.raft_log import Snapshot
 from gaugesail.coordination.replica_id import make_replica_id
 
-from ..lab.fleet import SECOND, Disk, FleetWorld, LabHead, Limit
+from ..lab.fleet import SECOND, Disk, FleetWorld, Limit, SimulatedGateway
 from ..lab.troubles import Demand
 
 RATE = 100.0
@@ -30,7 +30,7 @@
 def begun(seed: int, heads: int = 5, drift: float = 0.0) -> FleetWorld:
     """Three keepers and some more, that have begun."""
     world = FleetWorld(seed, heads, 3, Limit(RATE, 16.0 * heads), drift=drift)
-    for head in world.heads.values():
+    for head in world.gateways.values():
         head.start()
     world.run(8 * SECOND)
     world.audit()
@@ -44,7 +44,7 @@
     turn = 0
     while world.now < end:
         world.run(world.now + gap)
-        world.ask(names[turn % len(names)], 2.0)
+        world.send_request(names[turn % len(names)], 2.0)
         turn += 1
 
 
@@ -52,12 +52,12 @@
     return world.overspent + world.counts["rights_over"]
 
 
-def leader(world: FleetWorld) -> LabHead:
-    return next(head for head in world.heads.values() if head.node is not None and head.node.is_leader)
+def leader(world: FleetWorld) -> SimulatedGateway:
+    return next(head for head in world.gateways.values() if head.node is not None and head.node.is_leader)
 
 
 def others(world: FleetWorld, *names: str) -> list[str]:
-    return [name for name in world.heads if name not in names]
+    return [name for name in world.gateways if name not in names]
 
 
 def _tries(case: Callable[[int], int]) -> int:
@@ -72,7 +72,7 @@
     """A grant's answer is lost, and asked for again."""
     world = begun(1)
     for name in others(world, leader(world).name):
-        world.line(leader(world).name, name).drop = 0.6
+        world.link(leader(world).name, name).drop = 0.6
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 20 * SECOND)
     return broken(world)
@@ -81,9 +81,9 @@
 def told_twice() -> int:
     """All that is said arrives twice, some of it late."""
     world = begun(1)
-    for a in world.heads:
-        for b in world.heads:
-            world.line(a, b).double, world.line(a, b).jitter_us = 1.0, 60_000
+    for a in world.gateways:
+        for b in world.gateways:
+            world.link(a, b).duplicate, world.link(a, b).jitter_us = 1.0, 60_000
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 20 * SECOND)
     return broken(world)
@@ -96,7 +96,7 @@
     boss = leader(world).name
     ask(world, [busy], 3)
     for _ in range(4):
-        line = world.line(boss, busy)
+        line = world.link(boss, busy)
         line.delay_us = 3 * SECOND
         ask(world, [other, busy], 0.5)
         line.delay_us = 300
@@ -132,7 +132,7 @@
         world.cut({leader(world).name, "h3"})
         ask(world, ["h3", "h4"], 9)
         world.cut({"h0", "h1", "h2", "h3", "h4"}, on=False)
-        for name in world.heads:
+        for name in world.gateways:
             world.cut({name}, on=False)
         ask(world, ["h3", "h4"], 4)
         return broken(world)
@@ -148,7 +148,7 @@
         boss = leader(world)
         ask(world, ["h3"], 3)
         for name in others(world, boss.name, "h3"):
-            world.line("h3", name).cut = world.line(name, "h3").cut = True
+            world.link("h3", name).cut = world.link(name, "h3").cut = True
         boss.sleep()
         ask(world, ["h3", "h4"], 9)
         boss.wake()
@@ -193,24 +193,24 @@
         world = begun(seed)
         boss = leader(world).name
         ask(world, ["h3"], 3)
-        keepers = [name for name in world.charter.replicas if name != boss]
-        for name in world.charter.replicas:
-            world.line("h3", name).cut = True
+        keepers = [name for name in world.fleet_terms.replicas if name != boss]
+        for name in world.fleet_terms.replicas:
+            world.link("h3", name).cut = True
         ask(world, ["h3", "h4"], 2.4)
         for name in keepers:
-            world.line(boss, name).delay_us = 500_000
-        replica = world.heads[boss].node.replica  # type: ignore[union-attr]
+            world.link(boss, name).delay_us = 500_000
+        replica = world.gateways[boss].node.replica  # type: ignore[union-attr]
         end = world.now + 4 * SECOND
         while world.now < end and replica is not None and replica.lease_manager is not None:
             ask(world, ["h4"], 0.02)
             mine = [lease for lease in replica.lease_manager.leases.values() if lease.gateway == "h3"]
-            if not mine or mine[0].expires_at - world.heads[boss].now() < (100 + 100 * seed) * 1000:
+            if not mine or mine[0].expires_at - world.gateways[boss].now() < (100 + 100 * seed) * 1000:
                 break
-        for name in world.charter.replicas:
-            world.line("h3", name).cut = False
+        for name in world.fleet_terms.replicas:
+            world.link("h3", name).cut = False
         ask(world, ["h3", "h4"], 2)
         for name in keepers:
-            world.line(boss, name).delay_us = 300
+            world.link(boss, name).delay_us = 300
         ask(world, ["h3", "h4"], 5)
         return broken(world)
 
@@ -224,7 +224,7 @@
         world = begun(seed)
         world.cut({leader(world).name, "h3"})
         ask(world, ["h3", "h4"], 9)
-        for name in world.heads:
+        for name in world.gateways:
             world.cut({name}, on=False)
         ask(world, ["h3", "h4"], 3)
         return broken(world)
@@ -238,14 +238,14 @@
     def once(seed: int) -> int:
         world = begun(seed)
         boss = leader(world).name
-        short, other = [name for name in world.charter.replicas if name != boss]
+        short, other = [name for name in world.fleet_terms.replicas if name != boss]
         world.cut({short})
         ask(world, ["h3"], 3)
         world.cut({short}, on=False)
         world.cut({boss})
-        world.line(other, short).cut = True  # it hears nothing of the other's standing
+        world.link(other, short).cut = True  # it hears nothing of the other's standing
         ask(world, ["h4", "h3"], 0.3)
-        world.line(other, short).cut = False
+        world.link(other, short).cut = False
         ask(world, ["h4", "h3"], 9)
         world.cut({boss}, on=False)
         ask(world, ["h4", "h3"], 4)
@@ -263,11 +263,11 @@
     def once(seed: int) -> int:
         world = begun(seed)
         ask(world, ["h3"], 4)
-        head = world.heads["h3"]
+        head = world.gateways["h3"]
         world.run(world.now + 2 * SECOND)  # its store fills
         head.stop_after = 1
         for _ in range(30):  # all that was saved up is on its way out
-            world.ask("h3", 2.0)
+            world.send_request("h3", 2.0)
         world.run(world.now + SECOND // 50)
         for name in others(world, "h3"):
             ask(world, [name], 0.1)
@@ -285,13 +285,13 @@
     Demand(world, 2, 1.3 * RATE)
     for _ in range(4):
         world.run(world.now + 3 * SECOND)
-        for head in world.heads.values():
-            head.die()
+        for head in world.gateways.values():
+            head.kill()
         world.run(world.now + SECOND // 5)
-        for head in world.heads.values():
+        for head in world.gateways.values():
             head.start()
     world.run(world.now + 10 * SECOND)
-    idle = world.used(world.now - 3 * SECOND, world.now) < 0.7
+    idle = world.utilization(world.now - 3 * SECOND, world.now) < 0.7
     return broken(world) + idle
 
 
@@ -299,13 +299,13 @@
     """One head after another is killed and comes back, while demand moves."""
     world = begun(1)
     Demand(world, 2, 1.3 * RATE)
-    for name in list(world.heads):
+    for name in list(world.gateways):
         world.run(world.now + 2 * SECOND)
-        world.heads[name].die()
+        world.gateways[name].kill()
         world.run(world.now + SECOND // 2)
-        world.heads[name].start()
+        world.gateways[name].start()
     world.run(world.now + 10 * SECOND)
-    idle = world.used(world.now - 3 * SECOND, world.now) < 0.8
+    idle = world.utilization(world.now - 3 * SECOND, world.now) < 0.8
     return broken(world) + idle
 
 
@@ -315,13 +315,13 @@
     def once(seed: int) -> int:
         world = begun(seed)
         ask(world, ["h3"], 3)
-        head = world.heads["h3"]
+        head = world.gateways["h3"]
         for _ in range(6):
             world.run(world.now + SECOND)
             for _ in range(20):
-                world.ask("h3", 2.0)
+                world.send_request("h3", 2.0)
             world.run(world.now + SECOND // 100)
-            head.die()
+            head.kill()
             head.start()
             ask(world, ["h3", "h4"], 1)
         return broken(world)
@@ -333,13 +333,13 @@
     """Every head is killed five times a second, and spends all that it has as soon as it has begun."""
     world = begun(1)
     for _ in range(40):
-        for head in world.heads.values():
-            head.die()
+        for head in world.gateways.values():
+            head.kill()
             head.start()
         world.run(world.now + SECOND // 20)
-        for name in world.heads:
+        for name in world.gateways:
             for _ in range(6):
-                world.ask(name, 2.0)
+                world.send_request(name, 2.0)
         world.run(world.now + 3 * SECOND // 20)
     return broken(world)
 
@@ -348,16 +348,16 @@
     """A second process starts under a name that is taken, and a head comes back renamed."""
     world = begun(1)
     Demand(world, 2, 1.3 * RATE)
-    twin = LabHead(world, "h3", 0.0)
+    twin = SimulatedGateway(world, "h3", 0.0)
     world.twins["h3~"] = twin
     twin.start()
     world.run(world.now + 8 * SECOND)
-    head = world.heads["h4"]
-    head.die()
+    head = world.gateways["h4"]
+    head.kill()
     world.rename(head, "h4.1")
     head.start()
     world.run(world.now + 8 * SECOND)
-    twin.die()
+    twin.kill()
     world.run(world.now + 8 * SECOND)
     return broken(world)
 
@@ -368,16 +368,16 @@
     def once(seed: int) -> int:
         world = begun(seed)
         ask(world, ["h3"], 2)
-        copies = {name: world.heads[name].disk for name in world.charter.replicas}
+        copies = {name: world.gateways[name].disk for name in world.fleet_terms.replicas}
         olds = {name: disk.copy() for name, disk in copies.items() if disk is not None}
         ask(world, ["h4"], 4)
         for name in list(olds)[:2]:
-            world.heads[name].die()
-            world.heads[name].disk = olds[name]
+            world.gateways[name].kill()
+            world.gateways[name].disk = olds[name]
         world.run(world.now + SECOND // 10)
         for name in list(olds)[:2]:
-            world.heads[name].start()
-        keep = world.charter.replicas[2]
+            world.gateways[name].start()
+        keep = world.fleet_terms.replicas[2]
         world.cut({keep})
         ask(world, ["h3", "h4"], 12)
         world.cut({keep}, on=False)
@@ -394,11 +394,11 @@
     """One head's file says half of what the others' say: that is the whole for all, and is no more later."""
     world = begun(1)
     less = Limit(RATE / 2, 40.0)
-    world.heads["h2"].retune(less)
-    for judge in world.judges.values():
+    world.gateways["h2"].change_limit(less)
+    for judge in world.buckets.values():
         judge.change(world.now, less)
-    world.judge(1).change(world.now, less)
-    world.judge(1).settle(world.now + 2 * world.charter.lease_with_drift_us + SECOND)
+    world.bucket(1).change(world.now, less)
+    world.bucket(1).settle(world.now + 2 * world.fleet_terms.lease_with_drift_us + SECOND)
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 25 * SECOND)
     return broken(world)
@@ -412,16 +412,16 @@
         Demand(world, seed, 1.6 * RATE)
         world.run(world.now + 4 * SECOND)
         less = world.limit = Limit(RATE / 2, 40.0)
-        judge = world.judge(1)
+        judge = world.bucket(1)
         judge.change(world.now, less)
-        for n, head in enumerate(world.heads.values()):
-            world.at(world.now + n * SECOND // 2, lambda head=head: head.retune(less))  # type: ignore[misc]
-        judge.settle(world.now + 3 * SECOND + 2 * world.charter.lease_with_drift_us)
+        for n, head in enumerate(world.gateways.values()):
+            world.at(world.now + n * SECOND // 2, lambda head=head: head.change_limit(less))  # type: ignore[misc]
+        judge.settle(world.now + 3 * SECOND + 2 * world.fleet_terms.lease_with_drift_us)
         world.run(world.now + 20 * SECOND)
         more = world.limit = Limit(RATE, 80.0)
         judge.change(world.now, more)
-        for n, head in enumerate(world.heads.values()):
-            world.at(world.now + n * SECOND // 2, lambda head=head: head.retune(more))  # type: ignore[misc]
+        for n, head in enumerate(world.gateways.values()):
+            world.at(world.now + n * SECOND // 2, lambda head=head: head.change_limit(more))  # type: ignore[misc]
         world.run(world.now + 15 * SECOND)
         return broken(world)
 
@@ -433,7 +433,7 @@
 
     def once(seed: int) -> int:
         world = begun(seed)
-        for name, head in world.heads.items():
+        for name, head in world.gateways.items():
             # From here on; the clocks stay where they are.
             drift = -0.0099 if name == "h3" else 0.0099
             head.offset += int(world.now * (head.drift - drift))
@@ -453,9 +453,9 @@
     world = begun(1)
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 3 * SECOND)
-    head = world.heads["h3"]
+    head = world.gateways["h3"]
     head.wall_ms -= 365 * 86_400_000
-    head.die()
+    head.kill()
     head.start()
     world.run(world.now + 10 * SECOND)
     mine = sum(units for at, name, units in world.arrivals if name == "h3" and at > world.now - 4 * SECOND)
--- a/gaugesail/measure/storm.py
+++ b/gaugesail/measure/storm.py
@@ -23,7 +23,7 @@
     figures = StormWorld(storm).play()
     counts = figures.counts
     return {
-        "seed": storm.seed, "heads": storm.heads, "clients": storm.clients, "baseline": storm.baseline,
+        "seed": storm.seed, "heads": storm.gateways, "clients": storm.clients, "baseline": storm.baseline,
         "recovery_s": figures.recovery_s, "steady": round(figures.steady, 3),
         "cold_peak": figures.cold_peak, "cold_pressure": figures.cold_pressure,
         "burst": None if figures.burst is None else round(figures.burst, 2),
--- a/gaugesail/rehearsal/fleet/world.py
+++ b/gaugesail/rehearsal/fleet/world.py
@@ -15,8 +15,8 @@
 from twisted.python.failure import Failure
 
 from ...http.messages import Head
-from ...lab.fleet import Judge, Limit
-from ...lab.troubles import MEAN, SIZES
+from ...lab.fleet import Limit, ReferenceBucket
+from ...lab.troubles import MEAN_REQUEST_UNITS, REQUEST_UNITS
 from ...net import dial
 from ..peers import Directory, HttpConnection, HttpListener
 
@@ -82,7 +82,7 @@
     def __init__(self, seconds: Callable[[], float], limit: Limit) -> None:
         self._seconds, self.told = seconds, Ledger()
         self._units: dict[str, tuple[str, float]] = {}  # by request: its head and what it costs
-        self._judge = Judge(limit.rate, limit.burst + LATE_S * limit.rate, self.now)
+        self._judge = ReferenceBucket(limit.rate, limit.burst + LATE_S * limit.rate, self.now)
 
     @property
     def now(self) -> int:
@@ -98,9 +98,9 @@
         if found is None:
             return
         head, units = found
-        self._judge.take(self.now, units)
+        self._judge.charge(self.now, units)
         self.told.arrivals.append((self._seconds(), head, units))
-        self.told.overspent, self.told.least = self._judge.overs, self._judge.least
+        self.told.overspent, self.told.least = self._judge.violations, self._judge.least
 
     def change(self, limit: Limit) -> None:
         """Another whole: a larger one at once; a smaller one once ``settle`` says so."""
@@ -230,7 +230,7 @@
 
     def __init__(self, reactor: Any, seed: int, clients: dict[str, Clients], rate: float) -> None:
         self._reactor, self._rng, self._clients = reactor, random.Random(seed), clients
-        self._gap = MEAN / rate
+        self._gap = MEAN_REQUEST_UNITS / rate
         self._names = list(clients)
         self.weights: dict[str, float] = {}
         self.stopped = False
@@ -251,7 +251,7 @@
         while self._next_at <= now and not self.stopped:
             self._next_at += self._rng.expovariate(1 / self._gap)
             name = self._rng.choices(self._names, list(self.weights.values()))[0]
-            self._clients[name].ask(self._rng.choice(SIZES))
+            self._clients[name].ask(self._rng.choice(REQUEST_UNITS))
         if not self.stopped:
             self._reactor.callLater(max(0.001, self._next_at - now), self._arrive)
 
--- a/tests/coordination/test_exhaustive_search.py
+++ b/tests/coordination/test_exhaustive_search.py
@@ -10,11 +10,16 @@
 
 @pytest.mark.parametrize(
     ("budget", "replicas"),
-    [(Budget(asks=2), 1), (Budget(asks=1, steps=2), 1), (Budget(asks=1, crashes=1), 1), (Budget(asks=1), 3)],
+    [
+        (Budget(lease_requests=2), 1),
+        (Budget(lease_requests=1, steps=2), 1),
+        (Budget(lease_requests=1, crashes=1), 1),
+        (Budget(lease_requests=1), 3),
+    ],
 )
 def test_no_reachable_state_exceeds_the_limit(budget: Budget, replicas: int) -> None:
     result = search(budget, replicas, 5000)
-    assert result.whole and not result.broken
+    assert result.complete and not result.counterexample
     assert result.moved, "in some states the quota moves from one gateway to the other"
 
 
@@ -28,5 +33,5 @@
 @pytest.mark.parametrize("fault", ["lower_unasked", "closed_early"])
 def test_a_missing_safeguard_is_detected(fault: str) -> None:
     with planted(fault):
-        result = search(Budget(asks=2, steps=1), 1, 4000)
-    assert result.broken, result
+        result = search(Budget(lease_requests=2, steps=1), 1, 4000)
+    assert result.counterexample, result
--- a/tests/coordination/test_planted_faults.py
+++ b/tests/coordination/test_planted_faults.py
@@ -75,7 +75,7 @@
     world = budgets.world_of(200, 1)
     held = sum(
         gateway.node is not None and gateway.node.lease_holder.lease_until > gateway.now()
-        for gateway in world.heads.values()
+        for gateway in world.gateways.values()
     )
     world.audit()
     world.run(world.now + SECOND)
--- a/tests/coordination/test_virtual_time.py
+++ b/tests/coordination/test_virtual_time.py
@@ -7,7 +7,7 @@
 
 def fleet(gateways: int = 5, replicas: int = 3, seed: int = 1) -> FleetWorld:
     world = FleetWorld(seed, gateways, replicas, Limit(100.0, 16.0 * gateways))
-    for gateway in world.heads.values():
+    for gateway in world.gateways.values():
         gateway.start()
     world.run(8 * SECOND)
     return world
@@ -18,14 +18,14 @@
     end = world.now + int(seconds * SECOND)
     while world.now < end:
         world.run(world.now + int(2 / rate * SECOND))
-        world.ask(name, 2.0)
+        world.send_request(name, 2.0)
 
 
 def test_demand_at_one_gateway_gets_the_limit_less_the_floors_of_the_others() -> None:
     world = fleet()
     start = world.now
     send_requests(world, "h4", 20, 150)
-    assert world.used(start + 2 * SECOND, world.now) > 0.9, "the even split uses 0.2"
+    assert world.utilization(start + 2 * SECOND, world.now) > 0.9, "the even split uses 0.2"
     assert world.overspent == 0
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -79,10 +79,10 @@
     """Send random and damaged datagrams to a gateway, whose state must stay; return how many it accepts."""
     rng = random.Random(seed)
     world = FleetWorld(1, 3, 3, Limit(100.0, 48.0))
-    for head in world.heads.values():
+    for head in world.gateways.values():
         head.start()
     world.run(6_000_000)
-    node = world.heads["h0"].node
+    node = world.gateways["h0"].node
     assert node is not None
     before = repr((node.view_members(0), node.view_budgets(0)))
     wire, other = Wire("f", "h0", 1, KEY), Wire("f", "h1", 2, KEY)
@@ -111,7 +111,7 @@
         received = wire.unpack(bytes(data))
         if received is not None and bytes(data) not in sent:
             accepted += 1
-            node.receive(world.heads["h0"].now(), *received)
+            node.receive(world.gateways["h0"].now(), *received)
     assert repr((node.view_members(0), node.view_budgets(0))) == before
     assert len(wire._windows) <= 1 and len(wire.dropped) < 10, "dropped frames change only the counters"
     return accepted
