--- a/gaugesail/lab/troubles.py
+++ b/gaugesail/lab/troubles.py
@@ -1,4 +1,4 @@
-"""Faults of a fleet in virtual time: demand that moves, and schedules of faults drawn from a seed."""
+"""Load and faults for a simulated fleet: demand that moves between gateways, and random fault schedules."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 
 REQUEST_UNITS = (1, 1, 2, 2, 2, 3, 4, 8)  # units of a request
 MEAN_REQUEST_UNITS = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
-MOVES_S = (5.0, 23.0)  # between two changes of who is busiest
+MOVE_INTERVAL_S = (5.0, 23.0)  # bounds of the time between two changes of the busiest gateway
 
 
 class Demand:
-    """Requests for one volume through all heads, unevenly, the busiest changing; what a dead head would have
-    got is lost to its client."""
+    """Requests for one volume through all gateways, unevenly; the busiest gateway changes.
+
+    ``rate`` is in units a second.  Requests to a gateway whose process has ended are lost.
+    """
 
     def __init__(self, world: FleetWorld, seed: int, rate: float, volume: int = 1) -> None:
         self._world, self._rng = world, random.Random(seed)
@@ -29,7 +31,7 @@
     def _move(self) -> None:
         self._weights = [1 / (n + 1) ** 1.5 for n in range(len(self._names))]
         self._rng.shuffle(self._weights)
-        self._world.at(self._world.now + int(self._rng.uniform(*MOVES_S) * SECOND), self._move)
+        self._world.at(self._world.now + int(self._rng.uniform(*MOVE_INTERVAL_S) * SECOND), self._move)
 
     def _arrive(self) -> None:
         world = self._world
@@ -39,7 +41,11 @@
 
 
 class FaultSchedule:
-    """Draws faults and plays them: each kind is a method, and is counted."""
+    """Draws faults from a seed and injects them.
+
+    Each kind of fault is a method and is counted in ``faults`` under the method's name.  With ``twins``
+    false, no second process is started under a gateway's name.
+    """
 
     def __init__(self, world: FleetWorld, seed: int, twins: bool = True) -> None:
         self.world, self.rng = world, random.Random(seed)
@@ -54,13 +60,13 @@
         ]  # fmt: skip
 
     def draw(self, until: int, mean_gap_s: float) -> None:
-        """Faults from now until a time, about so far apart; several may overlap."""
+        """Inject faults until a time, at random intervals of this mean; several may overlap."""
         gap = 1 + int(self.rng.expovariate(1 / mean_gap_s) * SECOND)
         at = self.world.now + gap
         if at < until:
-            self.world.at(at, lambda: self._next(until, mean_gap_s))
+            self.world.at(at, lambda: self._play_next(until, mean_gap_s))
 
-    def _next(self, until: int, mean_gap_s: float) -> None:
+    def _play_next(self, until: int, mean_gap_s: float) -> None:
         kinds, weights = zip(*self._kinds, strict=True)
         kind = self.rng.choices(kinds, weights)[0]
         self.faults[kind.__name__.strip("_")] += 1
@@ -72,203 +78,222 @@
     def _later(self, low: float, high: float, call: Callable[[], None]) -> None:
         self.world.at(self.world.now + int(self.rng.uniform(low, high) * SECOND), call)
 
-    def _any(self) -> SimulatedGateway:
+    def _any_gateway(self) -> SimulatedGateway:
         return self.rng.choice(list(self.world.gateways.values()))
 
     def _leader(self) -> SimulatedGateway:
-        leads = [
-            head for head in self.world.gateways.values() if head.node is not None and head.node.is_leader
+        leaders = [
+            gateway
+            for gateway in self.world.gateways.values()
+            if gateway.node is not None and gateway.node.is_leader
         ]
-        return self.rng.choice(leads) if leads else self._any()
+        return self.rng.choice(leaders) if leaders else self._any_gateway()
 
-    def _back(self, head: SimulatedGateway, store: bool = True) -> Callable[[], None]:
-        """Its process starts again, unless it runs."""
+    def _restart(self, gateway: SimulatedGateway, store: bool = True) -> Callable[[], None]:
+        """Return a call that starts the gateway's process unless one runs."""
 
-        def back() -> None:
-            if head.node is None:
-                head.start(store)
+        def restart() -> None:
+            if gateway.node is None:
+                gateway.start(store)
 
-        return back
+        return restart
 
     # ---- processes ----
 
     def crash(self) -> None:
-        head = self._any()
-        head.kill()
-        self._later(0.05, 8, self._back(head))
+        """A gateway's process is killed and restarts."""
+        gateway = self._any_gateway()
+        gateway.kill()
+        self._later(0.05, 8, self._restart(gateway))
 
     def crash_mid_step(self) -> None:
-        head = self._leader() if self.rng.random() < 0.5 else self._any()
-        head.stop_after, head.dies = self.rng.randrange(6), True
-        self._later(0.5, 8, self._back(head))
-
-    def _sleeps(self, head: SimulatedGateway, mid: bool) -> None:
-        if mid:
-            head.stop_after, head.dies = self.rng.randrange(6), False
+        """A gateway's process is killed between two of its actions and restarts."""
+        gateway = self._leader() if self.rng.random() < 0.5 else self._any_gateway()
+        gateway.stop_after, gateway.kills_at_stop = self.rng.randrange(6), True
+        self._later(0.5, 8, self._restart(gateway))
+
+    def _suspend(self, gateway: SimulatedGateway, mid_step: bool) -> None:
+        if mid_step:
+            gateway.stop_after, gateway.kills_at_stop = self.rng.randrange(6), False
         else:
-            head.sleep()
-        self._later(0.2, 14, head.wake)
+            gateway.sleep()
+        self._later(0.2, 14, gateway.wake)
 
     def sleep(self) -> None:
-        self._sleeps(self._any(), False)
+        """A gateway is suspended for a while."""
+        self._suspend(self._any_gateway(), False)
 
     def sleep_mid_step(self) -> None:
-        self._sleeps(self._any(), True)
+        """A gateway is suspended between two of its actions."""
+        self._suspend(self._any_gateway(), True)
 
     def leader_sleeps(self) -> None:
-        self._sleeps(self._leader(), self.rng.random() < 0.5)
+        """The leader is suspended for a while."""
+        self._suspend(self._leader(), self.rng.random() < 0.5)
 
     def leave(self) -> None:
-        """An orderly end, and a new start."""
-        head = self._any()
-        if head.node is not None and not head.asleep:
-            head.step(lambda node: node.leave(head.now()))
-            self._later(0.1, 0.5, head.kill)
-            self._later(0.6, 6, self._back(head))
+        """The gateway leaves the fleet in order, ends and starts again."""
+        gateway = self._any_gateway()
+        if gateway.node is not None and not gateway.asleep:
+            gateway.step(lambda node: node.leave(gateway.now()))
+            self._later(0.1, 0.5, gateway.kill)
+            self._later(0.6, 6, self._restart(gateway))
 
     def restart_all(self) -> None:
-        for head in self.world.gateways.values():
-            head.kill()
-            self._later(0.05, 1.5, self._back(head))
+        """All gateways are killed at once and restart."""
+        for gateway in self.world.gateways.values():
+            gateway.kill()
+            self._later(0.05, 1.5, self._restart(gateway))
 
     def rolling(self) -> None:
-        for n, head in enumerate(list(self.world.gateways.values())):
+        """The gateways restart one after another."""
+        for n, gateway in enumerate(list(self.world.gateways.values())):
             at = self.world.now + int((n * 1.5 + 0.01) * SECOND)
-            self.world.at(at, head.kill)
-            self.world.at(at + SECOND, self._back(head))
+            self.world.at(at, gateway.kill)
+            self.world.at(at + SECOND, self._restart(gateway))
 
     def clock_back(self) -> None:
-        """The wall clock is set back, and the head starts again."""
-        head = self._any()
-        head.wall_ms -= self.rng.randrange(10**9)
-        head.kill()
-        self._later(0.05, 2, self._back(head))
+        """The wall clock is set back, and the gateway restarts."""
+        gateway = self._any_gateway()
+        gateway.wall_ms -= self.rng.randrange(10**9)
+        gateway.kill()
+        self._later(0.05, 2, self._restart(gateway))
 
     def twin(self) -> None:
-        """A second process starts under a name that is taken, with a store of its own."""
-        head = self._any()
-        if self.world.fleet_terms.replicas == (head.name,):
-            return  # two processes that are each the one keeper are two fleets: the pages say so
-        name = f"{head.name}~{self.faults['twin']}"
-        twin = SimulatedGateway(self.world, head.name, head.drift)
+        """A second process starts under the name of a running gateway, with a store of its own."""
+        gateway = self._any_gateway()
+        if self.world.fleet_terms.replicas == (gateway.name,):
+            return  # two processes that are each the only replica are two fleets, as documented
+        name = f"{gateway.name}~{self.faults['twin']}"
+        twin = SimulatedGateway(self.world, gateway.name, gateway.drift)
         self.world.twins[name] = twin
         twin.start()
         self._later(2, 12, twin.kill)
 
     def rename(self) -> None:
-        """A head that is no keeper comes back under another name, with its store."""
-        head = self._any()
-        if head.name in self.world.fleet_terms.replicas:
+        """A gateway without a replica restarts under another name, with its store."""
+        gateway = self._any_gateway()
+        if gateway.name in self.world.fleet_terms.replicas:
             return
-        head.kill()
-        fresh = f"{head.name.partition('.')[0]}.{self.faults['rename']}"
-        self.world.rename(head, fresh)
-        self._later(0.05, 3, self._back(head))
+        gateway.kill()
+        new_name = f"{gateway.name.partition('.')[0]}.{self.faults['rename']}"
+        self.world.rename(gateway, new_name)
+        self._later(0.05, 3, self._restart(gateway))
 
     # ---- stores ----
 
     def lose_store(self) -> None:
-        head = self._any()
-        if self.world.fleet_terms.replicas == (head.name,):
-            return  # with the one keeper's store the fleet is gone: the pages say so
-        head.kill()
-        head.disk = Disk()
-        self._later(0.05, 5, self._back(head, self.rng.random() < 0.7))
+        """A gateway restarts with an empty store, or with none."""
+        gateway = self._any_gateway()
+        if self.world.fleet_terms.replicas == (gateway.name,):
+            return  # the only replica's store is the only copy of the fleet's state, as documented
+        gateway.kill()
+        gateway.disk = Disk()
+        self._later(0.05, 5, self._restart(gateway, self.rng.random() < 0.7))
 
     def old_store(self) -> None:
-        """What was copied some time ago stands in the place of a head's store."""
-        head = self._any()
-        if head.disk is not None:
-            copy = head.disk.copy()
-            self._later(3, 15, lambda: self._restore(head, copy))
+        """A gateway's store is replaced by an earlier copy."""
+        gateway = self._any_gateway()
+        if gateway.disk is not None:
+            copy = gateway.disk.copy()
+            self._later(3, 15, lambda: self._restore(gateway, copy))
 
-    def _restore(self, head: SimulatedGateway, copy: Disk) -> None:
-        head.kill()
-        head.disk = copy
-        self._later(0.05, 5, self._back(head))
+    def _restore(self, gateway: SimulatedGateway, copy: Disk) -> None:
+        gateway.kill()
+        gateway.disk = copy
+        self._later(0.05, 5, self._restart(gateway))
 
     def full_store(self) -> None:
-        head = self._leader() if self.rng.random() < 0.5 else self._any()
-        disk = head.disk
+        """Writes to a gateway's store fail for a while, then it restarts."""
+        gateway = self._leader() if self.rng.random() < 0.5 else self._any_gateway()
+        disk = gateway.disk
         if disk is not None:
             disk.full = True
             self._later(0.5, 8, lambda: setattr(disk, "full", False))
-            self._later(8, 12, lambda: self._restore(head, disk))
+            self._later(8, 12, lambda: self._restore(gateway, disk))
 
     # ---- the network ----
 
-    def _cuts(self, side: set[str], both: bool) -> None:
-        self.world.cut(side, both)
-        self._later(0.5, 12, lambda: self.world.cut(side, both, False))
+    def _cut_for_a_while(self, names: set[str], both: bool) -> None:
+        self.world.cut(names, both)
+        self._later(0.5, 12, lambda: self.world.cut(names, both, False))
 
     def cut(self) -> None:
-        self._cuts({self._any().name}, True)
+        """A gateway is cut off."""
+        self._cut_for_a_while({self._any_gateway().name}, True)
 
     def cut_one_way(self) -> None:
-        head = self._leader() if self.rng.random() < 0.5 else self._any()
-        names = set(self.world.gateways) - {head.name}
-        self._cuts({head.name} if self.rng.random() < 0.5 else names, False)
+        """A gateway cannot send to the others, or cannot receive from them."""
+        gateway = self._leader() if self.rng.random() < 0.5 else self._any_gateway()
+        names = set(self.world.gateways) - {gateway.name}
+        self._cut_for_a_while({gateway.name} if self.rng.random() < 0.5 else names, False)
 
     def halves(self) -> None:
+        """The fleet is cut into two halves."""
         names = sorted(self.world.gateways)
-        self._cuts(set(self.rng.sample(names, len(names) // 2)), True)
+        self._cut_for_a_while(set(self.rng.sample(names, len(names) // 2)), True)
 
-    def _lines(self, change: Callable[[Link], None], low: float, high: float) -> None:
-        """Change all lines of one head, for a while."""
-        name = self._any().name
+    def _disturb_links(self, change: Callable[[Link], None], low: float, high: float) -> None:
+        """Change all links of one gateway for a random time between ``low`` and ``high`` seconds."""
+        name = self._any_gateway().name
         pairs = [pair for other in self.world.gateways for pair in ((name, other), (other, name))]
-        lines = [self.world.link(*pair) for pair in pairs]
-        for line in lines:
-            change(line)
+        links = [self.world.link(*pair) for pair in pairs]
+        for link in links:
+            change(link)
 
         def undo() -> None:
-            for line in lines:
-                line.drop, line.duplicate, line.delay_us, line.jitter_us = 0.0, 0.0, 300, 700
+            for link in links:
+                link.drop, link.duplicate, link.delay_us, link.jitter_us = 0.0, 0.0, 300, 700
 
         self._later(low, high, undo)
 
     def lossy(self) -> None:
-        self._lines(lambda line: setattr(line, "drop", self.rng.uniform(0.1, 0.7)), 1, 10)
+        """A gateway's messages are lost at random."""
+        self._disturb_links(lambda link: setattr(link, "drop", self.rng.uniform(0.1, 0.7)), 1, 10)
 
     def slow(self) -> None:
-        """Late, and so far apart that later messages come first."""
-        much = self.rng.choice([20_000, 200_000, 1_500_000, 5_000_000])
-        self._lines(lambda line: setattr(line, "jitter_us", much), 1, 10)
+        """Messages are late, and arrive in another order."""
+        jitter_us = self.rng.choice([20_000, 200_000, 1_500_000, 5_000_000])
+        self._disturb_links(lambda link: setattr(link, "jitter_us", jitter_us), 1, 10)
 
     def double(self) -> None:
-        def double(line: Link) -> None:
-            line.duplicate, line.jitter_us = 0.7, 50_000
+        """A gateway's messages are duplicated and reordered."""
+
+        def double(link: Link) -> None:
+            link.duplicate, link.jitter_us = 0.7, 50_000
 
-        self._lines(double, 1, 10)
+        self._disturb_links(double, 1, 10)
 
     def hour_late(self) -> None:
-        """All that one head says for a moment arrives when whatever it is of is long over."""
-        self._lines(lambda line: setattr(line, "delay_us", 9 * SECOND), 0.2, 1.0)
+        """For a moment, a gateway's messages are delayed beyond the end of their lease or election."""
+        self._disturb_links(lambda link: setattr(link, "delay_us", 9 * SECOND), 0.2, 1.0)
 
-    # ---- wholes ----
+    # ---- limits ----
 
-    def _whole(self, factor: float) -> None:
-        """The files change, at one head after another, and some not at all for a while."""
+    def _change_limit(self, factor: float) -> None:
+        """Change the configured limit, at one gateway after another; suspended ones apply it on waking."""
         world, old = self.world, self.world.limit
-        fresh = world.limit = Limit(old.rate * factor, old.burst * factor)
-        waits = set(world.gateways)
-        for judge in world.buckets.values():
-            judge.change(world.now, fresh)
-
-        def heard(name: str) -> None:
-            waits.discard(name)
-            if not waits and world.limit is fresh:
-                for judge in world.buckets.values():
-                    judge.settle(world.now + 2 * world.fleet_terms.lease_with_drift_us)
-
-        for name, head in world.gateways.items():
+        limit = world.limit = Limit(old.rate * factor, old.burst * factor)
+        pending = set(world.gateways)
+        for bucket in world.buckets.values():
+            bucket.change(world.now, limit)
+
+        def done(name: str) -> None:
+            pending.discard(name)
+            if not pending and world.limit is limit:
+                for bucket in world.buckets.values():
+                    bucket.settle(world.now + 2 * world.fleet_terms.lease_with_drift_us)
+
+        for name, gateway in world.gateways.items():
             at = world.now + int(self.rng.uniform(0, 4) * SECOND)
-            world.at(at, lambda head=head, name=name: head.change_limit(fresh, lambda: heard(name)))  # type: ignore[misc]
+            world.at(at, lambda gateway=gateway, name=name: gateway.change_limit(limit, lambda: done(name)))  # type: ignore[misc]
 
     def lower(self) -> None:
+        """The limit is lowered."""
         if self.world.limit.rate > 30:
-            self._whole(self.rng.choice([0.5, 0.8]))
+            self._change_limit(self.rng.choice([0.5, 0.8]))
 
     def raise_(self) -> None:
+        """The limit is raised."""
         if self.world.limit.rate < 200:
-            self._whole(self.rng.choice([1.25, 2.0]))
+            self._change_limit(self.rng.choice([1.25, 2.0]))
