--- a/tests/coordination/test_exhaustive_search.py
+++ b/tests/coordination/test_exhaustive_search.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gaugesail.lab.search import Budget, Search, search
+from gaugesail.lab.search import Budget, Transitions, search
 from gaugesail.measure.planted import planted
 
 
@@ -24,10 +24,10 @@
 
 
 def test_the_search_begins_with_all_leasable_quota_at_one_gateway() -> None:
-    runner = Search()
-    state = runner.first(Budget())
-    assert runner.spendable(state)[0] == 100_000 and runner.good(state)
-    assert "p/1" in state.cells["h1"].holder.allocations and not state.cells["h2"].holder.allocations
+    transitions = Transitions()
+    state = transitions.initial_state(Budget())
+    assert transitions.spendable(state)[0] == 100_000 and transitions.within_limit(state)
+    assert "p/1" in state.gateways["h1"].holder.allocations and not state.gateways["h2"].holder.allocations
 
 
 @pytest.mark.parametrize("fault", ["lower_unasked", "closed_early"])
