--- a/gaugesail/lab/__init__.py
+++ b/gaugesail/lab/__init__.py
@@ -1,3 +1,1 @@
-"""The laboratory: whole heads, stand-in nodes and clients in virtual time, and what an observer saw of
-them.
-"""
+"""Simulations in virtual time: complete gateways with stand-in nodes and clients, and what they observe."""
--- a/gaugesail/lab/observer.py
+++ b/gaugesail/lab/observer.py
@@ -1,4 +1,4 @@
-"""What the nodes, the clients and the list saw, and what the rules say of it; nothing here asks a head."""
+"""Records what nodes and clients observe, and evaluates it; reports of the gateways are not used."""
 
 from __future__ import annotations
 
@@ -7,83 +7,94 @@
 
 
 @dataclass(slots=True)
-class Wish:
-    """One thing that a client wants, from when it fell due to its service; its repeats belong to it."""
+class Operation:
+    """One operation of a client, from when it falls due until it is served, with all retries.
+
+    ``value`` is the price of its units; ``kind`` names the behaviour of the client.
+    """
 
     due: float
     plan: str
-    kind: str  # of client
+    kind: str
     node: int
-    worth: float
+    value: float
     in_time: bool = False
 
 
 @dataclass(slots=True)
-class ColdWindow:
-    """The units sent to one node within the window of the rule, over what the first message allows."""
+class SlowStartWindow:
+    """The units sent to one node within the overload window, relative to what the settings allow.
+
+    ``span_s`` is the length of the window, ``peak`` the largest ratio so far.
+    """
 
-    span: float
+    span_s: float
     sent: deque[tuple[float, float]] = field(default_factory=deque)
     units: float = 0.0
     peak: float = 0.0
 
     def add(self, now: float, units: float, allowed: float) -> None:
+        """Record units that were sent at a time when ``allowed`` units may be sent within the window."""
         self.sent.append((now, units))
         self.units += units
-        while self.sent[0][0] <= now - self.span:
+        while self.sent[0][0] <= now - self.span_s:
             self.units -= self.sent.popleft()[1]
         self.peak = max(self.peak, self.units / allowed)
 
 
 class Observer:
-    """Counts and judges: one final answer, one attempt out, attempts, cold nodes, what was sent unlisted."""
+    """Counts responses, attempts and violations, under the names that ``gaugesail measure storm`` prints."""
 
     def __init__(self) -> None:
-        self.wishes: list[Wish] = []
+        self.operations: list[Operation] = []
         self.counts: Counter[str] = Counter()
         self.attempts: Counter[str] = Counter()  # by request id
-        self.repeats: list[tuple[float, str]] = []  # when one came, and the kind of its client
-        self._out: Counter[str] = Counter()
+        self.retries: list[tuple[float, str]] = []  # (time of sending, kind of client)
+        self._pending: Counter[str] = Counter()
 
-    # ---- what nodes saw ----
+    # ---- at the nodes ----
 
-    def sent(self, name: str) -> None:
-        self.attempts[name] += 1
-        self._out[name] += 1
-        if self._out[name] > 1:
+    def sent(self, request_id: str) -> None:
+        """Record that an attempt of a request reached a node."""
+        self.attempts[request_id] += 1
+        self._pending[request_id] += 1
+        if self._pending[request_id] > 1:
             self.counts["two_out"] += 1
 
-    def ended(self, name: str) -> None:
-        """Its answer left, or its connection ended."""
-        self._out[name] -= 1
-        if not self._out[name]:
-            del self._out[name]
+    def ended(self, request_id: str) -> None:
+        """Record that an attempt ended: its response was sent, or its connection closed."""
+        self._pending[request_id] -= 1
+        if not self._pending[request_id]:
+            del self._pending[request_id]
 
     @property
-    def most_attempts(self) -> int:
+    def max_attempts(self) -> int:
+        """The largest number of attempts of one request."""
         return max(self.attempts.values(), default=0)
 
     # ---- figures ----
 
-    def service(self, since: float, until: float, node: int | None = None, **of: str) -> float | None:
-        """The worth served in time over the worth due, of what fell due within a span; None where nothing
-        did.
+    def service(self, since: float, until: float, node: int | None = None, **fields: str) -> float | None:
+        """Return the value served in time as a share of the value due, of operations that fell due in a span.
+
+        ``fields`` restricts them to those whose attributes have these values.  None if there are none.
         """
-        due = met = 0.0
-        for wish in self.wishes:
-            if not since <= wish.due < until or (node is not None and wish.node != node):
+        due = served = 0.0
+        for operation in self.operations:
+            if not since <= operation.due < until or (node is not None and operation.node != node):
                 continue
-            if all(getattr(wish, name) == value for name, value in of.items()):
-                due += wish.worth
-                met += wish.worth * wish.in_time
-        return met / due if due else None
+            if all(getattr(operation, name) == value for name, value in fields.items()):
+                due += operation.value
+                served += operation.value * operation.in_time
+        return served / due if due else None
 
     def burst(self, since: float, until: float, kinds: set[str], bin_s: float = 0.1) -> float | None:
-        """The arrivals of repeats in the busiest bin over their mean; None with under one a bin in the
-        mean.
+        """Return the number of retries in the busiest bin of ``bin_s`` seconds over the mean of all bins.
+
+        None if the mean is under one.
         """
-        times = [at for at, kind in self.repeats if since <= at < until and kind in kinds]
-        bins = max(1, round((until - since) / bin_s))
-        if len(times) < bins:
+        times = [at for at, kind in self.retries if since <= at < until and kind in kinds]
+        bin_count = max(1, round((until - since) / bin_s))
+        if len(times) < bin_count:
             return None
-        return max(Counter(int((at - since) / bin_s) for at in times).values()) / (len(times) / bins)
+        return max(Counter(int((at - since) / bin_s) for at in times).values()) / (len(times) / bin_count)
--- a/gaugesail/lab/terminals.py
+++ b/gaugesail/lab/terminals.py
@@ -1,6 +1,4 @@
-"""Client populations: terminals that ask for one thing at a time, and again in ways of their own until
-served.
-"""
+"""Client populations: terminals that send one request at a time and retry it, each kind in its own way."""
 
 from __future__ import annotations
 
@@ -15,86 +13,99 @@
 from ..http.messages import BadMessage, EndOfMessage, Head
 from ..http.parser import Parser
 from ..net import Connection, dial
-from .observer import Observer, Wish
+from .observer import Observer, Operation
 
-TURN_S = 0.02  # between an answer and the next request: the terminal's own machine and its network
-RHYTHM = 4.0  # shape of the gamma distribution of the gaps between its wishes (variation 0.5)
-CARDS = 4
-SLACK_S = 0.06  # a final answer may be so late (8 ms and 50 ms on sockets)
+CLIENT_DELAY_S = 0.02  # from a response to the next request, for the client's machine and network
+GAP_SHAPE = 4.0  # of the gamma distribution of the gaps between operations (coefficient of variation 0.5)
+DECK_SIZE = 4
+RESPONSE_SLACK_S = 0.06  # allowed lateness of a final response (8 ms and 50 ms on sockets)
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """How a client of this kind behaves when it was not served."""
+class ClientKind:
+    """How clients of a kind behave when they were not served.
+
+    They wait as Retry-After says if they honor it, else for a random time between ``min_wait_s`` and
+    ``max_wait_s``.
+    """
 
     name: str
-    marks: bool = True  # its repeats
-    heeds: bool = False  # the time to come back that it is told
-    redials: bool = False  # for each request
-    least_s: float = 0.0  # its own wait, drawn evenly between these
-    most_s: float = 0.0
-    tries: int = 0  # then it gives up and leaves; 0: until it is served
+    marks_retries: bool = True  # sends Client-Retry with each retry
+    honors_retry_after: bool = False  # waits as long as Retry-After says
+    reconnects: bool = False  # opens a new connection for each request
+    min_wait_s: float = 0.0
+    max_wait_s: float = 0.0
+    max_tries: int = 0  # of one operation, before it gives up; 0: retries until it is served
 
-    def wait(self, told_s: float | None, rng: np.random.Generator) -> float:
-        if self.heeds and told_s is not None:
-            return told_s
-        return float(rng.uniform(self.least_s, self.most_s))
+    def wait(self, retry_after_s: float | None, rng: np.random.Generator) -> float:
+        """Return the seconds until the next try; ``retry_after_s`` is what the response said."""
+        if self.honors_retry_after and retry_after_s is not None:
+            return retry_after_s
+        return float(rng.uniform(self.min_wait_s, self.max_wait_s))
 
 
 KINDS = {
     kind.name: kind
     for kind in (
-        Kind("heeds", heeds=True, least_s=0.25, most_s=0.5),
-        Kind("at-once"),
-        Kind("fixed", least_s=1.0, most_s=1.0),
-        Kind("random", least_s=0.2, most_s=2.0),
-        Kind("unmarked", marks=False, least_s=0.2, most_s=2.0),
-        Kind("redials", heeds=True, redials=True, least_s=0.25, most_s=0.5),
-        Kind("leaves", heeds=True, least_s=0.25, most_s=0.5, tries=3),
+        ClientKind("heeds", honors_retry_after=True, min_wait_s=0.25, max_wait_s=0.5),
+        ClientKind("at-once"),
+        ClientKind("fixed", min_wait_s=1.0, max_wait_s=1.0),
+        ClientKind("random", min_wait_s=0.2, max_wait_s=2.0),
+        ClientKind("unmarked", marks_retries=False, min_wait_s=0.2, max_wait_s=2.0),
+        ClientKind("redials", honors_retry_after=True, reconnects=True, min_wait_s=0.25, max_wait_s=0.5),
+        ClientKind("leaves", honors_retry_after=True, min_wait_s=0.25, max_wait_s=0.5, max_tries=3),
     )
 }
 
 
 @dataclass(slots=True, frozen=True)
 class Volume:
-    """Where a volume's data and its clients are."""
+    """A volume: its plan, its price for a unit, its node, and the gateways that its clients use."""
 
     name: int
     plan: str
     price: float
     node: int
-    heads: tuple[int, ...]
+    gateways: tuple[int, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """What a terminal asks for: the same in each of its repeats."""
+class RequestSpec:
+    """The properties of an operation's request, the same in all its retries."""
 
     write: bool
     units: int
     core_s: float
     key: int
-    aim_s: float
+    objective_s: float
     deadline_s: float
 
 
-class World(Protocol):
-    """What a terminal needs around it."""
+class ClientEnvironment(Protocol):
+    """What a terminal needs of the simulation."""
 
     reactor: Any
     observer: Observer
 
-    def draw(self, rng: np.random.Generator, level: float) -> Ask: ...
-    def name(self, ask: Ask) -> str: ...
-    def head_address(self, head: int) -> tuple[str, int]: ...
+    def draw_request(self, rng: np.random.Generator, level: float) -> RequestSpec:
+        """Draw a request whose size is the quantile ``level`` of the sizes."""
+        ...
+
+    def new_request_id(self, spec: RequestSpec) -> str:
+        """Return the id of a new try of a request."""
+        ...
 
+    def gateway_address(self, gateway: int) -> tuple[str, int]:
+        """Return the host and port that a gateway listens on."""
+        ...
 
-class _Line(Connection):
-    """A terminal's connection to its head."""
+
+class _GatewayConnection(Connection):
+    """A terminal's connection to its gateway."""
 
     def __init__(self, terminal: Terminal) -> None:
         self._terminal, self._parser = terminal, Parser(answers=True)
-        self._head: Head | None = None
+        self._header_section: Head | None = None
 
     def connectionMade(self) -> None:
         self._terminal.connected(self)
@@ -103,184 +114,200 @@
         self._parser.feed(data)
         try:
             while True:
-                whole = False
+                complete = False
                 for part in self._parser.parts():
                     if isinstance(part, Head):
-                        self._head = part
-                    whole = isinstance(part, EndOfMessage)
-                if not whole or self._head is None:
+                        self._header_section = part
+                    complete = isinstance(part, EndOfMessage)
+                if not complete or self._header_section is None:
                     return
-                head, self._head = self._head, None
-                if head.status >= 200:
-                    self._terminal.answered(self, head)
+                header_section, self._header_section = self._header_section, None
+                if header_section.status >= 200:
+                    self._terminal.response_received(self, header_section)
         except BadMessage:
             self._terminal.observer.counts["malformed"] += 1
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._terminal.broken(self)
+        self._terminal.connection_lost(self)
 
 
 class Terminal:
-    """One client at one place.  What falls due while it waits for an answer is asked for after it, if it
-    can be.
+    """One client, whose operations fall due every ``gap_s`` seconds in the mean.
+
+    Those that fall due while another is in progress are queued, and dropped when their latency objective has
+    passed.  ``gateway`` is the index of the gateway that it connects to.
     """
 
     def __init__(
-        self, world: World, number: int, kind: Kind, volume: Volume, head: int, mean_s: float,
-        rng: np.random.Generator,
+        self, world: ClientEnvironment, number: int, kind: ClientKind, volume: Volume, gateway: int,
+        gap_s: float, rng: np.random.Generator,
     ) -> None:  # fmt: skip
         self._world, self.observer, self._rng = world, world.observer, rng
-        self.number, self.kind, self.volume, self.head, self._mean_s = number, kind, volume, head, mean_s
-        self._due: deque[tuple[Wish, Ask]] = deque()
-        self._now: tuple[Wish, Ask] | None = None  # what it is after
-        self._busy = False  # with that, or between that and the next
+        self.number, self.kind, self.volume, self.gateway, self._gap_s = number, kind, volume, gateway, gap_s
+        self._operations: deque[tuple[Operation, RequestSpec]] = deque()
+        self._current: tuple[Operation, RequestSpec] | None = None  # the operation in progress
+        self._busy = False  # with an operation, or in the delay after it
         self._tries = 0
-        self._line: _Line | None = None
-        self._asked = False  # a request is out
-        self._over: Any = None  # when it stops waiting for the answer
-        self._told_at: float | None = None  # when it was told to come back
+        self._connection: _GatewayConnection | None = None
+        self._request_pending = False  # a request was sent and has no response yet
+        self._timeout: Any = None  # the timer of the response
+        self._retry_at: float | None = None  # the end of the latest Retry-After
         self.stopped = False
-        self._deck: list[float] = []  # sizes to come
+        self._deck: list[float] = []  # the next size levels
 
-    def _level(self) -> float:
-        """The next size as a share of all that are smaller: a shuffled deck, so that none comes too often."""
+    def _next_level(self) -> float:
+        """Return the next size as a quantile, from a shuffled deck that spreads the sizes evenly."""
         if not self._deck:
-            self._deck = [(n + float(self._rng.random())) / CARDS for n in self._rng.permutation(CARDS)]
+            self._deck = [
+                (n + float(self._rng.random())) / DECK_SIZE for n in self._rng.permutation(DECK_SIZE)
+            ]
         return self._deck.pop()
 
     def _gap(self) -> float:
-        return float(self._rng.gamma(RHYTHM, self._mean_s / RHYTHM))
+        return float(self._rng.gamma(GAP_SHAPE, self._gap_s / GAP_SHAPE))
 
     def start(self) -> None:
-        # What is left of a gap that began long ago: its length is drawn by size, and the place in it evenly.
-        gap = float(self._rng.gamma(RHYTHM + 1, self._mean_s / RHYTHM))
-        self._world.reactor.callLater(float(self._rng.random()) * gap, self._falls_due)
+        """Schedule the first operation."""
+        # The rest of a gap that is in progress at the start: the length of such a gap is drawn weighted by
+        # length (length-biased sampling), the position in it uniformly.
+        gap = float(self._rng.gamma(GAP_SHAPE + 1, self._gap_s / GAP_SHAPE))
+        self._world.reactor.callLater(float(self._rng.random()) * gap, self._operation_due)
 
-    def _falls_due(self) -> None:
+    def _operation_due(self) -> None:
         if self.stopped:
             return
-        self._world.reactor.callLater(self._gap(), self._falls_due)
-        ask, now = self._world.draw(self._rng, self._level()), self._world.reactor.seconds()
-        wish = Wish(now, self.volume.plan, self.kind.name, self.volume.node, self.volume.price * ask.units)
-        self.observer.wishes.append(wish)
-        self._due.append((wish, ask))
+        self._world.reactor.callLater(self._gap(), self._operation_due)
+        spec, now = self._world.draw_request(self._rng, self._next_level()), self._world.reactor.seconds()
+        operation = Operation(
+            now, self.volume.plan, self.kind.name, self.volume.node, self.volume.price * spec.units
+        )
+        self.observer.operations.append(operation)
+        self._operations.append((operation, spec))
         if not self._busy:
-            self._next()
+            self._next_operation()
 
-    def _next(self) -> None:
+    def _next_operation(self) -> None:
         now = self._world.reactor.seconds()
-        while self._due and self._due[0][0].due + self._due[0][1].aim_s < now:
-            self._due.popleft()  # nobody waits for it any more
+        while self._operations and self._operations[0][0].due + self._operations[0][1].objective_s < now:
+            self._operations.popleft()  # its latency objective has passed
             self.observer.counts["never_asked"] += 1
-        self._now, self._tries = (self._due.popleft() if self._due else None), 0
-        self._busy = self._now is not None
+        self._current, self._tries = (self._operations.popleft() if self._operations else None), 0
+        self._busy = self._current is not None
         if self._busy:
-            self._try()
+            self._start_try()
 
-    # ---- one try ----
+    # ---- requests ----
 
-    def _try(self) -> None:
-        if self.stopped or self._now is None:
+    def _start_try(self) -> None:
+        if self.stopped or self._current is None:
             return
-        if self._line is None:
-            made = dial(self._world.reactor, self._world.head_address(self.head), 5.0, lambda: _Line(self))
-            made.addErrback(lambda _: self._failed(None))
+        if self._connection is None:
+            connecting = dial(
+                self._world.reactor,
+                self._world.gateway_address(self.gateway),
+                5.0,
+                lambda: _GatewayConnection(self),
+            )
+            connecting.addErrback(lambda _: self._not_served(None))
         else:
-            self._ask(self._line)
+            self._send_request(self._connection)
 
-    def connected(self, line: _Line) -> None:
-        self._line = line
+    def connected(self, connection: _GatewayConnection) -> None:
+        """The connection to the gateway is established."""
+        self._connection = connection
         self.observer.counts["dials"] += 1
-        if self._now is not None and not self._asked:
-            self._ask(line)
+        if self._current is not None and not self._request_pending:
+            self._send_request(connection)
 
-    def _ask(self, line: _Line) -> None:
-        assert self._now is not None
-        _, ask = self._now
+    def _send_request(self, connection: _GatewayConnection) -> None:
+        assert self._current is not None
+        _, spec = self._current
         now = self._world.reactor.seconds()
-        self._asked, self._tries = True, self._tries + 1
+        self._request_pending, self._tries = True, self._tries + 1
         if self._tries > 1:
-            self.observer.repeats.append((now, self.kind.name))
-            if self._told_at is not None and now < self._told_at - 0.001:
+            self.observer.retries.append((now, self.kind.name))
+            if self._retry_at is not None and now < self._retry_at - 0.001:
                 self.observer.counts["early_repeats"] += 1
-        self._told_at = None
+        self._retry_at = None
         volume = self.volume
-        again = "Client-Retry: 1\r\n" if self._tries > 1 and self.kind.marks else ""
-        body = "0123456789abcdef" if ask.write else ""
+        retry_header = "Client-Retry: 1\r\n" if self._tries > 1 and self.kind.marks_retries else ""
+        body = "0123456789abcdef" if spec.write else ""
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         self.observer.counts["asked"] += 1
-        self._over = self._world.reactor.callLater(ask.deadline_s + SLACK_S, self._too_late)
-        line.link.write(
-            f"{'PUT' if ask.write else 'GET'} /api HTTP/1.1\r\nHost: app.svc\r\n"
-            f"Request-Id: {self._world.name(ask)}\r\nRequest-Class: {'write' if ask.write else 'read'}\r\n"
-            f"X-Plan: {volume.plan}\r\nCookie: block={ask.key:016x}\r\n"
-            f"Request-Timeout-Ms: {round(ask.deadline_s * 1000)}\r\n{again}{length}"
-            f"X-IO: volume={volume.name:016x},units={ask.units},shard={volume.node},"
-            f"hosts={len(volume.heads)}\r\n\r\n{body}".encode()
+        self._timeout = self._world.reactor.callLater(spec.deadline_s + RESPONSE_SLACK_S, self._timed_out)
+        connection.link.write(
+            f"{'PUT' if spec.write else 'GET'} /api HTTP/1.1\r\nHost: app.svc\r\n"
+            f"Request-Id: {self._world.new_request_id(spec)}\r\n"
+            f"Request-Class: {'write' if spec.write else 'read'}\r\n"
+            f"X-Plan: {volume.plan}\r\nCookie: block={spec.key:016x}\r\n"
+            f"Request-Timeout-Ms: {round(spec.deadline_s * 1000)}\r\n{retry_header}{length}"
+            f"X-IO: volume={volume.name:016x},units={spec.units},shard={volume.node},"
+            f"hosts={len(volume.gateways)}\r\n\r\n{body}".encode()
         )
 
-    def _end(self) -> None:
-        self._asked = False
-        if self._over is not None and self._over.active():
-            self._over.cancel()
-        self._over = None
+    def _end_request(self) -> None:
+        self._request_pending = False
+        if self._timeout is not None and self._timeout.active():
+            self._timeout.cancel()
+        self._timeout = None
 
-    def answered(self, line: _Line, head: Head) -> None:
-        if not self._asked or line is not self._line:
+    def response_received(self, connection: _GatewayConnection, header_section: Head) -> None:
+        """Handle a final response, by its header section."""
+        if not self._request_pending or connection is not self._connection:
             self.observer.counts["answered_twice"] += 1
             return
-        self._end()
-        if self.kind.redials or not head.keep_alive:
-            self._line = None
-            line.link.loseConnection()
+        self._end_request()
+        if self.kind.reconnects or not header_section.keep_alive:
+            self._connection = None
+            connection.link.loseConnection()
         now = self._world.reactor.seconds()
-        if head.status == 200:
-            assert self._now is not None
-            wish, ask = self._now
-            wish.in_time = now <= wish.due + ask.aim_s
+        if header_section.status == 200:
+            assert self._current is not None
+            operation, spec = self._current
+            operation.in_time = now <= operation.due + spec.objective_s
             self.observer.counts["served"] += 1
-            self._world.reactor.callLater(TURN_S, self._next)
-            self._now = None
+            self._world.reactor.callLater(CLIENT_DELAY_S, self._next_operation)
+            self._current = None
             return
-        self.observer.counts["refused" if head.status in (429, 503) else "failed"] += 1
-        told = head.headers.get("retry-after")
-        self._failed(float(told) if told is not None else None)
+        self.observer.counts["refused" if header_section.status in (429, 503) else "failed"] += 1
+        retry_after = header_section.headers.get("retry-after")
+        self._not_served(float(retry_after) if retry_after is not None else None)
 
-    def broken(self, line: _Line) -> None:
-        """The head ended the connection; with a request out that is a failure without an answer."""
-        if line is not self._line:
+    def connection_lost(self, connection: _GatewayConnection) -> None:
+        """The gateway closed the connection; a pending request then has no response."""
+        if connection is not self._connection:
             return
-        self._line = None
-        if self._asked:
-            self._end()
+        self._connection = None
+        if self._request_pending:
+            self._end_request()
             self.observer.counts["unanswered"] += not self.stopped
-            self._failed(None)
+            self._not_served(None)
 
-    def _too_late(self) -> None:
+    def _timed_out(self) -> None:
         self.observer.counts["unanswered"] += 1
-        line, self._line = self._line, None
-        self._end()
-        if line is not None:
-            line.link.abortConnection()
-        self._failed(None)
-
-    def _failed(self, told_s: float | None) -> None:
-        if self.kind.tries and self._tries >= self.kind.tries:
+        connection, self._connection = self._connection, None
+        self._end_request()
+        if connection is not None:
+            connection.link.abortConnection()
+        self._not_served(None)
+
+    def _not_served(self, retry_after_s: float | None) -> None:
+        if self.kind.max_tries and self._tries >= self.kind.max_tries:
             self.observer.counts["left"] += 1
-            line, self._line = self._line, None
-            if line is not None:
-                line.link.loseConnection()
-            self._now = None
-            self._world.reactor.callLater(TURN_S, self._next)
+            connection, self._connection = self._connection, None
+            if connection is not None:
+                connection.link.loseConnection()
+            self._current = None
+            self._world.reactor.callLater(CLIENT_DELAY_S, self._next_operation)
             return
-        if told_s is not None:
-            self._told_at = self._world.reactor.seconds() + told_s
-        wait = self.kind.wait(told_s, self._rng)
-        self._world.reactor.callLater(max(wait, TURN_S), self._try)
+        if retry_after_s is not None:
+            self._retry_at = self._world.reactor.seconds() + retry_after_s
+        delay = self.kind.wait(retry_after_s, self._rng)
+        self._world.reactor.callLater(max(delay, CLIENT_DELAY_S), self._start_try)
 
     def stop(self) -> None:
-        """The experiment is over."""
+        """End the client at the end of the experiment."""
         self.stopped = True
-        self._end()
-        if self._line is not None:
-            self._line.link.abortConnection()
+        self._end_request()
+        if self._connection is not None:
+            self._connection.link.abortConnection()
