--- a/gaugesail/lab/ramp.py
+++ b/gaugesail/lab/ramp.py
@@ -1,9 +1,9 @@
-"""A fleet and one node that warms up, in virtual time: what reaches the node, counted there.
+"""Simulation of a fleet and one node in slow start; what reaches the node is counted there.
 
-Whole gateways with more to send than the node can do, and no talk between them.  The node is the weakest
-that the settings allow.  A judge counts what arrives within each window of ``fall_us``, against N requests
-of mean work (N by the settings, at the window's start) and against 2 x root of N + 2 of chance beyond them
-(the operators' standing test, rule 4).  The same play gives the same figures.
+Complete gateways, which exchange no messages, have more to send than the node can serve.  The node is the
+weakest that the settings allow.  What arrives within each overload window (``fall_us``) is compared with N,
+the requests of mean work that the settings allow at the start of the window, and with another 2 * sqrt(N) + 2
+for chance (rule 4 of the operators' standing test).  The same play gives the same figures.
 """
 
 from __future__ import annotations
@@ -32,49 +32,50 @@
 from gaugesail.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 SECOND = 1_000_000
-NODE, SHARD = b"node-0", 0
-AIM_US, DEADLINE_US = 1_000_000, 3 * SECOND
-HOLD_OFF_US = 500_000
-LEAST_WIRE_US, MOST_WIRE_US = 200, 20_000  # between a send and its arrival, and back
-COMES_AGAIN = 3  # times that a client asks once more for what was refused
+NODE_NAME, SHARD = b"node-0", 0
+LATENCY_OBJECTIVE_US, DEADLINE_US = 1_000_000, 3 * SECOND
+MAX_RETRY_AFTER_US = 500_000
+MIN_NETWORK_DELAY_US, MAX_NETWORK_DELAY_US = 200, 20_000  # each way
+MAX_RETRIES = 3  # of a refused request, by its client
 
 
 @dataclass(slots=True, frozen=True)
 class Play:
-    """What happens in one play.  Times in seconds, rates in requests a second."""
+    """The events of one simulation.  Times in seconds, rates in requests a second."""
 
     heads: int = 5
     seed: int = 1
-    hear: float = 0.0  # heads hear of the start up to so much later, each by itself
-    restarts: str = "none"  # or "some": one by one all the time; "burst": all at once, again and again
-    known: bool = False  # the node was in use before, and starts again where it was
-    twice: bool = False  # it starts once more while it warms up
-    flaps: bool = False  # lists drop the node for a moment, and name it again with the same start
-    faults: float = 0.0  # share of attempts that end without service
-    slots: int = 40  # requests that the node holds; it turns away what is more
-    rate: float = 40.0  # from all heads together
+    hear: float = 0.0  # gateways are notified of the start up to this much later, each at its own time
+    restarts: str = "none"  # of gateways; "some": one after another, "burst": all at once, repeatedly
+    known: bool = False  # the node was in use before, and restarts under its address
+    twice: bool = False  # the node restarts once more while it warms up
+    flaps: bool = False  # endpoint lists omit the node briefly, then list it with the same start
+    faults: float = 0.0  # share of attempts that are not served
+    slots: int = 40  # requests in the node's queue; it rejects more
+    rate: float = 40.0  # of all gateways together
     span: float = 8.0
-    first_ask: float = 0.0  # after the start of the node
-    size: int = 0  # units of each request; 0: drawn, as clients send them
+    first_ask: float = 0.0  # time of the first request after the start of the node
+    size: int = 0  # units of each request; 0: random sizes
 
     @property
     def name(self) -> str:
+        """The fields that differ from the defaults, as text."""
         usual = asdict(Play())
         return " ".join(f"{key}={value}" for key, value in asdict(self).items() if value != usual[key])
 
 
-def settings_of(rng: random.Random, heads: int) -> list[Settings]:
-    """Settings that a site could have, one for each head."""
-    mean, share = 2.05, rng.choice([0.16, 0.2, 0.31])
-    multiple, fall = rng.choice([2.0, 2.5, 3.0]), rng.choice([1_500_000, 2_000_000, 3_000_000])
-    units, warm = rng.choice([9.0, 16.0, 24.0, 40.0]), rng.choice([10, 17]) * SECOND
+def settings_of(rng: random.Random, gateway_count: int) -> list[Settings]:
+    """Draw settings that a site could have; return them for each gateway."""
+    mean_units, initial_share = 2.05, rng.choice([0.16, 0.2, 0.31])
+    overload_factor, window_us = rng.choice([2.0, 2.5, 3.0]), rng.choice([1_500_000, 2_000_000, 3_000_000])
+    initial_units, warm_up_us = rng.choice([9.0, 16.0, 24.0, 40.0]), rng.choice([10, 17]) * SECOND
     return [
         Settings(
             classes=(
-                RequestClass("read", AIM_US, DEADLINE_US, 1.0, 0.1),
+                RequestClass("read", LATENCY_OBJECTIVE_US, DEADLINE_US, 1.0, 0.1),
                 RequestClass(
                     "write",
-                    AIM_US,
+                    LATENCY_OBJECTIVE_US,
                     DEADLINE_US,
                     1.0,
                     0.1,
@@ -84,35 +85,36 @@
                 ),
             ),
             plans=(Plan("plan", 50.0, 50.0),),
-            gateway_count=heads,
-            gateway_index=me,
+            gateway_count=gateway_count,
+            gateway_index=index,
             tick_us=40_000,
-            overload_window_us=fall,
-            overload_factor=multiple,
-            initial_capacity_share=share,
-            warm_up_us=warm,
-            initial_capacity_units=units,
-            mean_request_units=mean,
+            overload_window_us=window_us,
+            overload_factor=overload_factor,
+            initial_capacity_share=initial_share,
+            warm_up_us=warm_up_us,
+            initial_capacity_units=initial_units,
+            mean_request_units=mean_units,
             max_request_units=8.0,
             fair_share_weight=0.35,
             beyond_share_weight=0.08,
             retry_after_allowed=True,
-            max_retry_after_us=HOLD_OFF_US,
+            max_retry_after_us=MAX_RETRY_AFTER_US,
             max_attempts=4,
             drain_grace_us=250_000,
         )
-        for me in range(heads)
+        for index in range(gateway_count)
     ]
 
 
 @dataclass(slots=True)
 class Window:
-    """Units that arrived within the time of the rule."""
+    """The units that arrived within the overload window."""
 
     items: deque[tuple[int, float]] = field(default_factory=deque)
     total: float = 0.0
 
     def add(self, at: int, units: float, span: int) -> float:
+        """Add units that arrived, drop those older than ``span``, and return the total."""
         self.items.append((at, units))
         self.total += units
         while self.items[0][0] <= at - span:
@@ -121,319 +123,357 @@
 
 
 @dataclass(slots=True)
-class Judge:
-    """The count at the node, of one of its starts."""
-
-    given: Settings
-    start: int
-    all: Window = field(default_factory=Window)
-    told: Window = field(default_factory=Window)
-    worst: float = -math.inf  # (requests of mean work from heads that were told - N) / (2 root N + 2)
-    worst_all: float = -math.inf  # the same of all heads
-    fell_at: int | None = None  # N + 2 root N + 2 were passed first
-    broken: bool = False  # and over two thirds of them came from heads that were told
+class OverloadCheck:
+    """What arrives at the node after one of its starts, compared with what the settings allow.
+
+    A gateway is informed if it was notified of that start before it sent the attempt.
+    """
+
+    settings: Settings
+    started_at: int
+    from_all: Window = field(default_factory=Window)
+    from_informed: Window = field(default_factory=Window)
+    worst: float = -math.inf  # (requests of mean work from informed gateways - N) / (2 * sqrt(N) + 2)
+    worst_all: float = -math.inf  # the same of all gateways
+    exceeded_at: int | None = None  # time when N + 2 * sqrt(N) + 2 was first exceeded
+    overloaded: bool = False  # it was, and over two thirds came from informed gateways
 
     def allowed(self, at: int) -> float:
-        """N at that time, in requests of mean work: the weakest node on the slowest ramp."""
-        low, age = self.given.initial_capacity_share, max(0, at - self.start) / self.given.warm_up_us
+        """Return N at a time, in requests of mean work, for the weakest node with the slowest warm-up."""
+        initial_share, progress = (
+            self.settings.initial_capacity_share,
+            max(0, at - self.started_at) / self.settings.warm_up_us,
+        )
         return (
-            self.given.initial_capacity_units
-            * min(1.0, low + (1 - low) * age)
-            / low
-            / self.given.mean_request_units
+            self.settings.initial_capacity_units
+            * min(1.0, initial_share + (1 - initial_share) * progress)
+            / initial_share
+            / self.settings.mean_request_units
         )
 
-    def arrived(self, at: int, units: float, told: bool) -> None:
-        if at - self.start >= self.given.warm_up_us:
+    def arrived(self, at: int, units: float, informed: bool) -> None:
+        """Count units that arrived, from a gateway that was or was not informed."""
+        if at - self.started_at >= self.settings.warm_up_us:
             return
-        span, mean = self.given.overload_window_us, self.given.mean_request_units
-        n = self.allowed(at - span)
-        chance = 2 * math.sqrt(n) + 2
-        both = self.all.add(at, units, span) / mean
-        known = self.told.add(at, units if told else 0.0, span) / mean
-        self.worst = max(self.worst, (known - n) / chance)
-        self.worst_all = max(self.worst_all, (both - n) / chance)
-        if both > n + chance and self.fell_at is None:
-            self.fell_at, self.broken = at, known > both * 2 / 3
+        span, mean_units = self.settings.overload_window_us, self.settings.mean_request_units
+        allowed = self.allowed(at - span)
+        excess = 2 * math.sqrt(allowed) + 2
+        total = self.from_all.add(at, units, span) / mean_units
+        from_informed = self.from_informed.add(at, units if informed else 0.0, span) / mean_units
+        self.worst = max(self.worst, (from_informed - allowed) / excess)
+        self.worst_all = max(self.worst_all, (total - allowed) / excess)
+        if total > allowed + excess and self.exceeded_at is None:
+            self.exceeded_at, self.overloaded = at, from_informed > total * 2 / 3
 
 
 @dataclass(slots=True)
-class Asked:
-    """A client's request, over all of its tries."""
+class ClientRequest:
+    """A client's request, with all its retries."""
 
     units: float
-    kind: int
+    class_index: int
     shard: int
-    tries: int = 0
+    retries: int = 0
 
 
 class Ramp:
-    """One play."""
+    """The simulation of one play.
+
+    ``make_gateway`` creates a gateway from its settings, a seed and the time.  ``change_settings`` changes
+    the settings of the gateways, while the node behaves as the original settings say.
+    """
 
     def __init__(
-        self, play: Play, make: Callable[[Settings, int, int], Gateway] = Gateway,
-        told: Callable[[Settings], Settings] = lambda given: given,
+        self, play: Play, make_gateway: Callable[[Settings, int, int], Gateway] = Gateway,
+        change_settings: Callable[[Settings], Settings] = lambda settings: settings,
     ) -> None:  # fmt: skip
-        self.play, self.make = play, make
+        self.play, self.make_gateway = play, make_gateway
         self.rng = random.Random(f"{play.heads} {play.seed}")
-        self.given = settings_of(self.rng, play.heads)  # what holds at the node
-        self.told = [told(given) for given in self.given]  # what the heads are told
-        self.now, self._count = 1000 * SECOND, 0
+        self.settings = settings_of(self.rng, play.heads)  # of the node; the gateways may have others
+        self.gateway_settings = [change_settings(settings) for settings in self.settings]
+        self.now, self._scheduled = 1000 * SECOND, 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self.heads: list[Gateway | None] = [None] * play.heads
-        self.lives = [0] * play.heads
-        self.heard = [0] * play.heads  # the start that the head has been told of
-        self.start = 0
-        self.judges: list[Judge] = []
-        self._asked: dict[tuple[int, int], Asked] = {}  # by life's head and request
-        self._next = 1
+        self.gateways: list[Gateway | None] = [None] * play.heads
+        self.generations = [0] * play.heads
+        self.known_starts = [0] * play.heads  # by gateway, the latest start of the node that it knows
+        self.started_at = 0
+        self.checks: list[OverloadCheck] = []
+        self._requests: dict[tuple[int, int], ClientRequest] = {}  # by gateway and request id
+        self._next_request = 1
         self._queue: deque[tuple[int, int, StartAttempt, float, int]] = deque()
-        self._work = 0.0  # what is left of the first of the queue
-        self.counts: Counter[str] = Counter()  # arrived: from heads that were told of the start
-        self.tries: Counter[tuple[int, int, int]] = Counter()
+        self._remaining_units = 0.0  # of the first request in the queue
+        self.counts: Counter[str] = Counter()  # "arrived" counts attempts of informed gateways
+        self.attempts: Counter[tuple[int, int, int]] = Counter()
         self.served: list[tuple[int, float]] = []
 
     # ---- time ----
 
     def at(self, when: int, call: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (max(when, self.now), self._count, call))
+        """Schedule a call, at the present time if ``when`` has passed."""
+        self._scheduled += 1
+        heapq.heappush(self._events, (max(when, self.now), self._scheduled, call))
 
-    def _wire(self) -> int:
-        return self.rng.randrange(LEAST_WIRE_US, MOST_WIRE_US)
+    def _network_delay(self) -> int:
+        return self.rng.randrange(MIN_NETWORK_DELAY_US, MAX_NETWORK_DELAY_US)
 
-    # ---- heads ----
+    # ---- gateways ----
 
-    def _line(self, start: int) -> Endpoint:
-        return Endpoint(NODE, SHARD, started_us=start)
+    def _endpoint(self, start: int) -> Endpoint:
+        return Endpoint(NODE_NAME, SHARD, started_us=start)
 
-    def _birth(self, me: int) -> None:
-        """A process begins, with the list that its agent has."""
-        self.lives[me] += 1
-        self.heads[me] = self.make(self.told[me], self.play.seed * 1000 + me, self.now)
-        if self.heard[me] or self.play.known:
-            self._give(me, EndpointList(EndpointListKind.CACHED, (self._line(self.heard[me]),)))
+    def _start_gateway(self, index: int) -> None:
+        """Start a gateway's process, with the endpoint list that its agent has cached."""
+        self.generations[index] += 1
+        self.gateways[index] = self.make_gateway(
+            self.gateway_settings[index], self.play.seed * 1000 + index, self.now
+        )
+        if self.known_starts[index] or self.play.known:
+            self._handle(
+                index, EndpointList(EndpointListKind.CACHED, (self._endpoint(self.known_starts[index]),))
+            )
         else:
-            self._give(me, EndpointList(EndpointListKind.CACHED))
+            self._handle(index, EndpointList(EndpointListKind.CACHED))
 
-    def _kill(self, me: int, back_us: int) -> None:
-        if self.heads[me] is None:
+    def _kill_gateway(self, index: int, restart_us: int) -> None:
+        if self.gateways[index] is None:
             return
-        self.heads[me] = None
+        self.gateways[index] = None
         self.counts["kills"] += 1
-        self.at(self.now + back_us, lambda: self._birth(me))
+        self.at(self.now + restart_us, lambda: self._start_gateway(index))
 
-    def _give(self, me: int, event: Event) -> None:
-        head = self.heads[me]
-        if head is None:
+    def _handle(self, index: int, event: Event) -> None:
+        gateway = self.gateways[index]
+        if gateway is None:
             return
-        life = self.lives[me]
-        for action in head.handle(self.now, [event]):
+        generation = self.generations[index]
+        for action in gateway.handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                bell = TimerFired(action.token)
-                self.at(action.at_us, lambda bell=bell: self._later(me, life, bell))  # type: ignore[misc]
+                timer = TimerFired(action.token)
+                self.at(action.at_us, lambda timer=timer: self._handle_timer(index, generation, timer))  # type: ignore[misc]
             elif isinstance(action, StartAttempt):
-                self._send(me, life, action)
+                self._send_attempt(index, generation, action)
             elif isinstance(action, (RejectRequest, FailRequest)):
                 self.counts["refused"] += 1
-                wait = action.retry_after_us if isinstance(action, RejectRequest) else HOLD_OFF_US
-                self._comes_again(me, self._asked.pop((me, action.request_id)), wait)
+                delay = action.retry_after_us if isinstance(action, RejectRequest) else MAX_RETRY_AFTER_US
+                self._retry(index, self._requests.pop((index, action.request_id)), delay)
 
-    def _later(self, me: int, life: int, event: Event) -> None:
-        if self.lives[me] == life:
-            self._give(me, event)
+    def _handle_timer(self, index: int, generation: int, event: Event) -> None:
+        if self.generations[index] == generation:
+            self._handle(index, event)
 
-    def _hear(self, me: int, start: int) -> None:
-        if start == self.start and self.heads[me] is not None:
-            self.heard[me] = start
-            self._give(me, EndpointList(EndpointListKind.CHANGES, (self._line(start),)))
+    def _notify(self, index: int, start: int) -> None:
+        if start == self.started_at and self.gateways[index] is not None:
+            self.known_starts[index] = start
+            self._handle(index, EndpointList(EndpointListKind.CHANGES, (self._endpoint(start),)))
 
-    def _flap(self) -> None:
-        """A list without the node, and a while later one that has it again."""
-        for me in range(self.play.heads):
-            if self.heard[me] == self.start:
-                self._give(me, EndpointList(EndpointListKind.FULL))
-                self.at(self.now + 300_000, partial(self._hear, me, self.start))
+    def _flap_lists(self) -> None:
+        """Send endpoint lists without the node, and 300 ms later lists with it."""
+        for index in range(self.play.heads):
+            if self.known_starts[index] == self.started_at:
+                self._handle(index, EndpointList(EndpointListKind.FULL))
+                self.at(self.now + 300_000, partial(self._notify, index, self.started_at))
 
     # ---- clients ----
 
-    def _units(self) -> float:
+    def _draw_units(self) -> float:
         if self.play.size:
             return float(self.play.size)
         units = 1
-        while units < 8 and self.rng.random() < 0.512:  # 2.05 in the mean
+        while units < 8 and self.rng.random() < 0.512:  # mean 2.05
             units += 1
         return float(units)
 
-    def _ask(self, me: int, asked: Asked) -> None:
-        if self.heads[me] is None:
+    def _send_request(self, index: int, request: ClientRequest) -> None:
+        if self.gateways[index] is None:
             return
-        number, self._next = self._next, self._next + 1
-        self._asked[me, number] = asked
+        request_id, self._next_request = self._next_request, self._next_request + 1
+        self._requests[index, request_id] = request
         self.counts["asked"] += 1
         event = RequestReceived(
-            number,
-            asked.kind,
+            request_id,
+            request.class_index,
             self.now + DEADLINE_US,
-            asked.shard,
-            units=asked.units,
-            volume_id=me,
-            key=number if asked.kind else 0,
-            is_retry=asked.tries > 0,
+            request.shard,
+            units=request.units,
+            volume_id=index,
+            key=request_id if request.class_index else 0,
+            is_retry=request.retries > 0,
             gateways_in_use=1.0,
-            settings=self.told[me],
+            settings=self.gateway_settings[index],
         )
-        self._give(me, event)
+        self._handle(index, event)
 
-    def _comes_again(self, me: int, asked: Asked, wait: int) -> None:
-        asked.tries += 1
-        if asked.tries <= COMES_AGAIN:
-            self.at(self.now + wait, lambda: self._ask(me, asked))
+    def _retry(self, index: int, request: ClientRequest, delay: int) -> None:
+        request.retries += 1
+        if request.retries <= MAX_RETRIES:
+            self.at(self.now + delay, lambda: self._send_request(index, request))
 
-    def _demand(self) -> None:
+    def _generate_request(self) -> None:
         shard = -1 if self.rng.random() < 0.15 else SHARD
-        asked = Asked(self._units(), int(self.rng.random() < 0.3), shard)
-        self._ask(self.rng.randrange(self.play.heads), asked)
-        self.at(self.now + int(self.rng.expovariate(self.play.rate) * SECOND), self._demand)
+        request = ClientRequest(self._draw_units(), int(self.rng.random() < 0.3), shard)
+        self._send_request(self.rng.randrange(self.play.heads), request)
+        self.at(self.now + int(self.rng.expovariate(self.play.rate) * SECOND), self._generate_request)
 
     # ---- the node ----
 
-    def _begin(self) -> None:
-        """The node starts; what its old process held is lost."""
-        old = [(me, life, send) for _, me, send, _, life in self._queue]
+    def _start_node(self) -> None:
+        """Start the node; the requests of its old process are lost."""
+        interrupted = [(index, generation, attempt) for _, index, attempt, _, generation in self._queue]
         self._queue.clear()
-        self.start, self._work = self.now, 0.0
-        self.judges.append(Judge(self.given[0], self.now))
-        for me, life, send in old:
-            self._end(me, life, send, AttemptResult.RESET, self.now)
-        for me in range(self.play.heads):
-            late = int(self.rng.uniform(0, self.play.hear) * SECOND)
-            self.at(self.now + late, lambda me=me, start=self.start: self._hear(me, start))  # type: ignore[misc]
-
-    def _send(self, me: int, life: int, send: StartAttempt) -> None:
-        units, sent = self._asked[me, send.request_id].units, self.now
-        heard = self.heard[me]
-        self.at(self.now + self._wire(), lambda: self._arrive(me, life, send, units, sent, heard))
-
-    def _arrive(self, me: int, life: int, send: StartAttempt, units: float, sent: int, heard: int) -> None:
+        self.started_at, self._remaining_units = self.now, 0.0
+        self.checks.append(OverloadCheck(self.settings[0], self.now))
+        for index, generation, attempt in interrupted:
+            self._end_attempt(index, generation, attempt, AttemptResult.RESET, self.now)
+        for index in range(self.play.heads):
+            delay = int(self.rng.uniform(0, self.play.hear) * SECOND)
+            self.at(self.now + delay, lambda index=index, start=self.started_at: self._notify(index, start))  # type: ignore[misc]
+
+    def _send_attempt(self, index: int, generation: int, attempt: StartAttempt) -> None:
+        units, sent_at = self._requests[index, attempt.request_id].units, self.now
+        known_start = self.known_starts[index]
+        self.at(
+            self.now + self._network_delay(),
+            lambda: self._attempt_arrived(index, generation, attempt, units, sent_at, known_start),
+        )
+
+    def _attempt_arrived(
+        self, index: int, generation: int, attempt: StartAttempt, units: float, sent_at: int, known_start: int
+    ) -> None:
         draw = self.rng.random()
-        if draw < self.play.faults / 3:  # it never came
-            self._end(me, life, send, AttemptResult.NO_CONNECTION, sent)
+        if draw < self.play.faults / 3:  # the connection failed
+            self._end_attempt(index, generation, attempt, AttemptResult.NO_CONNECTION, sent_at)
             return
-        told = heard == self.start  # not what went to the process before
-        self.counts["arrived"] += told
-        self.judges[-1].arrived(self.now, units, told)
+        informed = known_start == self.started_at  # not if sent to the previous process
+        self.counts["arrived"] += informed
+        self.checks[-1].arrived(self.now, units, informed)
         if draw < self.play.faults:
             result = AttemptResult.ERROR if draw < self.play.faults * 2 / 3 else AttemptResult.RESET
-            self._end(me, life, send, result, sent)
+            self._end_attempt(index, generation, attempt, result, sent_at)
         elif len(self._queue) >= self.play.slots:
-            self._end(me, life, send, AttemptResult.REJECTED, sent)
+            self._end_attempt(index, generation, attempt, AttemptResult.REJECTED, sent_at)
         else:
-            self._queue.append((sent, me, send, units, life))
+            self._queue.append((sent_at, index, attempt, units, generation))
             if len(self._queue) == 1:
-                self._work = units
-                self._serve()
+                self._remaining_units = units
+                self._serve_next()
 
-    def _power(self) -> float:
-        """Units a second of the weakest legal node now."""
-        judge, given = self.judges[-1], self.given[0]
+    def _capacity(self) -> float:
+        """Return the present capacity of the weakest allowed node, in units a second."""
+        check, settings = self.checks[-1], self.settings[0]
         return (
-            judge.allowed(self.now)
-            * given.mean_request_units
-            / given.overload_factor
+            check.allowed(self.now)
+            * settings.mean_request_units
+            / settings.overload_factor
             * SECOND
-            / given.overload_window_us
+            / settings.overload_window_us
         )
 
-    def _serve(self) -> None:
-        """Work on the first of the queue until it is done."""
-        start, done = self.start, self.now + int(self._work / self._power() * SECOND) + 1
+    def _serve_next(self) -> None:
+        """Serve the first request in the queue."""
+        start, done_at = (
+            self.started_at,
+            self.now + int(self._remaining_units / self._capacity() * SECOND) + 1,
+        )
 
-        def over() -> None:
-            if start != self.start:
+        def finish() -> None:
+            if start != self.started_at:
                 return
-            sent, me, send, units, life = self._queue.popleft()
+            sent_at, index, attempt, units, generation = self._queue.popleft()
             self.served.append((self.now, units))
-            self._end(me, life, send, AttemptResult.SERVED, sent)
+            self._end_attempt(index, generation, attempt, AttemptResult.SERVED, sent_at)
             if self._queue:
-                self._work = self._queue[0][3]
-                self._serve()
+                self._remaining_units = self._queue[0][3]
+                self._serve_next()
 
-        self.at(done, over)
+        self.at(done_at, finish)
 
-    def _end(self, me: int, life: int, send: StartAttempt, result: AttemptResult, sent: int) -> None:
-        """The answer on its way back."""
+    def _end_attempt(
+        self, index: int, generation: int, attempt: StartAttempt, result: AttemptResult, sent_at: int
+    ) -> None:
+        """Deliver the result of an attempt to its gateway, after the network delay."""
 
-        def came() -> None:
-            if self.lives[me] != life or self.heads[me] is None:
+        def deliver() -> None:
+            if self.generations[index] != generation or self.gateways[index] is None:
                 return
             final = result is AttemptResult.SERVED
             if final:
-                self._asked.pop((me, send.request_id), None)
-            attempt = self.tries[me, life, send.request_id]
-            self.tries[me, life, send.request_id] += 1
-            self._give(me, AttemptEnded(send.request_id, attempt, NODE, result, self.now - sent, final))
+                self._requests.pop((index, attempt.request_id), None)
+            attempt_number = self.attempts[index, generation, attempt.request_id]
+            self.attempts[index, generation, attempt.request_id] += 1
+            self._handle(
+                index,
+                AttemptEnded(
+                    attempt.request_id, attempt_number, NODE_NAME, result, self.now - sent_at, final
+                ),
+            )
 
-        self.at(self.now + self._wire(), came)
+        self.at(self.now + self._network_delay(), deliver)
 
-    # ---- the play ----
+    # ---- the run ----
 
     def run(self) -> dict[str, Any]:
-        """Play it.  What was allowed, sent and served is of the warm-up since the last start."""
+        """Run the simulation and return its figures.
+
+        What was allowed, sent and served is counted during the warm-up after the node's last start.
+        """
         play, rng = self.play, self.rng
-        for me in range(play.heads):
-            # They start at different moments, some of them after the node has.
+        for index in range(play.heads):
+            # They start at different times, some of them after the node.
             late = rng.random() < 0.2
             when = self.now + int(rng.uniform(4.0 if late else 0.0, 7.0 if late else 4.0) * SECOND)
-            self.at(when, lambda me=me: self._birth(me))  # type: ignore[misc]
+            self.at(when, lambda index=index: self._start_gateway(index))  # type: ignore[misc]
         if play.known:
-            self.judges.append(Judge(self.given[0], 0))
-            self.at(self.now + 3 * SECOND, self._demand)
-        first = self.now + 5 * SECOND
-        self.at(first, self._begin)
+            self.checks.append(OverloadCheck(self.settings[0], 0))
+            self.at(self.now + 3 * SECOND, self._generate_request)
+        node_start = self.now + 5 * SECOND
+        self.at(node_start, self._start_node)
         if not play.known:
-            self.at(first + int(play.first_ask * SECOND), self._demand)
+            self.at(node_start + int(play.first_ask * SECOND), self._generate_request)
         if play.twice:
-            self.at(first + int(rng.uniform(0.5, 4.0) * SECOND), self._begin)
-        end = first + int(play.span * SECOND)
-        when = first + SECOND // 2
+            self.at(node_start + int(rng.uniform(0.5, 4.0) * SECOND), self._start_node)
+        end = node_start + int(play.span * SECOND)
+        when = node_start + SECOND // 2
         while when < end and play.restarts != "none":
-            some = play.restarts == "some"
-            for me in [rng.randrange(play.heads)] if some else range(play.heads):
-                back = rng.randrange(50_000, 600_000)
-                self.at(when, lambda me=me, back=back: self._kill(me, back))  # type: ignore[misc]
-            when += int((rng.uniform(0.05, 0.3) if some else rng.choice([0.4, 0.8, 1.6, 3.2])) * SECOND)
-        when = first + SECOND
+            one_by_one = play.restarts == "some"
+            for index in [rng.randrange(play.heads)] if one_by_one else range(play.heads):
+                delay = rng.randrange(50_000, 600_000)
+                self.at(when, lambda index=index, delay=delay: self._kill_gateway(index, delay))  # type: ignore[misc]
+            when += int((rng.uniform(0.05, 0.3) if one_by_one else rng.choice([0.4, 0.8, 1.6, 3.2])) * SECOND)
+        when = node_start + SECOND
         while when < end and play.flaps:
-            self.at(when, self._flap)
+            self.at(when, self._flap_lists)
             when += SECOND
         while self._events and self._events[0][0] <= end:
             self.now, _, call = heapq.heappop(self._events)
             call()
         self.now = end
-        return self._told()
-
-    def _told(self) -> dict[str, Any]:
-        given, judge = self.given[0], self.judges[-1]
-        until = min(self.now, self.start + given.warm_up_us)
-        marks = range(self.start, until, 50_000)
-        windows = sum(judge.allowed(mark) for mark in marks) * 50_000 / given.overload_window_us
-        mean = given.mean_request_units
-        served = sum(units for at, units in self.served if self.start <= at <= until) / mean
-        early = sum(units for at, units in self.served if self.start <= at <= self.start + 5 * SECOND) / mean
-        own = [one for one in self.judges if one.start]
+        return self._results()
+
+    def _results(self) -> dict[str, Any]:
+        settings, latest = self.settings[0], self.checks[-1]
+        until = min(self.now, self.started_at + settings.warm_up_us)
+        samples = range(self.started_at, until, 50_000)
+        windows = sum(latest.allowed(sample) for sample in samples) * 50_000 / settings.overload_window_us
+        mean_units = settings.mean_request_units
+        served = sum(units for at, units in self.served if self.started_at <= at <= until) / mean_units
+        early = (
+            sum(units for at, units in self.served if self.started_at <= at <= self.started_at + 5 * SECOND)
+            / mean_units
+        )
+        checks = [check for check in self.checks if check.started_at]
         return {
             "heads": self.play.heads, "seed": self.play.seed, "play": self.play.name,
-            "worst": max(one.worst for one in own), "worst_all": max(one.worst_all for one in own),
-            "broken": any(one.broken for one in own),
-            "allowed": windows, "power": windows / given.overload_factor, "served": served, "early": early,
-            "used": served / (windows / given.overload_factor),
+            "worst": max(check.worst for check in checks),
+            "worst_all": max(check.worst_all for check in checks),
+            "broken": any(check.overloaded for check in checks),
+            "allowed": windows, "power": windows / settings.overload_factor, "served": served, "early": early,
+            "used": served / (windows / settings.overload_factor),
             **{key: self.counts[key] for key in ("asked", "arrived", "refused", "kills")},
         }  # fmt: skip
 
 
 def plays(heads: int, seed: int) -> Play:
-    """The troubles of one seed, so that eight seeds in a row have all of them."""
+    """Draw the play of a seed; eight consecutive seeds have all kinds of faults."""
     rng = random.Random(f"play {heads} {seed}")
     kind = seed % 8
     return Play(
