--- a/gaugesail/lab/fleet.py
+++ b/gaugesail/lab/fleet.py
@@ -434,8 +434,9 @@
 class FleetWorld:
     """All gateways, the network between them, and a reference bucket for each volume.
 
-    Times are in microseconds of virtual time.  ``drift`` is the largest relative error of a gateway's clock,
-    ``max_units`` the largest size of a request.
+    Times are in microseconds of virtual time.  ``gateways_in_use`` is what each request says of the number of
+    gateways that its volume is used through, by default all; ``drift`` is the largest relative error of a
+    gateway's clock, ``max_units`` the largest size of a request.
     """
 
     def __init__(
--- a/gaugesail/lab/nodes.py
+++ b/gaugesail/lab/nodes.py
@@ -38,8 +38,8 @@
     speed: float = 1.0
     initial_share: float = 0.31  # of the capacity, at a cold start
     warm_up_s: float = 17.0  # from a cold start until it has its full capacity
-    overload_factor: float = 3.0
-    overload_window_s: float = 1.5
+    overload_factor: float = 3.0  # of the present capacity; a cold node that receives more fails
+    overload_window_s: float = 1.5  # over which the received work is counted
 
     @property
     def capacity(self) -> float:
--- a/gaugesail/lab/ramp.py
+++ b/gaugesail/lab/ramp.py
@@ -472,12 +472,12 @@
         }  # fmt: skip
 
 
-def plays(heads: int, seed: int) -> Play:
+def plays(gateway_count: int, seed: int) -> Play:
     """Draw the play of a seed; eight consecutive seeds have all kinds of faults."""
-    rng = random.Random(f"play {heads} {seed}")
+    rng = random.Random(f"play {gateway_count} {seed}")
     kind = seed % 8
     return Play(
-        heads, seed, hear=rng.choice([0.0, 0.5, 2.0, 4.0]) if kind != 1 else 4.0,
+        gateway_count, seed, hear=rng.choice([0.0, 0.5, 2.0, 4.0]) if kind != 1 else 4.0,
         restarts=("none", "none", "some", "burst", "some", "burst", "none", "none")[kind],
         known=kind in (4, 6), twice=kind in (5, 6), flaps=kind == 7,
         faults=0.2 if kind in (1, 2, 5, 7) else 0.0, slots=rng.choice([40, 40, 40, 0]),
