--- a/gaugesail/rehearsal/fleet/world.py
+++ b/gaugesail/rehearsal/fleet/world.py
@@ -15,8 +15,8 @@
 from twisted.python.failure import Failure
 
 from ...http.messages import Head
-from ...lab.fleet import Judge, Limit
-from ...lab.troubles import MEAN, SIZES
+from ...lab.fleet import Limit, ReferenceBucket
+from ...lab.troubles import MEAN_REQUEST_UNITS, REQUEST_UNITS
 from ...net import dial
 from ..peers import Directory, HttpConnection, HttpListener
 
@@ -84,7 +84,7 @@
     def __init__(self, seconds: Callable[[], float], limit: Limit) -> None:
         self._seconds, self.counts = seconds, TrialCounts()
         self._units: dict[str, tuple[str, float]] = {}  # by request: its gateway and units
-        self._judge = Judge(limit.rate, limit.burst + ARRIVAL_SPREAD_S * limit.rate, self.now)
+        self._judge = ReferenceBucket(limit.rate, limit.burst + ARRIVAL_SPREAD_S * limit.rate, self.now)
 
     @property
     def now(self) -> int:
@@ -102,9 +102,9 @@
         if found is None:
             return
         gateway, units = found
-        self._judge.take(self.now, units)
+        self._judge.charge(self.now, units)
         self.counts.arrivals.append((self._seconds(), gateway, units))
-        self.counts.overspent, self.counts.lowest_units = self._judge.overs, self._judge.least
+        self.counts.overspent, self.counts.lowest_units = self._judge.violations, self._judge.least
 
     def change_limit(self, limit: Limit) -> None:
         """Apply another limit: a higher one at once, a lower one at the time set with ``settle``."""
@@ -250,7 +250,7 @@
 
     def __init__(self, reactor: Any, seed: int, clients: dict[str, Clients], rate: float) -> None:
         self._reactor, self._rng, self._clients = reactor, random.Random(seed), clients
-        self._mean_gap_s = MEAN / rate
+        self._mean_gap_s = MEAN_REQUEST_UNITS / rate
         self._names = list(clients)
         self.weights: dict[str, float] = {}
         self.stopped = False
@@ -271,7 +271,7 @@
         while self._next_at <= now and not self.stopped:
             self._next_at += self._rng.expovariate(1 / self._mean_gap_s)
             name = self._rng.choices(self._names, list(self.weights.values()))[0]
-            self._clients[name].send_request(self._rng.choice(SIZES))
+            self._clients[name].send_request(self._rng.choice(REQUEST_UNITS))
         if not self.stopped:
             self._reactor.callLater(max(0.001, self._next_at - now), self._send_due)
 
