--- a/gaugesail/measure/__init__.py
+++ b/gaugesail/measure/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured: figures from one run, beside a baseline or against what must hold."""
+"""Measurements: figures of one run, compared with a baseline or with a required bound."""
--- a/gaugesail/measure/budgets.py
+++ b/gaugesail/measure/budgets.py
@@ -1,8 +1,8 @@
-"""`gaugesail measure budgets`: what a limit that the whole fleet keeps holds and costs, in virtual time.
+"""`gaugesail measure budgets`: whether a fleet-wide limit holds, and what it costs, in virtual time.
 
-Random schedules of all faults (gaugesail/lab/troubles.py), and single questions in worlds without others: how
-much of the whole is used where demand moves, how soon a dead head's part is back, what a head that is cut off
-still has, what is said between heads.
+Random schedules of all faults (gaugesail/lab/troubles.py) check that the limit holds.  Worlds without other
+faults measure the share of the limit that is used while demand moves, the time until the quota of a dead
+gateway is reallocated, the share of its floor that an isolated gateway gets, and the traffic of the fleet.
 """
 
 from __future__ import annotations
@@ -21,145 +21,161 @@
 from ..lab.search import INSTANCES, search
 from ..lab.troubles import Demand, Troubles
 from .cases import CASES
-from .planted import PLANTS, planted
+from .planted import INJECTED_FAULTS, inject_fault
 
 RATE = 100.0
-BURST_A_HEAD = 16.0
-SETTLE_S = 8  # until all have a session, a floor and a part
-OVER = 1.3  # demand, of the whole
+BURST_PER_GATEWAY = 16.0
+SETTLING_S = 8  # until all gateways have a session, a floor and an allocation
+DEMAND_FACTOR = 1.3  # demand over the limit
 SCHEDULE_S = 45
-GAP_S = 2.0  # between two faults
-BACK_AT = 0.9  # of the whole: a dead head's part is in use again
-FIND_SCHEDULES = 40
+MEAN_FAULT_INTERVAL_S = 2.0
+REALLOCATED_SHARE = 0.9  # of the limit: if this much is used, a dead gateway's quota is in use again
+MAX_DETECTION_SCHEDULES = 40  # per injected fault
 
 
-def world_of(heads: int, seed: int, drift: float = 0.0, fleet: bool = True, keepers: int = 3) -> FleetWorld:
-    """Heads that have begun, and have what they need."""
-    world = FleetWorld(seed, heads, min(keepers, heads), Limit(RATE, BURST_A_HEAD * heads), drift=drift)
+def start_world(
+    gateways: int, seed: int, drift: float = 0.0, fleet: bool = True, replicas: int = 3
+) -> FleetWorld:
+    """Start a fleet and run it until all gateways have their quota.
+
+    Without ``fleet`` each gateway has an even share of the limit.
+    """
+    world = FleetWorld(
+        seed, gateways, min(replicas, gateways), Limit(RATE, BURST_PER_GATEWAY * gateways), drift=drift
+    )
     world.fleet = fleet
-    for head in world.heads.values():
-        head.start()
-    world.run(SETTLE_S * SECOND)
+    for gateway in world.heads.values():
+        gateway.start()
+    world.run(SETTLING_S * SECOND)
     return world
 
 
 @dataclass(slots=True, frozen=True)
-class Schedule:
-    """What one random schedule came to."""
+class ScheduleResult:
+    """Violations in a random schedule, and the faults that it injected."""
 
     overspent: int
     rights_over: int
     faults: Counter[str]
 
 
-def schedule(seed: int, heads: int, seconds: int = SCHEDULE_S, gap_s: float = GAP_S) -> Schedule:
-    """One schedule of faults drawn from a seed, with demand above the whole."""
-    world = world_of(heads, seed, drift=0.01)
-    Demand(world, seed + 1, OVER * RATE)
+def run_schedule(
+    seed: int, gateways: int, seconds: int = SCHEDULE_S, mean_interval_s: float = MEAN_FAULT_INTERVAL_S
+) -> ScheduleResult:
+    """Run a schedule of faults drawn from a seed, with demand above the limit."""
+    world = start_world(gateways, seed, drift=0.01)
+    Demand(world, seed + 1, DEMAND_FACTOR * RATE)
     world.audit()
-    troubles = Troubles(world, seed + 2)
-    troubles.draw(world.now + seconds * SECOND, gap_s)
+    injector = Troubles(world, seed + 2)
+    injector.draw(world.now + seconds * SECOND, mean_interval_s)
     world.run(world.now + (seconds + 8) * SECOND)
-    return Schedule(world.overspent, world.counts["rights_over"], troubles.faults)
+    return ScheduleResult(world.overspent, world.counts["rights_over"], injector.faults)
 
 
-def steady(seed: int, heads: int, fleet: bool = True, seconds: int = 60) -> float:
-    """What is used of the whole where demand moves and nothing fails."""
-    world = world_of(heads, seed, fleet=fleet)
-    Demand(world, seed + 1, OVER * RATE)
+def used_share(seed: int, gateways: int, fleet: bool = True, seconds: int = 60) -> float:
+    """Return the share of the limit that is used while demand moves and nothing fails."""
+    world = start_world(gateways, seed, fleet=fleet)
+    Demand(world, seed + 1, DEMAND_FACTOR * RATE)
     start = world.now
     world.run(start + seconds * SECOND)
     return world.used(start + 3 * SECOND, world.now)
 
 
-def back(seed: int, heads: int) -> float:
-    """Seconds from a head's end, which had most of the whole, until the others use it."""
-    world = world_of(heads, seed)
+def reallocation_time(seed: int, gateways: int) -> float:
+    """Return the seconds from the death of the gateway with most of the limit until the others use it."""
+    world = start_world(gateways, seed)
     names = list(world.heads)
     dead, *others = world.rng.sample(names, len(names))
 
-    def ask(who: list[str], rate: float, until: int) -> None:
+    def send(targets: list[str], rate: float, until: int) -> None:
         gap = int(2 / rate * SECOND)
         while world.now < until:
             world.run(world.now + gap)
-            world.ask(world.rng.choice(who), 2.0)
+            world.ask(world.rng.choice(targets), 2.0)
 
-    ask([dead], 1.5 * RATE, world.now + 5 * SECOND)
+    send([dead], 1.5 * RATE, world.now + 5 * SECOND)
     world.heads[dead].die()
     end = world.now
     for tenth in range(1, 300):
-        ask(others, 1.5 * RATE, end + tenth * SECOND // 10)
+        send(others, 1.5 * RATE, end + tenth * SECOND // 10)
         since = world.now - SECOND
-        if since >= end and world.used(since, world.now) >= BACK_AT:
+        if since >= end and world.used(since, world.now) >= REALLOCATED_SHARE:
             return (since - end) / SECOND
     return 30.0
 
 
-def cut_off(seed: int, heads: int) -> float:
-    """What a head that is cut off has, as a share of its floor."""
-    world = world_of(heads, seed)
+def isolated_floor_share(seed: int, gateways: int) -> float:
+    """Return the rate of an isolated gateway as a share of its floor."""
+    world = start_world(gateways, seed)
     name = world.rng.choice(list(world.heads))
     world.cut({name})
     end = world.now + 20 * SECOND
-    start = world.now + 6 * SECOND  # its lease is over
+    start = world.now + 6 * SECOND  # its lease has ended
     while world.now < end:
         world.run(world.now + SECOND // 10)
         world.ask(name, 1.0)
-    mine = sum(units for at, who, units in world.arrivals if who == name and at >= start)
+    units_served = sum(units for at, gateway, units in world.arrivals if gateway == name and at >= start)
     floor = world.charter.floor(round(RATE * 1000), 0)[0] / 1000
-    return mine / ((end - start) / SECOND * floor)
+    return units_served / ((end - start) / SECOND * floor)
 
 
-def traffic(seed: int, heads: int, seconds: int = 20) -> tuple[float, float]:
-    """Bytes a second that a head which is no keeper sends, and a keeper, where demand moves."""
-    world = world_of(heads, seed)
-    Demand(world, seed + 1, OVER * RATE)
+def bytes_per_second(seed: int, gateways: int, seconds: int = 20) -> tuple[float, float]:
+    """Return the bytes per second sent by a gateway without and by one with a replica, while demand moves."""
+    world = start_world(gateways, seed)
+    Demand(world, seed + 1, DEMAND_FACTOR * RATE)
     world.weigh = True
-    for head in world.heads.values():
-        head.sent_bytes = 0
+    for gateway in world.heads.values():
+        gateway.sent_bytes = 0
     world.run(world.now + seconds * SECOND)
-    kept = [head.sent_bytes for name, head in world.heads.items() if name in world.charter.replicas]
-    rest = [head.sent_bytes for name, head in world.heads.items() if name not in world.charter.replicas]
-    return sum(rest) / max(1, len(rest)) / seconds, sum(kept) / len(kept) / seconds
+    replica_bytes = [
+        gateway.sent_bytes for name, gateway in world.heads.items() if name in world.charter.replicas
+    ]
+    other_bytes = [
+        gateway.sent_bytes for name, gateway in world.heads.items() if name not in world.charter.replicas
+    ]
+    return sum(other_bytes) / max(1, len(other_bytes)) / seconds, sum(replica_bytes) / len(
+        replica_bytes
+    ) / seconds
 
 
 def _map(jobs: int, call: Callable[[int], Any], seeds: list[int]) -> list[Any]:
+    """Return the results for the seeds in order, computed by ``jobs`` processes."""
     if jobs == 1:
         return [call(seed) for seed in seeds]
     with ProcessPoolExecutor(jobs) as pool:
         return list(pool.map(call, seeds, chunksize=4))
 
 
-def figures(heads: int, seed: int, schedules: int, jobs: int, sizes: list[int]) -> dict[str, Any]:
-    """All of it as one object."""
+def measure(gateways: int, seed: int, schedules: int, jobs: int, sizes: list[int]) -> dict[str, Any]:
+    """Return the figures of ``--json``."""
     seeds = list(range(seed, seed + schedules))
-    played: list[Schedule] = _map(jobs, partial(schedule, heads=heads), seeds)
+    results: list[ScheduleResult] = _map(jobs, partial(run_schedule, gateways=gateways), seeds)
     faults: Counter[str] = Counter()
-    for item in played:
+    for item in results:
         faults += item.faults
-    few = seeds[: max(1, min(100, schedules))]
-    backs = sorted(_map(jobs, partial(back, heads=heads), few))
-    used = _map(jobs, partial(steady, heads=heads), few[:20])
-    even = _map(jobs, partial(steady, heads=heads, fleet=False), few[:20])
-    floors = _map(jobs, partial(cut_off, heads=heads), few[:20])
-    said = {size: traffic(seed, size) for size in sizes}
+    sample = seeds[: max(1, min(100, schedules))]
+    times = sorted(_map(jobs, partial(reallocation_time, gateways=gateways), sample))
+    used = _map(jobs, partial(used_share, gateways=gateways), sample[:20])
+    even_split = _map(jobs, partial(used_share, gateways=gateways, fleet=False), sample[:20])
+    floors = _map(jobs, partial(isolated_floor_share, gateways=gateways), sample[:20])
+    traffic = {size: bytes_per_second(seed, size) for size in sizes}
     return {
-        "heads": heads, "schedules": schedules, "overspent": sum(item.overspent for item in played),
-        "rights_over": sum(item.rights_over for item in played),
+        "heads": gateways, "schedules": schedules, "overspent": sum(item.overspent for item in results),
+        "rights_over": sum(item.rights_over for item in results),
         "used": round(min(used), 3), "used_mean": round(sum(used) / len(used), 3),
-        "even_used": round(sum(even) / len(even), 3),
-        "back_s": round(backs[min(len(backs) - 1, int(0.99 * len(backs)))], 2),
+        "even_used": round(sum(even_split) / len(even_split), 3),
+        "back_s": round(times[min(len(times) - 1, int(0.99 * len(times)))], 2),
         "floor_kept": round(min(floors), 3),
-        "bytes_a_head_s": {str(size): round(rest) for size, (rest, _) in said.items()},
-        "bytes_a_keeper_s": {str(size): round(kept) for size, (_, kept) in said.items()},
+        "bytes_a_head_s": {str(size): round(other) for size, (other, _) in traffic.items()},
+        "bytes_a_keeper_s": {str(size): round(replica) for size, (_, replica) in traffic.items()},
         "faults": dict(sorted(faults.items())),
     }  # fmt: skip
 
 
-# ---- every state ----
+# ---- exhaustive search ----
 
 
-def _explore(name: str) -> dict[str, Any]:
+def _search_instance(name: str) -> dict[str, Any]:
     found = search(*INSTANCES[name])
     return {
         "states": found.states, "all": found.whole, "steps": dict(found.steps), "two_leaders": found.both,
@@ -167,57 +183,60 @@
     }  # fmt: skip
 
 
-def explored(jobs: int) -> dict[str, Any]:
-    """Each small instance, and how many states it has."""
+def search_instances(jobs: int) -> dict[str, Any]:
+    """Search the states of each small instance, and count them."""
     names = list(INSTANCES)
     if jobs == 1:
-        found = [_explore(name) for name in names]
+        found = [_search_instance(name) for name in names]
     else:
         with ProcessPoolExecutor(jobs) as pool:
-            found = list(pool.map(_explore, names))
-    told = dict(zip(names, found, strict=True))
+            found = list(pool.map(_search_instance, names))
+    report = dict(zip(names, found, strict=True))
     return {
-        "states": sum(item["states"] for item in found), "instances": told,
-        "broken": [name for name, item in told.items() if item["broken"]],
+        "states": sum(item["states"] for item in found), "instances": report,
+        "broken": [name for name, item in report.items() if item["broken"]],
     }  # fmt: skip
 
 
-# ---- planted faults ----
+# ---- injected faults ----
 
 
-def find(name: str, heads: int, seeds: list[int]) -> str:
-    """By what a planted fault is found, or nothing: cases first, then random schedules."""
-    with planted(name):
-        for case, play in CASES.items():
+def detect(name: str, gateways: int, seeds: list[int]) -> str:
+    """Return what detects an injected fault, or an empty string.
+
+    The cases are tried first, then random schedules.
+    """
+    with inject_fault(name):
+        for case, run in CASES.items():
             try:
-                if count := play():
+                if count := run():
                     return f"{case}: {count}"
-            except Exception as error:  # a guard further on found it
+            except Exception as error:  # another safeguard detected it
                 return f"{case}: {type(error).__name__}"
         for seed in seeds:
             try:
-                done = schedule(seed, heads)
-            except Exception as error:  # a guard further on found it
+                result = run_schedule(seed, gateways)
+            except Exception as error:  # another safeguard detected it
                 return f"schedule {seed}: {type(error).__name__}"
-            if done.overspent or done.rights_over:
-                return f"schedule {seed}: overspent {done.overspent}, rights over {done.rights_over}"
+            if result.overspent or result.rights_over:
+                return f"schedule {seed}: overspent {result.overspent}, rights over {result.rights_over}"
     return ""
 
 
-def hunt(heads: int, seed: int, schedules: int, jobs: int) -> dict[str, Any]:
-    """Every planted fault, and by which schedule it is found."""
-    names = [plant.name for plant in PLANTS]
+def detect_all(gateways: int, seed: int, schedules: int, jobs: int) -> dict[str, Any]:
+    """Inject every fault, and report what detects it."""
+    names = [fault.name for fault in INJECTED_FAULTS]
     seeds = list(range(seed, seed + schedules))
-    call = partial(find, heads=heads, seeds=seeds)
+    call = partial(detect, gateways=gateways, seeds=seeds)
     if jobs == 1:
         found = [call(name) for name in names]
     else:
         with ProcessPoolExecutor(jobs) as pool:
             found = list(pool.map(call, names))
-    caught = {name: by for name, by in zip(names, found, strict=True) if by}
+    detected = {name: by for name, by in zip(names, found, strict=True) if by}
     return {
-        "planted": len(names), "caught": len(caught), "by": caught,
-        "not_caught": [name for name in names if name not in caught],
+        "planted": len(names), "caught": len(detected), "by": detected,
+        "not_caught": [name for name in names if name not in detected],
     }  # fmt: skip
 
 
@@ -225,33 +244,40 @@
 @click.option("--heads", type=click.IntRange(3, 200), default=5, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--schedules", type=click.IntRange(1, 100_000), default=100, show_default=True)
-@click.option("--sizes", default="5,50", show_default=True, help="Heads at which what is said is weighed.")
+@click.option("--sizes", default="5,50", show_default=True, help="Sizes of fleets whose traffic is measured.")
 @click.option("--jobs", type=click.IntRange(1, 256), default=1, show_default=True, help="Runs side by side.")
-@click.option("--planted", "plants", is_flag=True, help="Plant faults in the decisions, and find them.")
-@click.option("--search", "searched", is_flag=True, help="Every state of small instances; counts them.")
+@click.option("--planted", "inject", is_flag=True, help="Inject faults into the decisions, and detect them.")
+@click.option("--search", "exhaustive", is_flag=True, help="Search and count every state of small instances.")
 @click.option("--json", "as_json", is_flag=True)
 def command(
-    heads: int, seed: int, schedules: int, sizes: str, jobs: int, plants: bool, searched: bool, as_json: bool
+    heads: int,
+    seed: int,
+    schedules: int,
+    sizes: str,
+    jobs: int,
+    inject: bool,
+    exhaustive: bool,
+    as_json: bool,
 ) -> None:
-    """A limit that the whole fleet keeps: what it holds under faults, what is used, how soon it is back.
+    """A fleet-wide limit: whether it holds under faults, how much of it is used, how soon it is reallocated.
 
-    Whole heads' decisions in virtual time.  Exits with 1 where more was spent than there is.
+    Simulates complete gateways' decisions in virtual time.  Exits with 1 if the limit was exceeded.
     """
-    if searched:
-        told = explored(jobs)
-    elif plants:
-        told = hunt(heads, seed, min(schedules, FIND_SCHEDULES), jobs)
+    if exhaustive:
+        report = search_instances(jobs)
+    elif inject:
+        report = detect_all(heads, seed, min(schedules, MAX_DETECTION_SCHEDULES), jobs)
     else:
         try:
             counts = [int(size) for size in sizes.split(",") if size]
         except ValueError:
-            wrong = f"{sizes!r}: numbers with commas are needed"
-            raise click.BadParameter(wrong, param_hint="--sizes") from None
-        told = figures(heads, seed, schedules, jobs, counts)
+            message = f"expected numbers separated by commas, got {sizes!r}"
+            raise click.BadParameter(message, param_hint="--sizes") from None
+        report = measure(heads, seed, schedules, jobs, counts)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(report))
     else:
-        for key, value in told.items():
+        for key, value in report.items():
             click.echo(f"{key:>18}  {value}")
-    if told.get("overspent") or told.get("rights_over") or told.get("broken"):
+    if report.get("overspent") or report.get("rights_over") or report.get("broken"):
         raise SystemExit(1)
--- a/gaugesail/measure/cases.py
+++ b/gaugesail/measure/cases.py
@@ -1,7 +1,7 @@
-"""Hard cases of a fleet-wide limit, each by itself in virtual time: how much was broken, which must be 0.
+"""Hard cases of a fleet-wide limit in virtual time, each returning its number of violations, which must be 0.
 
-A random schedule meets these seldom or never.  Each is named for what happens; tests play them with and
-without the guards that they exist for.
+Random schedules reach these cases seldom or never.  Tests run them with and without the safeguards that they
+are meant for (see planted.py).
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from ..lab.troubles import Demand
 
 RATE = 100.0
-TRIES = 3  # seeds of a case whose moment is a matter of milliseconds
+SEED_COUNT = 3  # seeds of a case whose outcome depends on milliseconds
 
 
-def begun(seed: int, heads: int = 5, drift: float = 0.0) -> FleetWorld:
-    """Three keepers and some more, that have begun."""
-    world = FleetWorld(seed, heads, 3, Limit(RATE, 16.0 * heads), drift=drift)
-    for head in world.heads.values():
-        head.start()
+def start_world(seed: int, gateways: int = 5, drift: float = 0.0) -> FleetWorld:
+    """Start a fleet of which three gateways have replicas, and run it for 8 seconds."""
+    world = FleetWorld(seed, gateways, 3, Limit(RATE, 16.0 * gateways), drift=drift)
+    for gateway in world.heads.values():
+        gateway.start()
     world.run(8 * SECOND)
     world.audit()
     return world
 
 
-def ask(world: FleetWorld, names: list[str], seconds: float, rate: float = 2 * RATE) -> None:
-    """So many units a second at some heads, in turn."""
+def send_demand(world: FleetWorld, names: list[str], seconds: float, rate: float = 2 * RATE) -> None:
+    """Send requests to the named gateways in turn for some seconds, ``rate`` units a second in all."""
     end = world.now + int(seconds * SECOND)
     gap = int(2 / rate * SECOND)
     turn = 0
@@ -48,256 +48,264 @@
         turn += 1
 
 
-def broken(world: FleetWorld) -> int:
+def count_violations(world: FleetWorld) -> int:
+    """Return the number of violations: overspent limits, and spending rights that exceed the limit."""
     return world.overspent + world.counts["rights_over"]
 
 
-def leader(world: FleetWorld) -> LabHead:
-    return next(head for head in world.heads.values() if head.node is not None and head.node.is_leader)
+def find_leader(world: FleetWorld) -> LabHead:
+    """Return the first gateway that leads."""
+    return next(
+        gateway for gateway in world.heads.values() if gateway.node is not None and gateway.node.is_leader
+    )
 
 
-def others(world: FleetWorld, *names: str) -> list[str]:
+def other_gateways(world: FleetWorld, *names: str) -> list[str]:
+    """Return the names of all gateways but these."""
     return [name for name in world.heads if name not in names]
 
 
-def _tries(case: Callable[[int], int]) -> int:
-    """The worst of some seeds."""
-    return max(case(seed) for seed in range(1, TRIES + 1))
+def _worst_of_seeds(case: Callable[[int], int]) -> int:
+    """Return the most violations of a case over its seeds."""
+    return max(case(seed) for seed in range(1, SEED_COUNT + 1))
 
 
-# ---- what messages do ----
+# ---- faults of messages ----
 
 
 def answers_lost() -> int:
-    """A grant's answer is lost, and asked for again."""
-    world = begun(1)
-    for name in others(world, leader(world).name):
-        world.line(leader(world).name, name).drop = 0.6
+    """Messages of the leader are lost, grants among them, and the gateways request them again."""
+    world = start_world(1)
+    for name in other_gateways(world, find_leader(world).name):
+        world.line(find_leader(world).name, name).drop = 0.6
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 20 * SECOND)
-    return broken(world)
+    return count_violations(world)
 
 
 def told_twice() -> int:
-    """All that is said arrives twice, some of it late."""
-    world = begun(1)
+    """Every message arrives twice, some late."""
+    world = start_world(1)
     for a in world.heads:
         for b in world.heads:
             world.line(a, b).double, world.line(a, b).jitter_us = 1.0, 60_000
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 20 * SECOND)
-    return broken(world)
+    return count_violations(world)
 
 
 def told_late() -> int:
-    """What a leader tells one head arrives when it has been told other things since."""
-    world = begun(1)
+    """Messages of the leader to one gateway arrive after later ones."""
+    world = start_world(1)
     busy, other = "h3", "h4"
-    boss = leader(world).name
-    ask(world, [busy], 3)
+    leader_name = find_leader(world).name
+    send_demand(world, [busy], 3)
     for _ in range(4):
-        line = world.line(boss, busy)
-        line.delay_us = 3 * SECOND
-        ask(world, [other, busy], 0.5)
-        line.delay_us = 300
-        ask(world, [other], 2)
-        ask(world, [busy, other], 2)
-    return broken(world)
+        link = world.line(leader_name, busy)
+        link.delay_us = 3 * SECOND
+        send_demand(world, [other, busy], 0.5)
+        link.delay_us = 300
+        send_demand(world, [other], 2)
+        send_demand(world, [busy, other], 2)
+    return count_violations(world)
 
 
 def one_way() -> int:
-    """A head hears nothing, but is heard: its asks are answered in vain."""
+    """A gateway can send but receives nothing: its requests are answered in vain."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        ask(world, ["h3"], 3)
-        world.cut(set(others(world, "h3")), both=False)
-        ask(world, ["h3", "h4"], 8)
-        world.cut(set(others(world, "h3")), both=False, on=False)
-        ask(world, ["h3", "h4"], 6)
-        return broken(world)
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        send_demand(world, ["h3"], 3)
+        world.cut(set(other_gateways(world, "h3")), both=False)
+        send_demand(world, ["h3", "h4"], 8)
+        world.cut(set(other_gateways(world, "h3")), both=False, on=False)
+        send_demand(world, ["h3", "h4"], 6)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
-# ---- who leads ----
+# ---- elections and leaders ----
 
 
 def two_leaders() -> int:
-    """A leader that is cut off with one head believes that it leads; the rest have another."""
+    """A leader isolated with one gateway believes that it still leads; the others elect another."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        ask(world, ["h3"], 3)
-        world.cut({leader(world).name, "h3"})
-        ask(world, ["h3", "h4"], 9)
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        send_demand(world, ["h3"], 3)
+        world.cut({find_leader(world).name, "h3"})
+        send_demand(world, ["h3", "h4"], 9)
         world.cut({"h0", "h1", "h2", "h3", "h4"}, on=False)
         for name in world.heads:
             world.cut({name}, on=False)
-        ask(world, ["h3", "h4"], 4)
-        return broken(world)
+        send_demand(world, ["h3", "h4"], 4)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def leader_wakes() -> int:
-    """A leader sleeps for longer than a lease, and wakes to asks of a head that reaches nobody else."""
+    """A leader is suspended for longer than a lease; then a gateway that reaches only it sends requests."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        boss = leader(world)
-        ask(world, ["h3"], 3)
-        for name in others(world, boss.name, "h3"):
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        leader = find_leader(world)
+        send_demand(world, ["h3"], 3)
+        for name in other_gateways(world, leader.name, "h3"):
             world.line("h3", name).cut = world.line(name, "h3").cut = True
-        boss.sleep()
-        ask(world, ["h3", "h4"], 9)
-        boss.wake()
-        ask(world, ["h3", "h4"], 3)
-        return broken(world)
+        leader.sleep()
+        send_demand(world, ["h3", "h4"], 9)
+        leader.wake()
+        send_demand(world, ["h3", "h4"], 3)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def leader_wakes_mid_step() -> int:
-    """It sleeps between its own words."""
+    """A leader is suspended between the messages of one step, and resumes later."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        boss = leader(world)
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        leader = find_leader(world)
         Demand(world, seed, 1.3 * RATE)
         world.run(world.now + 3 * SECOND)
-        boss.stop_after = seed
+        leader.stop_after = seed
         world.run(world.now + 10 * SECOND)
-        boss.wake()
+        leader.wake()
         world.run(world.now + 6 * SECOND)
-        return broken(world)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def halves() -> int:
-    """Six heads are cut in two halves: only the one with most keepers divides anything."""
-    world = begun(1, heads=6)
-    ask(world, ["h0", "h5"], 3)
+    """Six gateways are split in halves: only the half with a majority of the replicas allocates quota."""
+    world = start_world(1, gateways=6)
+    send_demand(world, ["h0", "h5"], 3)
     world.cut({"h0", "h3", "h4"})
-    ask(world, ["h0", "h1", "h3", "h5"], 12)
+    send_demand(world, ["h0", "h1", "h3", "h5"], 12)
     world.cut({"h0", "h3", "h4"}, on=False)
-    ask(world, ["h0", "h5"], 6)
-    return broken(world)
+    send_demand(world, ["h0", "h5"], 6)
+    return count_violations(world)
 
 
 def cut_at_close() -> int:
-    """A head is heard again just before its lease is over, and the round for its ask ends just after."""
+    """A request gets through just before the lease ends, and its confirmation round ends just after."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        boss = leader(world).name
-        ask(world, ["h3"], 3)
-        keepers = [name for name in world.charter.replicas if name != boss]
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        leader_name = find_leader(world).name
+        send_demand(world, ["h3"], 3)
+        followers = [name for name in world.charter.replicas if name != leader_name]
         for name in world.charter.replicas:
             world.line("h3", name).cut = True
-        ask(world, ["h3", "h4"], 2.4)
-        for name in keepers:
-            world.line(boss, name).delay_us = 500_000
-        replica = world.heads[boss].node.replica  # type: ignore[union-attr]
+        send_demand(world, ["h3", "h4"], 2.4)
+        for name in followers:
+            world.line(leader_name, name).delay_us = 500_000
+        replica = world.heads[leader_name].node.replica  # type: ignore[union-attr]
         end = world.now + 4 * SECOND
         while world.now < end and replica is not None and replica.lease_manager is not None:
-            ask(world, ["h4"], 0.02)
-            mine = [lease for lease in replica.lease_manager.leases.values() if lease.gateway == "h3"]
-            if not mine or mine[0].expires_at - world.heads[boss].now() < (100 + 100 * seed) * 1000:
+            send_demand(world, ["h4"], 0.02)
+            leases = [lease for lease in replica.lease_manager.leases.values() if lease.gateway == "h3"]
+            if (
+                not leases
+                or leases[0].expires_at - world.heads[leader_name].now() < (100 + 100 * seed) * 1000
+            ):
                 break
         for name in world.charter.replicas:
             world.line("h3", name).cut = False
-        ask(world, ["h3", "h4"], 2)
-        for name in keepers:
-            world.line(boss, name).delay_us = 300
-        ask(world, ["h3", "h4"], 5)
-        return broken(world)
+        send_demand(world, ["h3", "h4"], 2)
+        for name in followers:
+            world.line(leader_name, name).delay_us = 300
+        send_demand(world, ["h3", "h4"], 5)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def minority_grants() -> int:
-    """A leader that is cut off with one head is asked for more by it, and the other side's by another."""
+    """A gateway requests quota from an isolated leader, and another from the leader of the majority."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        world.cut({leader(world).name, "h3"})
-        ask(world, ["h3", "h4"], 9)
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        world.cut({find_leader(world).name, "h3"})
+        send_demand(world, ["h3", "h4"], 9)
         for name in world.heads:
             world.cut({name}, on=False)
-        ask(world, ["h3", "h4"], 3)
-        return broken(world)
+        send_demand(world, ["h3", "h4"], 3)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def short_log() -> int:
-    """A keeper that has missed entries stands for election while the others, who have them, are slow."""
+    """A replica that lacks entries stands for election while the others, which have them, are slow."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        boss = leader(world).name
-        short, other = [name for name in world.charter.replicas if name != boss]
-        world.cut({short})
-        ask(world, ["h3"], 3)
-        world.cut({short}, on=False)
-        world.cut({boss})
-        world.line(other, short).cut = True  # it hears nothing of the other's standing
-        ask(world, ["h4", "h3"], 0.3)
-        world.line(other, short).cut = False
-        ask(world, ["h4", "h3"], 9)
-        world.cut({boss}, on=False)
-        ask(world, ["h4", "h3"], 4)
-        return broken(world)
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        leader_name = find_leader(world).name
+        behind, other = [name for name in world.charter.replicas if name != leader_name]
+        world.cut({behind})
+        send_demand(world, ["h3"], 3)
+        world.cut({behind}, on=False)
+        world.cut({leader_name})
+        world.line(other, behind).cut = True  # it receives no vote request of the other
+        send_demand(world, ["h4", "h3"], 0.3)
+        world.line(other, behind).cut = False
+        send_demand(world, ["h4", "h3"], 9)
+        world.cut({leader_name}, on=False)
+        send_demand(world, ["h4", "h3"], 4)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
-# ---- processes ----
+# ---- faults of processes and stores ----
 
 
 def stopped_between_sends() -> int:
-    """A head decides to send and sleeps before the first byte, through the end of its lease."""
-
-    def once(seed: int) -> int:
-        world = begun(seed)
-        ask(world, ["h3"], 4)
-        head = world.heads["h3"]
-        world.run(world.now + 2 * SECOND)  # its store fills
-        head.stop_after = 1
-        for _ in range(30):  # all that was saved up is on its way out
+    """A gateway decides to send and is suspended before the first byte until its lease has ended."""
+
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        send_demand(world, ["h3"], 4)
+        gateway = world.heads["h3"]
+        world.run(world.now + 2 * SECOND)  # its token bucket fills
+        gateway.stop_after = 1
+        for _ in range(30):  # all saved units are being sent
             world.ask("h3", 2.0)
         world.run(world.now + SECOND // 50)
-        for name in others(world, "h3"):
-            ask(world, [name], 0.1)
-        ask(world, others(world, "h3"), 10, 1.5 * RATE)
-        head.wake()
-        ask(world, ["h3", *others(world, "h3")], 2)
-        return broken(world)
+        for name in other_gateways(world, "h3"):
+            send_demand(world, [name], 0.1)
+        send_demand(world, other_gateways(world, "h3"), 10, 1.5 * RATE)
+        gateway.wake()
+        send_demand(world, ["h3", *other_gateways(world, "h3")], 2)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def all_restart() -> int:
-    """Every head is killed at once and comes back, again and again."""
-    world = begun(1)
+    """All gateways are killed at once and restart, several times."""
+    world = start_world(1)
     Demand(world, 2, 1.3 * RATE)
     for _ in range(4):
         world.run(world.now + 3 * SECOND)
-        for head in world.heads.values():
-            head.die()
+        for gateway in world.heads.values():
+            gateway.die()
         world.run(world.now + SECOND // 5)
-        for head in world.heads.values():
-            head.start()
+        for gateway in world.heads.values():
+            gateway.start()
     world.run(world.now + 10 * SECOND)
     idle = world.used(world.now - 3 * SECOND, world.now) < 0.7
-    return broken(world) + idle
+    return count_violations(world) + idle
 
 
 def rolling_restart() -> int:
-    """One head after another is killed and comes back, while demand moves."""
-    world = begun(1)
+    """One gateway after another is killed and restarts, while demand moves."""
+    world = start_world(1)
     Demand(world, 2, 1.3 * RATE)
     for name in list(world.heads):
         world.run(world.now + 2 * SECOND)
@@ -306,252 +314,256 @@
         world.heads[name].start()
     world.run(world.now + 10 * SECOND)
     idle = world.used(world.now - 3 * SECOND, world.now) < 0.8
-    return broken(world) + idle
+    return count_violations(world) + idle
 
 
 def busiest_restarts() -> int:
-    """The head with most of the whole is killed with its store full, and its next life begins at once."""
+    """The gateway with most of the limit is killed after its token bucket was full, and restarts at once."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        ask(world, ["h3"], 3)
-        head = world.heads["h3"]
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        send_demand(world, ["h3"], 3)
+        gateway = world.heads["h3"]
         for _ in range(6):
             world.run(world.now + SECOND)
             for _ in range(20):
                 world.ask("h3", 2.0)
             world.run(world.now + SECOND // 100)
-            head.die()
-            head.start()
-            ask(world, ["h3", "h4"], 1)
-        return broken(world)
+            gateway.die()
+            gateway.start()
+            send_demand(world, ["h3", "h4"], 1)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def born_again() -> int:
-    """Every head is killed five times a second, and spends all that it has as soon as it has begun."""
-    world = begun(1)
+    """Every gateway is killed five times a second, and spends all that it has once it has started."""
+    world = start_world(1)
     for _ in range(40):
-        for head in world.heads.values():
-            head.die()
-            head.start()
+        for gateway in world.heads.values():
+            gateway.die()
+            gateway.start()
         world.run(world.now + SECOND // 20)
         for name in world.heads:
             for _ in range(6):
                 world.ask(name, 2.0)
         world.run(world.now + 3 * SECOND // 20)
-    return broken(world)
+    return count_violations(world)
 
 
 def two_under_one_name() -> int:
-    """A second process starts under a name that is taken, and a head comes back renamed."""
-    world = begun(1)
+    """A second process starts under a name in use, and a gateway restarts under another name."""
+    world = start_world(1)
     Demand(world, 2, 1.3 * RATE)
     twin = LabHead(world, "h3", 0.0)
     world.twins["h3~"] = twin
     twin.start()
     world.run(world.now + 8 * SECOND)
-    head = world.heads["h4"]
-    head.die()
-    world.rename(head, "h4.1")
-    head.start()
+    gateway = world.heads["h4"]
+    gateway.die()
+    world.rename(gateway, "h4.1")
+    gateway.start()
     world.run(world.now + 8 * SECOND)
     twin.die()
     world.run(world.now + 8 * SECOND)
-    return broken(world)
+    return count_violations(world)
 
 
 def store_copied() -> int:
-    """All keepers' stores but one are put back as they were a while ago, while entries came since."""
-
-    def once(seed: int) -> int:
-        world = begun(seed)
-        ask(world, ["h3"], 2)
-        copies = {name: world.heads[name].disk for name in world.charter.replicas}
-        olds = {name: disk.copy() for name, disk in copies.items() if disk is not None}
-        ask(world, ["h4"], 4)
-        for name in list(olds)[:2]:
+    """The stores of all replicas but one are replaced by older copies, which lack later entries."""
+
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        send_demand(world, ["h3"], 2)
+        stores = {name: world.heads[name].disk for name in world.charter.replicas}
+        older_copies = {name: disk.copy() for name, disk in stores.items() if disk is not None}
+        send_demand(world, ["h4"], 4)
+        for name in list(older_copies)[:2]:
             world.heads[name].die()
-            world.heads[name].disk = olds[name]
+            world.heads[name].disk = older_copies[name]
         world.run(world.now + SECOND // 10)
-        for name in list(olds)[:2]:
+        for name in list(older_copies)[:2]:
             world.heads[name].start()
-        keep = world.charter.replicas[2]
-        world.cut({keep})
-        ask(world, ["h3", "h4"], 12)
-        world.cut({keep}, on=False)
-        ask(world, ["h3", "h4"], 6)
-        return broken(world)
+        latest = world.charter.replicas[2]
+        world.cut({latest})
+        send_demand(world, ["h3", "h4"], 12)
+        world.cut({latest}, on=False)
+        send_demand(world, ["h3", "h4"], 6)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
-# ---- files and clocks ----
+# ---- settings and clocks ----
 
 
 def files_differ() -> int:
-    """One head's file says half of what the others' say: that is the whole for all, and is no more later."""
-    world = begun(1)
-    less = Limit(RATE / 2, 40.0)
-    world.heads["h2"].retune(less)
+    """One gateway's settings have half the others' limit: it applies to all and is not raised later."""
+    world = start_world(1)
+    lowered = Limit(RATE / 2, 40.0)
+    world.heads["h2"].retune(lowered)
     for judge in world.judges.values():
-        judge.change(world.now, less)
-    world.judge(1).change(world.now, less)
+        judge.change(world.now, lowered)
+    world.judge(1).change(world.now, lowered)
     world.judge(1).settle(world.now + 2 * world.charter.lease_with_drift_us + SECOND)
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 25 * SECOND)
-    return broken(world)
+    return count_violations(world)
 
 
 def whole_lowered() -> int:
-    """The whole is halved in service, at one head after another, while all of it is spent."""
+    """The limit is halved and restored, at one gateway after another, while all of it is spent."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
+    def run(seed: int) -> int:
+        world = start_world(seed)
         Demand(world, seed, 1.6 * RATE)
         world.run(world.now + 4 * SECOND)
-        less = world.limit = Limit(RATE / 2, 40.0)
+        lowered = world.limit = Limit(RATE / 2, 40.0)
         judge = world.judge(1)
-        judge.change(world.now, less)
-        for n, head in enumerate(world.heads.values()):
-            world.at(world.now + n * SECOND // 2, lambda head=head: head.retune(less))  # type: ignore[misc]
+        judge.change(world.now, lowered)
+        for n, gateway in enumerate(world.heads.values()):
+            world.at(world.now + n * SECOND // 2, lambda gateway=gateway: gateway.retune(lowered))  # type: ignore[misc]
         judge.settle(world.now + 3 * SECOND + 2 * world.charter.lease_with_drift_us)
         world.run(world.now + 20 * SECOND)
-        more = world.limit = Limit(RATE, 80.0)
-        judge.change(world.now, more)
-        for n, head in enumerate(world.heads.values()):
-            world.at(world.now + n * SECOND // 2, lambda head=head: head.retune(more))  # type: ignore[misc]
+        raised = world.limit = Limit(RATE, 80.0)
+        judge.change(world.now, raised)
+        for n, gateway in enumerate(world.heads.values()):
+            world.at(world.now + n * SECOND // 2, lambda gateway=gateway: gateway.retune(raised))  # type: ignore[misc]
         world.run(world.now + 15 * SECOND)
-        return broken(world)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def clocks_differ() -> int:
-    """The busiest head's clock runs 1% slow and the keepers' 1% fast, and it is cut off."""
+    """The busiest gateway's clock runs 1% slow, those of all others 1% fast, and it is isolated."""
 
-    def once(seed: int) -> int:
-        world = begun(seed)
-        for name, head in world.heads.items():
-            # From here on; the clocks stay where they are.
+    def run(seed: int) -> int:
+        world = start_world(seed)
+        for name, gateway in world.heads.items():
+            # The drift applies from now on; the clocks' present readings do not change.
             drift = -0.0099 if name == "h3" else 0.0099
-            head.offset += int(world.now * (head.drift - drift))
-            head.drift = drift
-        ask(world, ["h3"], 3)
+            gateway.offset += int(world.now * (gateway.drift - drift))
+            gateway.drift = drift
+        send_demand(world, ["h3"], 3)
         world.cut({"h3"})
-        ask(world, ["h3", "h4", "h1"], 7)
+        send_demand(world, ["h3", "h4", "h1"], 7)
         world.cut({"h3"}, on=False)
-        ask(world, ["h3", "h4"], 2)
-        return broken(world)
+        send_demand(world, ["h3", "h4"], 2)
+        return count_violations(world)
 
-    return _tries(once)
+    return _worst_of_seeds(run)
 
 
 def clock_set_back() -> int:
-    """A head's wall clock is set back by a year, and it starts again."""
-    world = begun(1)
+    """A gateway's wall clock is set back by a year, and it restarts."""
+    world = start_world(1)
     Demand(world, 2, 1.3 * RATE)
     world.run(world.now + 3 * SECOND)
-    head = world.heads["h3"]
-    head.wall_ms -= 365 * 86_400_000
-    head.die()
-    head.start()
+    gateway = world.heads["h3"]
+    gateway.wall_ms -= 365 * 86_400_000
+    gateway.die()
+    gateway.start()
     world.run(world.now + 10 * SECOND)
-    mine = sum(units for at, name, units in world.arrivals if name == "h3" and at > world.now - 4 * SECOND)
-    return broken(world) + (not mine)
+    recent_units = sum(
+        units for at, name, units in world.arrivals if name == "h3" and at > world.now - 4 * SECOND
+    )
+    return count_violations(world) + (not recent_units)
 
 
-# ---- one keeper alone ----
+# ---- a single replica, holder or ledger ----
 
 
-def _keeper(charter: FleetTerms, disk: Disk) -> FleetNode:
-    """A seated keeper whose store is taken for the latest."""
+def _start_replica(terms: FleetTerms, disk: Disk) -> FleetNode:
+    """Start the replica of gateway h1, with its store trusted to be the latest."""
     loaded = disk.load(random.Random(1))
     identity = GatewayIdentity("h1", "h1:1", 7 + loaded.state.starts, 1)
-    node = FleetNode(charter, "d", identity, loaded, 1, 0)
-    _write(disk, node.trust_store(0))
+    node = FleetNode(terms, "d", identity, loaded, 1, 0)
+    _persist(disk, node.trust_store(0))
     return node
 
 
-def _write(disk: Disk, out: StepOutput) -> bool:
+def _persist(disk: Disk, out: StepOutput) -> bool:
+    """Persist a step's write, if it has one; return False if the store did not accept it."""
     return out.write is None or disk.write(out.write)
 
 
-def _seats(charter: FleetTerms) -> tuple[Disk, tuple[str, ...]]:
-    seats = tuple(make_replica_id(name, f"store-{name}") for name in charter.replicas)
-    kept = PersistentState("store-h1", fleet_id="f", voters=seats, bound_to="store-h0")
-    return Disk(kept), seats
+def _voter_store(terms: FleetTerms) -> tuple[Disk, tuple[str, ...]]:
+    """Return the store of gateway h1, one of three voters, and the replica ids of all three."""
+    replica_ids = tuple(make_replica_id(name, f"store-{name}") for name in terms.replicas)
+    persisted = PersistentState("store-h1", fleet_id="f", voters=replica_ids, bound_to="store-h0")
+    return Disk(persisted), replica_ids
 
 
 def vote_forgotten() -> int:
-    """A keeper votes, crashes, and is asked for the same term by another."""
-    charter = FleetTerms("lab", ("h0", "h1", "h2"))
-    disk, seats = _seats(charter)
-    node = _keeper(charter, disk)
-    out = node.receive(10, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0))
-    _write(disk, out)
-    granted = _granted(out)
-    node = _keeper(charter, disk)
+    """A replica votes, crashes, and receives the vote request of another candidate in the same term."""
+    terms = FleetTerms("lab", ("h0", "h1", "h2"))
+    disk, replica_ids = _voter_store(terms)
+    node = _start_replica(terms, disk)
+    out = node.receive(10, "h0", 1, m.VoteRequest(replica_ids[0], 5, False, 0, 0))
+    _persist(disk, out)
+    granted = _grants_vote(out)
+    node = _start_replica(terms, disk)
     return int(not granted) + int(
-        _granted(node.receive(20, "h2", 1, m.VoteRequest(seats[2], 5, False, 0, 0)))
+        _grants_vote(node.receive(20, "h2", 1, m.VoteRequest(replica_ids[2], 5, False, 0, 0)))
     )
 
 
-def _granted(out: StepOutput) -> bool:
-    return any(isinstance(said, m.VoteResponse) and said.granted for _, said in out.messages)
+def _grants_vote(out: StepOutput) -> bool:
+    return any(isinstance(message, m.VoteResponse) and message.granted for _, message in out.messages)
 
 
 def full_at_vote() -> int:
-    """The store is full when a keeper votes: it must not be heard to have voted, then or later."""
-    charter = FleetTerms("lab", ("h0", "h1", "h2"))
-    disk, seats = _seats(charter)
-    node = _keeper(charter, disk)
+    """The store is full when a replica votes: it must not send that vote, then or later."""
+    terms = FleetTerms("lab", ("h0", "h1", "h2"))
+    disk, replica_ids = _voter_store(terms)
+    node = _start_replica(terms, disk)
     disk.full = True
-    out = node.receive(10, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0))
-    if _write(disk, out):
-        return 1  # it said nothing of a vote to keep
+    out = node.receive(10, "h0", 1, m.VoteRequest(replica_ids[0], 5, False, 0, 0))
+    if _persist(disk, out):
+        return 1  # no vote was to be persisted
     node.store_failed(10, "full")
     later = [node.tick(20 + n * SECOND) for n in range(5)]
-    later.append(node.receive(9 * SECOND, "h0", 1, m.VoteRequest(seats[0], 5, False, 0, 0)))
-    return sum(map(_granted, later)) + int(node.is_replica)
+    later.append(node.receive(9 * SECOND, "h0", 1, m.VoteRequest(replica_ids[0], 5, False, 0, 0)))
+    return sum(map(_grants_vote, later)) + int(node.is_replica)
 
 
 def older_term() -> int:
-    """A keeper that has moved on hears an older leader: it takes nothing from it."""
-    charter = FleetTerms("lab", ("h0", "h1", "h2"))
-    disk, seats = _seats(charter)
-    node = _keeper(charter, disk)
-    _write(disk, node.receive(10, "h2", 1, m.VoteRequest(seats[2], 6, False, 0, 0)))
+    """A replica in a later term receives entries of an older leader: it accepts none."""
+    terms = FleetTerms("lab", ("h0", "h1", "h2"))
+    disk, replica_ids = _voter_store(terms)
+    node = _start_replica(terms, disk)
+    _persist(disk, node.receive(10, "h2", 1, m.VoteRequest(replica_ids[2], 6, False, 0, 0)))
     entry = m.LogEntry(5, m.Noop())
-    out = node.receive(20, "h0", 1, m.AppendEntries(seats[0], 5, 0, 0, (entry,), 1, 1))
-    taken = any(isinstance(said, m.AppendResponse) and said.success for _, said in out.messages)
-    return int(taken) + len(node.replica.raft.log.entries if node.replica is not None else ())
+    out = node.receive(20, "h0", 1, m.AppendEntries(replica_ids[0], 5, 0, 0, (entry,), 1, 1))
+    accepted = any(isinstance(message, m.AppendResponse) and message.success for _, message in out.messages)
+    return int(accepted) + len(node.replica.raft.log.entries if node.replica is not None else ())
 
 
-def _holder() -> tuple[LeaseHolder, m.LeaseRequest]:
-    """One that has asked at 0."""
+def _requesting_holder() -> tuple[LeaseHolder, m.LeaseRequest]:
+    """Return a lease holder that has requested a lease at time 0, and the request."""
     holder = LeaseHolder(FleetTerms("f", ("a",)), "d", 7, "s", PersistedFloor(), 0, random.Random(1))
     holder.set_limits({"p": (100_000, 80_000)}, 8000)
     holder.tick(0, ["a"])
-    said = holder.drain_messages()[0][1]
-    assert isinstance(said, m.LeaseRequest)
-    return holder, said
+    message = holder.drain_messages()[0][1]
+    assert isinstance(message, m.LeaseRequest)
+    return holder, message
 
 
 def answer_late() -> int:
-    """An answer is on its way for longer than the lease."""
-    holder, asked = _holder()
-    answer = m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
-    holder.receive(5 * SECOND, "a", answer)
+    """A response is in transit for longer than the lease."""
+    holder, request = _requesting_holder()
+    response = m.LeaseResponse(7, request.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
+    holder.receive(5 * SECOND, "a", response)
     return int(holder.lease_until > FleetTerms("f", ("a",)).lease_us)
 
 
 def order_late() -> int:
-    """An order comes an hour late, and the one that followed it has come long since."""
-    holder, asked = _holder()
+    """An order arrives an hour late, after the order that followed it."""
+    holder, request = _requesting_holder()
     holder.receive(
-        10, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
+        10, "a", m.LeaseResponse(7, request.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
     )
     for version, rate in ((9, 20_000), (8, 90_000)):
         holder.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", version, rate, 8000),)))
@@ -559,20 +571,20 @@
 
 
 def session_replaced() -> int:
-    """A process has another session: what it had under the one before is others'."""
-    holder, asked = _holder()
+    """A process gets another session: quota of its earlier session may be allocated to others."""
+    holder, request = _requesting_holder()
     holder.receive(
-        10, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
+        10, "a", m.LeaseResponse(7, request.number, m.LeaseStatus.RENEWED, 5, 1, "a", -1, 0, (), "f")
     )
     holder.receive(20, "a", m.QuotaOrders(7, 5, "f", (m.QuotaOrder("p/1", 9, 20_000, 8000),)))
     holder.receive(
-        30, "a", m.LeaseResponse(7, asked.number, m.LeaseStatus.RENEWED, 6, 1, "a", -1, 0, (), "f")
+        30, "a", m.LeaseResponse(7, request.number, m.LeaseStatus.RENEWED, 6, 1, "a", -1, 0, (), "f")
     )
     return len(holder.allocations)
 
 
 def leader_errs() -> int:
-    """A leader that has lost count proposes more than there is."""
+    """A leader with wrong sums proposes more than the limit."""
     ledger = QuotaLedger(FleetTerms("f", ("a",)))
     commands: list[m.Command] = [
         m.SetLimits((("p", 100_000, 80_000),)),
@@ -584,31 +596,31 @@
     ]
     for index, command in enumerate(commands, 1):
         ledger.apply(index, command)
-    return int(sum(stake.rate for stake in ledger.allocations["p/1"].values()) > 90_000)
+    return int(sum(allocation.rate for allocation in ledger.allocations["p/1"].values()) > 90_000)
 
 
 def snapshot_and_log() -> int:
-    """What a keeper has kept is what it comes back with."""
-    charter = FleetTerms("lab", ("h0", "h1", "h2"))
-    disk, seats = _seats(charter)
-    node = _keeper(charter, disk)
+    """A replica restarts with the log, term and snapshot that it persisted."""
+    terms = FleetTerms("lab", ("h0", "h1", "h2"))
+    disk, replica_ids = _voter_store(terms)
+    node = _start_replica(terms, disk)
     entries = tuple(m.LogEntry(3, m.OpenSession(f"h{n}", n + 1, "")) for n in range(3))
-    _write(disk, node.receive(10, "h0", 1, m.AppendEntries(seats[0], 3, 0, 0, entries, 2, 1)))
-    again = _keeper(charter, copy.deepcopy(disk))
-    seat, old = again.replica, node.replica
-    if seat is None or old is None:
+    _persist(disk, node.receive(10, "h0", 1, m.AppendEntries(replica_ids[0], 3, 0, 0, entries, 2, 1)))
+    restarted = _start_replica(terms, copy.deepcopy(disk))
+    replica, original = restarted.replica, node.replica
+    if replica is None or original is None:
         return 1
-    kept = seat.raft.log
-    differs = [
-        kept.entries != old.raft.log.entries,
-        seat.raft.term != 3,
-        kept.snapshot != Snapshot(0, 0, seats, b""),
+    log = replica.raft.log
+    differences = [
+        log.entries != original.raft.log.entries,
+        replica.raft.term != 3,
+        log.snapshot != Snapshot(0, 0, replica_ids, b""),
     ]
-    return sum(differs)
+    return sum(differences)
 
 
 CASES: dict[str, Callable[[], int]] = {
-    call.__name__: call for call in (
+    case.__name__: case for case in (
         answers_lost, answer_late, order_late, session_replaced, leader_errs, minority_grants, short_log,
         born_again, told_twice, told_late, one_way, two_leaders, leader_wakes, leader_wakes_mid_step,
         halves, cut_at_close, stopped_between_sends, all_restart, rolling_restart, busiest_restarts,
--- a/gaugesail/measure/fleet_cost.py
+++ b/gaugesail/measure/fleet_cost.py
@@ -1,9 +1,9 @@
-"""`gaugesail measure fleet-cost`: what a request costs a head among others, against a head alone.
+"""`gaugesail measure fleet-cost`: the cost of a request at a gateway of a fleet, against a gateway alone.
 
-Real heads on loopback in one run, asked in turn: a keeper that leads and a head that is no keeper, in one
-fleet, and one without a fleet.  What counts is the processor time of each head's process a request.  Two
-processes of the same program differ by some per cent for as long as they live, so that each round starts
-others, and the median of the rounds is told.
+Real gateways on loopback in one run get requests in turn: two in a fleet, of which one has the only replica
+and leads, and one without a fleet.  The cost is the CPU time of the gateway's process per request.  Two
+processes of the same program differ by some per cent throughout their lives; therefore each round starts new
+processes, and the result is the median of the rounds.
 """
 
 from __future__ import annotations
@@ -21,51 +21,51 @@
 from ..core.clock import use_monotonic_time
 from ..rehearsal.fleet.trial import UP_S, NotUp, Rig, Trial
 
-RATE = 100_000.0  # units a second: nothing is refused
-AT_ONCE = 8
+RATE = 100_000.0  # units per second, so that nothing is rejected
+MAX_CONCURRENT = 8
 
 
-def cpu_s(pid: int) -> float:
-    """Processor time of a process so far."""
+def cpu_seconds(pid: int) -> float:
+    """Return the CPU time that a process has used so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class Asked:
-    """One head and its clients."""
+class MeasuredGateway:
+    """A gateway, its clients, and its costs: CPU seconds per request, one for each batch."""
 
     def __init__(self, rig: Rig, name: str) -> None:
-        self.rig, self.head, self.clients = rig, rig.heads[name], rig.clients[name]
+        self.rig, self.gateway, self.clients = rig, rig.heads[name], rig.clients[name]
         self.costs: list[float] = []
 
     def batch(self, requests: int) -> float:
-        """Seconds of processor time a request."""
-        assert self.head.process is not None
-        told, before = self.rig.judge.told, cpu_s(self.head.process.pid)
-        start = told.served + told.refused + told.failed
-        asked = 0
-        while (done := told.served + told.refused + told.failed - start) < requests:
-            while asked < requests and asked - done < AT_ONCE:
+        """Send a batch of requests and return the CPU seconds per request."""
+        assert self.gateway.process is not None
+        counts, before = self.rig.judge.told, cpu_seconds(self.gateway.process.pid)
+        start = counts.served + counts.refused + counts.failed
+        sent = 0
+        while (done := counts.served + counts.refused + counts.failed - start) < requests:
+            while sent < requests and sent - done < MAX_CONCURRENT:
                 self.clients.ask(1)
-                asked += 1
+                sent += 1
             self.rig.reactor.iterate(0.001)
-        return (cpu_s(self.head.process.pid) - before) / requests
+        return (cpu_seconds(self.gateway.process.pid) - before) / requests
 
 
-def measured(reactor: Any, requests: int, batches: int, rounds: int) -> dict[str, Any]:
-    """The median of the rounds' ratios, and the least and the most."""
-    found = [_round(reactor, requests, batches) for _ in range(rounds)]
-    told: dict[str, Any] = {}
+def measure(reactor: Any, requests: int, batches: int, rounds: int) -> dict[str, Any]:
+    """Return the figures of ``--json``: the median, least and largest ratio of the rounds."""
+    costs = [_run_round(reactor, requests, batches) for _ in range(rounds)]
+    report: dict[str, Any] = {}
     for name, key in (("holder", "ratio"), ("keeper", "keeper_ratio")):
-        ratios = sorted(cost[name] / cost["alone"] for cost in found)
-        told[key] = round(statistics.median(ratios), 3)
-        told[f"{key}_range"] = [round(ratios[0], 3), round(ratios[-1], 3)]
-    told["alone_us"] = round(1e6 * statistics.median(cost["alone"] for cost in found), 1)
-    return told | {"rounds": rounds, "requests": requests * batches * rounds}
+        ratios = sorted(cost[name] / cost["alone"] for cost in costs)
+        report[key] = round(statistics.median(ratios), 3)
+        report[f"{key}_range"] = [round(ratios[0], 3), round(ratios[-1], 3)]
+    report["alone_us"] = round(1e6 * statistics.median(cost["alone"] for cost in costs), 1)
+    return report | {"rounds": rounds, "requests": requests * batches * rounds}
 
 
-def _round(reactor: Any, requests: int, batches: int) -> dict[str, float]:
-    """Seconds of processor time a request of each head."""
+def _run_round(reactor: Any, requests: int, batches: int) -> dict[str, float]:
+    """Return the CPU seconds per request of each gateway, in new processes."""
     with tempfile.TemporaryDirectory(prefix="gaugesail-cost-") as folder:
         trial = Trial(heads=2, keepers=1, rate=RATE, burst=RATE, faults=False)
         rigs = [
@@ -77,40 +77,41 @@
                 for head in rig.heads.values():
                     head.start()
                 if not rig.until(rig._up, UP_S):
-                    raise NotUp("a head did not begin to serve")
-            heads = {
-                "holder": Asked(rigs[0], "h1"), "keeper": Asked(rigs[0], "h0"), "alone": Asked(rigs[1], "h0")
+                    raise NotUp("a gateway did not start to serve")
+            gateways = {
+                "holder": MeasuredGateway(rigs[0], "h1"), "keeper": MeasuredGateway(rigs[0], "h0"),
+                "alone": MeasuredGateway(rigs[1], "h0"),
             }  # fmt: skip
             rigs[0].until(lambda: False, 3.0)
-            for one in heads.values():  # warm, and what is asked for is granted
-                one.batch(requests)
+            for gateway in gateways.values():  # warm up, until the requested quota is granted
+                gateway.batch(requests)
             for _ in range(batches):
-                for one in heads.values():
-                    one.costs.append(one.batch(requests))
+                for gateway in gateways.values():
+                    gateway.costs.append(gateway.batch(requests))
         finally:
             for rig in rigs:
                 rig.end()
-    return {name: sum(one.costs) / len(one.costs) for name, one in heads.items()}
+    return {name: sum(gateway.costs) / len(gateway.costs) for name, gateway in gateways.items()}
 
 
 @click.command("fleet-cost")
 @click.option(
-    "--requests", type=click.IntRange(100, 1_000_000), default=1000, show_default=True, help="A batch."
+    "--requests", type=click.IntRange(100, 1_000_000), default=1000, show_default=True, help="Of a batch."
 )
 @click.option("--batches", type=click.IntRange(1, 1000), default=3, show_default=True)
 @click.option("--rounds", type=click.IntRange(1, 1000), default=9, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def command(requests: int, batches: int, rounds: int, as_json: bool) -> None:
-    """What a request costs a head among others, against a head alone, in one run."""
-    from twisted.internet import reactor  # importing it installs it: only the command does
+    """The cost of a request at a gateway of a fleet, against a gateway alone, in one run."""
+    from twisted.internet import reactor  # the import installs the reactor: only the command may
 
     use_monotonic_time(reactor)
     try:
-        told = measured(reactor, requests, batches, rounds)
+        report = measure(reactor, requests, batches, rounds)
     except NotUp as error:
         raise click.ClickException(str(error)) from None
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(report))
     else:
-        for key, value in told.items():
+        for key, value in report.items():
             click.echo(f"{key:>18}  {value}")
--- a/gaugesail/measure/ramp.py
+++ b/gaugesail/measure/ramp.py
@@ -1,6 +1,7 @@
-"""`gaugesail measure ramp`: what a fleet that may not talk sends to a cold node, counted at the node.
+"""`gaugesail measure ramp`: what gateways that may not exchange messages send to a warming node.
 
-The long form of tests/test_cold_fleet.py, for each size of fleet over the same seeds.
+Counted at the node.  The long form of tests/policy/test_slow_start_fleet.py: each size of fleet with the same
+seeds.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 import click
 
 from ..lab.ramp import Ramp, plays
-from .storm import Seeds
+from .storm import SeedRange
 
 
-def row(heads: int, played: list[dict[str, Any]]) -> dict[str, Any]:
-    """The figures of one size of fleet.
+def summarize(gateways: int, results: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the figures of one size of fleet.
 
-    ``worst``: requests of mean work over N in a window, in parts of 2 x root of N + 2; over 1 the node falls.
-    ``used``: what the node served of what it could.
+    ``worst`` is the excess over N requests of mean work in a window, as a fraction of 2 * sqrt(N) + 2; above
+    1 the node fails.  ``used`` is the share of the node's capacity that served requests.
     """
-    power = sum(one["power"] for one in played)
+    capacity = sum(result["power"] for result in results)
     return {
-        "heads": heads, "plays": len(played),
-        "over": sum(one["worst"] > 1 or one["broken"] for one in played),
-        "worst": round(max(one["worst"] for one in played), 3),
-        "served": round(sum(one["served"] for one in played)),
-        "used": round(sum(one["served"] for one in played) / power, 3),
+        "heads": gateways, "plays": len(results),
+        "over": sum(result["worst"] > 1 or result["broken"] for result in results),
+        "worst": round(max(result["worst"] for result in results), 3),
+        "served": round(sum(result["served"] for result in results)),
+        "used": round(sum(result["served"] for result in results) / capacity, 3),
     }  # fmt: skip
 
 
@@ -39,19 +40,19 @@
     default=(5, 20, 30, 200),
     show_default=True,
 )
-@click.option("--seed", "seeds", type=Seeds(), default="1-200", show_default=True)
+@click.option("--seed", "seeds", type=SeedRange(), default="1-200", show_default=True)
 @click.option("--json", "as_json", is_flag=True)
 def command(sizes: tuple[int, ...], seeds: list[int], as_json: bool) -> None:
-    """What a fleet that may not talk sends to a cold node, counted there.
+    """What gateways that may not exchange messages send to a warming node, counted there.
 
-    Plays whole heads in virtual time.  Exits with 1 where a node got more than the rule allows.
+    Simulates complete gateways in virtual time.  Exits with 1 if a node got more than the rule allows.
     """
-    found = []
-    for heads in sizes:
-        found.append(row(heads, [Ramp(plays(heads, seed)).run() for seed in seeds]))
+    rows = []
+    for gateways in sizes:
+        rows.append(summarize(gateways, [Ramp(plays(gateways, seed)).run() for seed in seeds]))
         if not as_json:
-            click.echo("  ".join(f"{key} {value}" for key, value in found[-1].items()))
+            click.echo("  ".join(f"{key} {value}" for key, value in rows[-1].items()))
     if as_json:
-        click.echo(json.dumps(found))
-    if any(one["over"] for one in found):
+        click.echo(json.dumps(rows))
+    if any(result["over"] for result in rows):
         raise SystemExit(1)
--- a/gaugesail/measure/storm.py
+++ b/gaugesail/measure/storm.py
@@ -1,4 +1,4 @@
-"""``gaugesail measure storm``: a node fails, its clients come back, and what that does to it and to them."""
+"""`gaugesail measure storm`: a node fails, its clients retry, and the effects on the node and the clients."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ..lab.storm import Storm, StormWorld
 from ..lab.terminals import KINDS
 
-HOLDS = {  # what must hold in each run: the most that a figure may be
+MAXIMUMS = {  # largest allowed figures of a run
     "recovery_s": 20.0, "cold_peak": 1.0, "unanswered": 0, "answered_twice": 0, "two_out": 0,
     "most_attempts": 4, "sent_unlisted": 0, "fallen": 0,
 }  # fmt: skip
 
 
-def play(storm: Storm) -> dict[str, Any]:
-    """The figures of one run, as they are printed."""
+def run_storm(storm: Storm) -> dict[str, Any]:
+    """Simulate a storm and return the figures of ``--json``."""
     figures = StormWorld(storm).play()
     counts = figures.counts
     return {
@@ -39,86 +39,93 @@
     }  # fmt: skip
 
 
-def broken(run: dict[str, Any]) -> list[str]:
-    """What does not hold in a run."""
-    found = [name for name, most in HOLDS.items() if run[name] is None or run[name] > most]
+def exceeded(run: dict[str, Any]) -> list[str]:
+    """Return the names of the figures of a run that exceed their maximum, or are missing."""
+    found = [name for name, most in MAXIMUMS.items() if run[name] is None or run[name] > most]
     return found + ["burst"] * (run["burst"] is not None and run["burst"] > 3)
 
 
-def told(run: dict[str, Any]) -> str:
-    """One run, for people."""
-    recovery = "not at all" if run["recovery_s"] is None else f"{run['recovery_s']:.0f} s"
+def format_run(run: dict[str, Any]) -> str:
+    """Return the line of text that shows a run."""
+    recovery = "never" if run["recovery_s"] is None else f"{run['recovery_s']:.0f} s"
     burst = "-" if run["burst"] is None else f"{run['burst']:.1f}"
     service = "  ".join(f"{name} {value:.2f}" for name, value in run["service"].items())
-    which = "baseline" if run["baseline"] else "now"
+    variant = "baseline" if run["baseline"] else "now"
     return (
-        f"seed {run['seed']:>3}  {which:<8}  back after {recovery:<10}  cold peak {run['cold_peak']:.2f}  "
-        f"burst {burst:<4}  {service}  unanswered {run['unanswered']}  twice {run['answered_twice']}  "
-        f"two out {run['two_out']}  attempts {run['most_attempts']}"
+        f"seed {run['seed']:>3}  {variant:<8}  recovery {recovery:<10}  "
+        f"cold peak {run['cold_peak']:.2f}  burst {burst:<4}  {service}  unanswered {run['unanswered']}  "
+        f"answered twice {run['answered_twice']}  overlapping {run['two_out']}  "
+        f"most attempts {run['most_attempts']}"
     )
 
 
-class Seeds(click.ParamType[list[int]]):
-    """One seed, or the first and the last of several."""
+class SeedRange(click.ParamType[list[int]]):
+    """A seed, or the first and the last seed of a range."""
 
     name = "N|FROM-TO"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> list[int]:
+        """Return the seeds of the text ``value``; a list is returned as it is."""
         if isinstance(value, list):
             return value
         first, _, last = str(value).partition("-")
         try:
             return list(range(int(first), int(last or first) + 1))
         except ValueError:
-            self.fail(f"{value!r} is neither a number nor FROM-TO", param, ctx)
+            self.fail(f"expected a seed or FROM-TO, got {value!r}", param, ctx)
 
 
-def known(ctx: click.Context, param: click.Parameter, value: str) -> str:
-    """A mixture of kinds of clients that there are."""
+def check_client_kinds(ctx: click.Context, param: click.Parameter, value: str) -> str:
+    """Check that ``value`` names known kinds of clients, joined by ``+``, and return it.
+
+    Raises `click.BadParameter` for an unknown kind.
+    """
     for name in value.split("+"):
         if name != "mixed" and name not in KINDS:
-            raise click.BadParameter(f"{name!r} is none of mixed, {', '.join(KINDS)}")
+            raise click.BadParameter(f"expected one of mixed, {', '.join(KINDS)}; got {name!r}")
     return value
 
 
 @click.command("storm")
 @click.option("--heads", type=click.IntRange(1, 64), default=3, show_default=True)
-@click.option("--nodes", type=click.IntRange(1, 64), default=2, show_default=True, help="One fails.")
+@click.option("--nodes", type=click.IntRange(1, 64), default=2, show_default=True, help="One of them fails.")
 @click.option(
-    "--clients", default="mixed", show_default=True, callback=known, metavar="KIND[+KIND]|mixed",
-    help="How clients come back: " + ", ".join(KINDS) + ".",
+    "--clients", default="mixed", show_default=True, callback=check_client_kinds, metavar="KIND[+KIND]|mixed",
+    help="How clients retry: " + ", ".join(KINDS) + ".",
 )  # fmt: skip
 @click.option("--outage", type=click.FloatRange(0.5, 600), default=30.0, show_default=True, help="Seconds.")
 @click.option(
     "--stale", type=click.FloatRange(0, 60), default=3.0, show_default=True,
-    help="So many seconds late is the list.",
+    help="Delay of the endpoint list, in seconds.",
 )  # fmt: skip
 @click.option("--volumes", type=click.IntRange(1, 200), default=6, show_default=True, help="For each node.")
 @click.option(
     "--load", type=click.FloatRange(0.05, 2), default=0.8, show_default=True,
-    help="Of nine tenths of what the nodes can do.",
+    help="Demand as a share of nine tenths of the nodes' capacity.",
 )  # fmt: skip
 @click.option(
     "--hold-off", type=click.FloatRange(0.05, 60), default=0.5, show_default=True,
-    help="The longest time to come back that clients heed, in seconds.",
+    help="Longest retry delay that clients observe, in seconds.",
 )  # fmt: skip
 @click.option(
     "--restart", type=click.FloatRange(0, 60), default=0.0,
-    help="It starts once more, so many seconds after it came back.",
+    help="The node restarts once more this many seconds after its recovery; 0: it does not.",
 )  # fmt: skip
-@click.option("--seed", "seeds", type=Seeds(), default="1", show_default=True)
+@click.option("--seed", "seeds", type=SeedRange(), default="1", show_default=True)
 @click.option("--jobs", type=click.IntRange(1, 256), default=1, show_default=True, help="Runs side by side.")
-@click.option("--baseline", is_flag=True, help="The fixed time to come back of earlier heads, same seed.")
+@click.option(
+    "--baseline", is_flag=True, help="Use the fixed retry delay of earlier gateways, with the same seed."
+)
 @click.option("--json", "as_json", is_flag=True)
 def command(
     heads: int, nodes: int, clients: str, outage: float, stale: float, volumes: int, load: float,
     hold_off: float, restart: float, seeds: list[int], jobs: int, baseline: bool, as_json: bool,
 ) -> None:  # fmt: skip
-    """A node fails, comes back cold, and all who waited for it come back as well.
+    """A node fails and restarts cold, and all clients that waited for it retry.
 
-    Plays whole heads, stand-in nodes and clients in virtual time.  With one seed it prints one object; with
-    several, the runs and the worst of each figure.  Exits with 1 where something does not hold that must
-    (not for a baseline).
+    Simulates complete gateways, stand-in nodes and clients in virtual time.  With one seed it prints one
+    object; with several, the runs and the worst value of each figure.  Exits with 1 if a figure exceeds its
+    maximum (not for a baseline).
     """
     storm = Storm(
         heads, nodes, clients, outage, stale, volumes, load, 0, baseline, hold_off, restart_s=restart
@@ -126,22 +133,22 @@
     storms = [replace(storm, seed=seed) for seed in seeds]
     if jobs > 1 and len(storms) > 1:
         with ProcessPoolExecutor(min(jobs, len(storms))) as pool:
-            runs = list(pool.map(play, storms))
+            runs = list(pool.map(run_storm, storms))
     else:
-        runs = [play(storm) for storm in storms]
-    faults = {run["seed"]: broken(run) for run in runs if broken(run)}
+        runs = [run_storm(storm) for storm in storms]
+    violations = {run["seed"]: exceeded(run) for run in runs if exceeded(run)}
     if not as_json:
         for run in runs:
-            click.echo(told(run))
+            click.echo(format_run(run))
     elif len(runs) == 1:
         click.echo(json.dumps(runs[0]))
     else:
         worst = {
             name: None if any(run[name] is None for run in runs) else max(run[name] for run in runs)
-            for name in HOLDS
+            for name in MAXIMUMS
         }
-        click.echo(json.dumps({"runs": runs, "worst": worst, "broken": faults}))
-    if faults and not baseline:
-        for seed, names in faults.items():
-            click.echo(f"seed {seed}: {', '.join(names)} do not hold", err=True)
+        click.echo(json.dumps({"runs": runs, "worst": worst, "broken": violations}))
+    if violations and not baseline:
+        for seed, names in violations.items():
+            click.echo(f"seed {seed}: maximum exceeded by {', '.join(names)}", err=True)
         raise SystemExit(1)
--- a/tests/coordination/test_exhaustive_search.py
+++ b/tests/coordination/test_exhaustive_search.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gaugesail.lab.search import Budget, Search, search
-from gaugesail.measure.planted import planted
+from gaugesail.measure.planted import inject_fault
 
 
 @pytest.mark.parametrize(
@@ -27,6 +27,6 @@
 
 @pytest.mark.parametrize("fault", ["lower_unasked", "closed_early"])
 def test_a_missing_safeguard_is_detected(fault: str) -> None:
-    with planted(fault):
+    with inject_fault(fault):
         result = search(Budget(asks=2, steps=1), 1, 4000)
     assert result.broken, result
--- a/tests/coordination/test_lease_manager.py
+++ b/tests/coordination/test_lease_manager.py
@@ -19,7 +19,7 @@
 from gaugesail.coordination.quota_allocator import RELEASE_TIMEOUT_US
 from gaugesail.coordination.quota_ledger import QuotaLedger
 from gaugesail.coordination.raft_log import RaftLog, Snapshot
-from gaugesail.measure.planted import planted
+from gaugesail.measure.planted import inject_fault
 
 SECOND = 1_000_000
 TERMS = FleetTerms("f", ("a",), max_gateways=2)
@@ -159,7 +159,7 @@
 
 
 def test_a_manager_that_renews_sessions_being_closed_is_detected() -> None:
-    with planted("closing_renewed"):
+    with inject_fault("closing_renewed"):
         leader = Leader()
         session = leader.request(1)[0].session
         lease = leader.manager.leases[session]
