--- a/gaugesail/rehearsal/fleet/command.py
+++ b/gaugesail/rehearsal/fleet/command.py
@@ -19,7 +19,7 @@
 from rich.text import Text
 
 from ...core.clock import use_monotonic_time
-from .trial import KINDS, GatewaysNotReady, Rig, Trial, TrialResult, play
+from .trial import FAULT_KINDS, GatewaysNotReady, Rig, Trial, TrialResult, play
 
 BARS = " ▁▂▃▄▅▆▇█"
 COMPARISON_S = 12.0  # at most, for the run without a fleet
@@ -43,9 +43,9 @@
         at, kind, head = row.get("at"), row.get("kind"), row.get("head", "")
         if isinstance(at, bool) or not isinstance(at, (int, float)) or at < 0:
             errors.append(f"{path}: [[fault]] {n} at: expected seconds from 0 on, got {at!r}")
-        if kind not in KINDS:
+        if kind not in FAULT_KINDS:
             errors.append(
-                f"{path}: [[fault]] {n} kind: expected one of {', '.join(sorted(KINDS))}, got {kind!r}"
+                f"{path}: [[fault]] {n} kind: expected one of {', '.join(sorted(FAULT_KINDS))}, got {kind!r}"
             )
         if head and head not in gateways:
             errors.append(f"{path}: [[fault]] {n} head: expected one of {', '.join(gateways)}, got {head!r}")
--- a/gaugesail/rehearsal/fleet/heads.py
+++ b/gaugesail/rehearsal/fleet/heads.py
@@ -15,7 +15,7 @@
 
 from ...iscsi.operator import write_toml
 
-SIGNALS_UNSAFE_S = 3.0  # after a start: no signal handlers may be installed yet
+SIGNALS_UNSAFE_S = 3.0  # after a start: the process possibly has no signal handlers yet
 FIRST_PORT, LAST_PORT_END = 10_000, 32_000  # below the ephemeral range, so that no connection takes one
 
 
@@ -68,7 +68,7 @@
 
     @property
     def starting(self) -> bool:
-        """Whether its process may not handle signals yet; until it does, any signal would end it."""
+        """Whether its process possibly has no signal handlers yet, so that any signal would end it."""
         return time.monotonic() - self.started_at < SIGNALS_UNSAFE_S
 
     @property
--- a/gaugesail/rehearsal/fleet/trial.py
+++ b/gaugesail/rehearsal/fleet/trial.py
@@ -21,7 +21,7 @@
 
 KEY = "a key of the rig alone, on loopback"
 READY_TIMEOUT_S = 20.0  # within which all gateways must be ready, else GatewaysNotReady
-KINDS = {  # of faults: each names a method of Rig; with its weight in random draws
+FAULT_KINDS = {  # of faults: each names a method of Rig; with its weight in random draws
     "kill": 3.0, "stop": 3.0, "term": 1.5, "store_lost": 1.0, "store_old": 1.5, "restart_all": 0.5,
     "cut": 2.0, "one_way": 2.0, "halves": 1.5, "drop": 2.0, "delay": 2.0, "duplicate": 1.5, "reorder": 1.5,
     "trickle": 1.5, "lower_whole": 1.0, "raise_whole": 1.0, "step_clock": 1.5, "disk_fails": 1.0,
@@ -104,7 +104,7 @@
         self.events: list[tuple[float, str, str]] = []
         self.started_at = 0.0
         self._excused_until: dict[str, float] = {}  # by gateway: until then its process has just been ended
-        self._busy: set[str] = set()  # gateways under a fault of their process
+        self._under_process_fault: set[str] = set()  # gateways whose process a fault ends or pauses now
         self._scheduled: list[Any] = []
         self._ended = False
         self._store_lost_at = -STORE_LOSS_INTERVAL_S  # when a replica's store was last lost or replaced
@@ -272,13 +272,15 @@
 
     def _schedule_faults(self) -> None:
         """Inject random faults, ``_mean_gap_s`` apart; each kind occurs once before any occurs again."""
-        order = list(KINDS)
+        order = list(FAULT_KINDS)
         self.rng.shuffle(order)
 
         def inject_next() -> None:
             if self.elapsed_s > self.trial.seconds - 1.0:
                 return
-            name = order.pop() if order else self.rng.choices(list(KINDS), list(KINDS.values()))[0]
+            name = (
+                order.pop() if order else self.rng.choices(list(FAULT_KINDS), list(FAULT_KINDS.values()))[0]
+            )
             self._inject(name)
             self.call_later(self.rng.expovariate(1 / self._mean_gap_s) + 0.2, inject_next)
 
@@ -287,7 +289,7 @@
     @property
     def _mean_gap_s(self) -> float:
         """Mean seconds between faults, short enough that each kind occurs in a trial of a minute."""
-        return min(1.6, self.trial.seconds / (len(KINDS) + 6) - 0.2)
+        return min(1.6, self.trial.seconds / (len(FAULT_KINDS) + 6) - 0.2)
 
     def _inject(self, name: str) -> None:
         kind, _, target = name.partition(" ")
@@ -296,7 +298,7 @@
         getattr(self, kind)()
         self._target = ""
 
-    _target = ""
+    _target = ""  # the gateway that the fault being injected names; empty: one is chosen at random
 
     def _record(self, what: str, target: str) -> None:
         self.events.append((self.elapsed_s, what, target))
@@ -304,7 +306,9 @@
     def _pick_gateway(self) -> GatewayProcess | None:
         """A running gateway, the target if one is named, that is under no fault of its process."""
         idle = [
-            gateway for name, gateway in self.gateways.items() if gateway.alive and name not in self._busy
+            gateway
+            for name, gateway in self.gateways.items()
+            if gateway.alive and name not in self._under_process_fault
         ]
         if self._target:
             idle = [gateway for gateway in idle if gateway.name == self._target]
@@ -312,10 +316,10 @@
 
     def _occupy(self, gateway: GatewayProcess, seconds: float, then: Callable[[], None]) -> None:
         """Keep other faults of its process off a gateway for ``seconds``, then call ``then``."""
-        self._busy.add(gateway.name)
+        self._under_process_fault.add(gateway.name)
 
         def release() -> None:
-            self._busy.discard(gateway.name)
+            self._under_process_fault.discard(gateway.name)
             then()
 
         self.call_later(seconds, release)
@@ -357,7 +361,7 @@
             self._occupy(gateway, 1.0, again)
 
     def _may_lose_store(self, gateway: GatewayProcess) -> bool:
-        """Whether the fleet survives the loss of its store now; if so, the loss is entered."""
+        """Whether the fleet survives the loss of its store now; if so, the loss is recorded."""
         if gateway.name in self.replicas:
             if self.elapsed_s - self._store_lost_at < STORE_LOSS_INTERVAL_S:
                 return False
@@ -380,7 +384,7 @@
             return
 
         def put_back() -> None:
-            if gateway.name in self._busy or not self._may_lose_store(gateway):
+            if gateway.name in self._under_process_fault or not self._may_lose_store(gateway):
                 return
             self._record("killed, old store restored", gateway.name)
             self._kill_process(gateway)
@@ -393,7 +397,7 @@
         """SIGKILL and restart of all gateways."""
         self._record("killed", "all")
         for name, gateway in self.gateways.items():
-            if gateway.alive and name not in self._busy:
+            if gateway.alive and name not in self._under_process_fault:
                 self._kill_process(gateway)
                 self._occupy(gateway, self.rng.uniform(0.05, 1.0), gateway.start)
 
@@ -520,8 +524,9 @@
             gateway.reload(self._config(gateway))
             pending.discard(gateway.name)
             if not pending:
-                # Clients use both limits for 1.5 s, then all leases under the old one expire, with drift.
-                self.judge.settle(2.5 + 2.2 * self.trial.lease_ms / 1000 + 3.0)
+                # Clients use both limits for 1.5 s (settings_transition.TRANSITION_US).  2.2 leases cover two
+                # in a row under the old limit, with the drift of clocks.  The other seconds are a margin.
+                self.judge.enforce_lower_limit(2.5 + 2.2 * self.trial.lease_ms / 1000 + 3.0)
 
         for gateway in self.gateways.values():
             self.call_later(self.rng.uniform(0.0, 2.0), lambda gateway=gateway: reload(gateway))  # type: ignore[misc]
--- a/gaugesail/rehearsal/fleet/world.py
+++ b/gaugesail/rehearsal/fleet/world.py
@@ -22,7 +22,7 @@
 
 SERVICE_TIME_S = 0.004
 ARRIVAL_SPREAD_S = 0.15  # requests that gateways sent up to this long apart may arrive at nodes together
-DEADLINE_S = 3.0  # the full time of the class: with less, the gateway would count the request as a repeat
+DEADLINE_S = 3.0  # the full time of the class: with less, the gateway would count the request as a retry
 ANSWER_SLACK_S = 1.0  # after its deadline, until a request counts as lost
 MAX_CONNECTIONS = 24  # of all clients, to one gateway
 MAX_IDLE_S = 5.0  # a client reuses no connection that was idle for longer; the gateway closes them after 15 s
@@ -35,7 +35,7 @@
     overspent: int = 0
     lost: int = 0
     answered_twice: int = 0
-    two_out: int = 0
+    two_out: int = 0  # attempts that arrived at a node while another of the request was pending there
     asked: int = 0
     served: int = 0
     refused: int = 0
@@ -107,10 +107,10 @@
         self.counts.overspent, self.counts.lowest_units = self._judge.overs, self._judge.least
 
     def change_limit(self, limit: Limit) -> None:
-        """Apply another limit: a higher one at once, a lower one at the time set with ``settle``."""
+        """Apply another limit: a higher one at once, a lower one by ``enforce_lower_limit``."""
         self._judge.change(self.now, Limit(limit.rate, limit.burst + ARRIVAL_SPREAD_S * limit.rate))
 
-    def settle(self, after_s: float) -> None:
+    def enforce_lower_limit(self, after_s: float) -> None:
         """Enforce the latest lower limit from ``after_s`` seconds on."""
         self._judge.settle(self.now + int(after_s * 1e6))
 
@@ -187,7 +187,7 @@
         ).encode())  # fmt: skip
 
     def opened(self, connection: _ClientConnection) -> None:
-        """Ignored: a connection is entered when dialing succeeds."""
+        """Ignored: a connection is recorded when dialing succeeds."""
 
     def begins(self, head: Head) -> None:
         """Ignored: only complete answers count."""
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gaugesail.fleet.settings import FleetError, digest, load_fleet, read_fleet
-from gaugesail.rehearsal.fleet.trial import KINDS
+from gaugesail.rehearsal.fleet.trial import FAULT_KINDS
 
 ROOT = Path(__file__).parents[2]
 ZERO_COUNTS = ("overspent", "lost", "answered_twice", "two_out", "errors")
@@ -33,7 +33,7 @@
 def test_network_faults_between_gateways_break_no_guarantee(seed: int) -> None:
     report = trial("--heads", "3", "--seconds", "14", "--seed", str(seed))
     assert {name: report[name] for name in ZERO_COUNTS} == dict.fromkeys(ZERO_COUNTS, 0)
-    assert set(report["faults"]) <= set(KINDS) and report["asked"]  # type: ignore[call-overload]
+    assert set(report["faults"]) <= set(FAULT_KINDS) and report["asked"]  # type: ignore[call-overload]
 
 
 def test_a_gateway_without_a_fleet_imports_nothing_of_it() -> None:
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -102,7 +102,7 @@
     judge.change_limit(Limit(10.0, 10.0))
     now[0] = 1.0
     assert spend(25) == 0, "the old limit holds"
-    judge.settle(0.0)
+    judge.enforce_lower_limit(0.0)
     now[0] = 2.0
     assert spend(12) == 1
 
