--- a/gaugesail/rehearsal/faults/shim.py
+++ b/gaugesail/rehearsal/faults/shim.py
@@ -61,7 +61,10 @@
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into ``folder``, unless it is there, and return its path.  Raises NoCompiler."""
+    """Compile the library into ``folder``, unless it is there, and return its path.
+
+    Raises NoCompiler, or CalledProcessError if the compiler fails.
+    """
     compiler = shutil.which("cc") or shutil.which("gcc") or shutil.which("clang")
     if compiler is None:
         raise NoCompiler(
--- a/gaugesail/rehearsal/iscsi_peers.py
+++ b/gaugesail/rehearsal/iscsi_peers.py
@@ -1,4 +1,4 @@
-"""Simulated peers of the iSCSI-style protocol: an initiator, a storage node, and the operator's file."""
+"""Simulated iSCSI peers: an initiator, a storage node, and the operator's file."""
 
 from __future__ import annotations
 
--- a/gaugesail/rehearsal/judge.py
+++ b/gaugesail/rehearsal/judge.py
@@ -21,7 +21,7 @@
 MIN_KILL_DEADLINE_S, KILL_DELAY_S = 3.0, 0.7
 ACCEPT_AFTER_SIGTERM_S = 0.4  # clients still open new connections for this long after SIGTERM
 MAX_UNREACHABLE_S = 0.1  # longest time during which no process may accept connections
-MAX_LINGER_S = 0.5  # longest time that a process may run without a listener, connections and requests
+MAX_LINGER_S = 0.5  # longest time that a process may run without a listener, client connections or requests
 
 
 class Process(Protocol):
--- a/gaugesail/rehearsal/memory.py
+++ b/gaugesail/rehearsal/memory.py
@@ -1,7 +1,8 @@
 """A reactor in memory: TCP between the parties of one process, in virtual time.
 
 A scenario plays the same way every time.  The transports keep the guarantees of Twisted's own: bytes arrive
-in order, no callback runs inside ``write``, producers are paused and resumed, connectionLost is called once.
+in order, ``write`` calls no protocol and only pauses its producer, which is resumed later, and connectionLost
+is called once.
 """
 
 from __future__ import annotations
--- a/gaugesail/rehearsal/peers.py
+++ b/gaugesail/rehearsal/peers.py
@@ -23,7 +23,7 @@
 
 
 class ScenarioError(Exception):
-    """The text of a scenario is invalid."""
+    """A scenario cannot be parsed or played; the text names the fault."""
 
 
 def options(words: Words) -> dict[str, str]:
--- a/gaugesail/rehearsal/scenario.py
+++ b/gaugesail/rehearsal/scenario.py
@@ -149,8 +149,8 @@
         """Let time pass until ``done`` is true; return false if it is not within ``seconds``."""
         ...
 
-    def settle(self) -> None:
-        """Let what was sent arrive."""
+    def await_arrivals(self) -> None:
+        """Let time pass until what was sent has arrived."""
         ...
 
     def pass_time(self, seconds: float) -> None:
@@ -218,14 +218,16 @@
                     self._start()
                 self._run_step(step)
             except (ScenarioError, KeyError, IndexError, ValueError) as error:
-                raise ScenarioFailed(f"line {step.line}: {type(error).__name__}: {error}") from error
+                raise ScenarioFailed(
+                    f"line {step.line}: {step.verb} {step.words} failed: {type(error).__name__}: {error}"
+                ) from error
         self._finish_requests()
 
     def _finish_requests(self) -> None:
         """Wait for the pending answers and the ending processes, then run the judge's final checks."""
         judge = self.judge
         if self._started:
-            self._world.settle()
+            self._world.await_arrivals()
             self._world.until(
                 lambda: bool(judge.faults) or not judge.pending, judge.max_deadline_s + DEFAULT_EXPECT_S
             )
@@ -320,7 +322,7 @@
         if len(words) > 2 and words[-2] == "within":
             timeout_s, words = float(words[-1]), words[:-2]
         if words == ["nothing"]:
-            self._world.settle()
+            self._world.await_arrivals()
             if peer.inbox:
                 raise ScenarioFailed(f"line {step.line}: {peer.name} saw {peer.inbox[0]}, not nothing")
             return
--- a/gaugesail/rehearsal/worlds.py
+++ b/gaugesail/rehearsal/worlds.py
@@ -143,8 +143,8 @@
         """Advance virtual time until ``done`` is true; return false if it is not within ``seconds``."""
         return self.reactor.run_until(done, seconds)
 
-    def settle(self) -> None:
-        """Let what was sent arrive."""
+    def await_arrivals(self) -> None:
+        """Let time pass until what was sent has arrived."""
         self.pass_time(0.001)
 
     def pass_time(self, seconds: float) -> None:
@@ -220,7 +220,7 @@
         self._running.append(process)
         threading.Thread(target=self._read_log, args=[process], daemon=True).start()
         if not self.until(lambda: len(self._addresses) == len(self._processes), START_TIMEOUT_S):
-            raise ScenarioError("the daemon did not start")
+            raise ScenarioError(f"expected the daemon to listen within {START_TIMEOUT_S} s, it did not")
         self._serving.append(LoopbackProcess(process, self._addresses[-1]))
         return self._addresses[-1]
 
@@ -274,8 +274,8 @@
                     self._running.remove(process)
         return True
 
-    def settle(self) -> None:
-        """Let what was sent arrive."""
+    def await_arrivals(self) -> None:
+        """Let time pass until what was sent has arrived."""
         self.pass_time(0.05)
 
     def pass_time(self, seconds: float) -> None:
--- a/tests/support/slow_start_rule.py
+++ b/tests/support/slow_start_rule.py
@@ -1,4 +1,7 @@
-"""What one gateway may send to a node that is warming up, computed from the settings alone (rule 4)."""
+"""The operators' slow-start rule, "rule 4" in gateway_driver.py: what a gateway may send to a warming node.
+
+It is computed from the settings alone.
+"""
 
 from __future__ import annotations
 
