--- a/gaugesail/core/attempts.py
+++ b/gaugesail/core/attempts.py
@@ -218,6 +218,7 @@
 
     def _stream_ended(self, attempt: Attempt, result: AttemptResult) -> None:
         self.table.release_id(attempt.client_request_id)
+        # NOT_STARTED: another process of this gateway continues the stream.
         counters = {AttemptResult.SERVED: "streamed", AttemptResult.NOT_STARTED: "stream_moved"}
         self.activity.counts[counters.get(result, "stream_broken")] += 1
 
--- a/gaugesail/core/clock.py
+++ b/gaugesail/core/clock.py
@@ -23,7 +23,10 @@
 
 
 def boot_ns() -> int:
-    """Monotonic nanoseconds that include suspend time, on systems that have such a clock."""
+    """Monotonic nanoseconds, including suspend time where the system has such a clock.
+
+    Elsewhere they are those of CLOCK_MONOTONIC.
+    """
     return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC))
 
 
@@ -110,7 +113,7 @@
 
     @property
     def matches_kernel_clock(self) -> bool:
-        """Whether durations measured by the kernel are valid for this clock."""
+        """Whether this is a clock of the kernel, so that durations from the kernel apply to its times."""
         return self._monotonic_ns in (time.monotonic_ns, boot_ns)
 
     @property
--- a/gaugesail/core/engine.py
+++ b/gaugesail/core/engine.py
@@ -65,6 +65,7 @@
 class Engine:
     """Connects the client server, the policy and the node transport of one gateway.
 
+    The client server accepts the clients' connections and submits their requests.
     ``seed`` initializes the policy's random numbers.  Requests beyond ``max_open`` open ones are rejected.
     """
 
@@ -141,10 +142,10 @@
 
     @property
     def rejections(self) -> Counter[str]:
-        """The policy's rejections since its start, keyed ``refused_<reason>_<node>``.
+        """The policy's rejections since its start, keyed ``refused_<reason>_<node_state>``.
 
-        ``<node>`` is the state of the shard's node: ``none``, ``cold`` or ``warm`` (docs/fleet.md).  Requests
-        that are failed because a rejection would be unsafe for their class are counted too.
+        ``<node_state>`` is the state of the shard's node: ``none``, ``cold`` or ``warm`` (docs/fleet.md).
+        Requests that are failed because a rejection would be unsafe for their class are counted too.
         """
         return self.policy.gateway.recovery.rejections
 
@@ -161,12 +162,12 @@
         The request's timeout starts at ``received_us``, by default now.  Returns the engine's request id, or
         0 if the request is not admitted.
         """
-        now_us = self._clock.now_us() if received_us is None else received_us
+        received_at_us = self._clock.now_us() if received_us is None else received_us
         request_id = self._next_request_id
         self._next_request_id += 1
         if not self._admit(request, reply):
             return 0
-        deadline_us = now_us + request.timeout_us
+        deadline_us = received_at_us + request.timeout_us
         self._table.add(OpenRequest(request_id, request, reply, deadline_us))
         self.counts["taken"] += 1
         self._activity.note(request.client_request_id, Step.RECEIVED, f"{request.timeout_us // 1000} ms")
@@ -184,7 +185,7 @@
                 request.gateways_in_use,
                 request.is_retry,
                 request.settings,
-                now_us,
+                received_at_us,
             )
         )
         return request_id
@@ -286,7 +287,7 @@
         self._run_with(SiblingProcessChanged(present))
 
     def set_maintenance(self, node_id: NodeId, on: bool) -> None:
-        """Put a node into maintenance, or end it: like a drain that endpoint lists do not end."""
+        """Begin or end the maintenance of a node: like a drain, but endpoint lists do not end it."""
         (self.in_maintenance.add if on else self.in_maintenance.discard)(node_id)
         self._transport.set_maintenance(node_id, on)
         self._run_with(MaintenanceChanged(node_id, on))
@@ -339,7 +340,7 @@
                 self._log.warning("no_peers")  # the policy's messages between gateways have no transport
 
     def _fail_overdue(self, request_id: int) -> None:
-        """Fail a request that the policy has not decided before its deadline."""
+        """Fail a request that is still open at its deadline, or when the process is about to be killed."""
         self.counts["overdue"] += 1
         self._answers.fail(request_id, FailureReason.OUT_OF_TIME)
         self.policy.add(ClientDisconnected(request_id))
--- a/gaugesail/core/final_answers.py
+++ b/gaugesail/core/final_answers.py
@@ -57,7 +57,10 @@
             self._deliver(entry, AnswerKind.FAILED, lambda: reply.fail(reason))
 
     def client_has_disconnected(self, entry: OpenRequest) -> bool:
-        """Whether the client of an open request has disconnected, even if that has not been read yet."""
+        """Whether the client of an open request has disconnected.
+
+        That is true even if the end of its connection has not been read yet.
+        """
         reply = entry.reply
         return entry.request_id in self._table.open and bool(
             self._call(lambda: reply.client_has_disconnected())
--- a/gaugesail/core/policy_runner.py
+++ b/gaugesail/core/policy_runner.py
@@ -59,7 +59,7 @@
     def run(self) -> None:
         """Pass the pending events to the policy and carry out its actions; never raises and never nests."""
         if self._running or not self.started:
-            return  # handled by the flush below, or by the first endpoint list
+            return  # the outer call schedules a flush; the first endpoint list runs the policy
         self._running = True
         try:
             if self._events:
--- a/gaugesail/core/ports.py
+++ b/gaugesail/core/ports.py
@@ -40,7 +40,7 @@
 
     @property
     def matches_kernel_clock(self) -> bool:
-        """Whether durations measured by the kernel are valid for this clock."""
+        """Whether this is a clock of the kernel, so that durations from the kernel apply to its times."""
         ...
 
     def call_later(self, delay_us: int, call: Callable[[], None]) -> DelayedCall:
@@ -113,7 +113,7 @@
         ...
 
     def client_has_disconnected(self) -> bool:
-        """Whether the client has disconnected, even if that has not been read yet."""
+        """Whether the client has disconnected, even if the end of its connection has not been read yet."""
         ...
 
 
@@ -124,7 +124,7 @@
     client_request_id: str  # unique among the open requests
     settings: Settings  # in force when it was received; later changes do not apply to it
     class_index: int  # of its class in ``settings``
-    timeout_us: int  # since the client sent it
+    timeout_us: int  # from its receipt
     payload: Any
     shard: int = -1  # -1: a new object, which any shard may store
     plan_index: int = 0
@@ -146,11 +146,11 @@
     client_request_id: str
     payload: Any
     sent_us: int
-    deadline_us: int
+    deadline_us: int  # a time, on the engine's clock
     ended: bool = False
     answer_started: bool = False  # its answer is being streamed, and is final even if it breaks off
     start_before_us: int = 0  # its quota or the nodes' deduplication ends then; 0: no limit
-    request_answered: bool = False  # if it has not started, it must not (rules.deny_first_byte)
+    request_closed: bool = False  # it must not start any more (rules.deny_first_byte)
     connection: object | None = None  # owned by the node transport
     client_has_disconnected: Callable[[], bool] | None = None  # see Reply
 
@@ -213,7 +213,7 @@
         ...
 
     def set_maintenance(self, node_id: NodeId, on: bool) -> None:
-        """Put a node into maintenance, which overrides the endpoint list, or end it."""
+        """Begin or end the maintenance of a node; it overrides the endpoint list."""
         ...
 
 
--- a/gaugesail/core/request_table.py
+++ b/gaugesail/core/request_table.py
@@ -16,7 +16,7 @@
     request_id: int
     request: ClientRequest
     reply: Reply
-    deadline_us: int  # the client's timeout
+    deadline_us: int  # when the client's timeout ends
     attempts: int = 0  # so far, counted against the limit
     in_flight: Attempt | None = None
     latest_result: AttemptResult | None = None  # of its latest ended attempt
@@ -52,7 +52,7 @@
         if entry.in_flight is None:
             self.release_id(entry.request.client_request_id)
         else:
-            entry.in_flight.request_answered = True
+            entry.in_flight.request_closed = True
 
     def release_id(self, client_request_id: str) -> None:
         """Allow a client request id to be used again."""
--- a/gaugesail/core/rules.py
+++ b/gaugesail/core/rules.py
@@ -23,7 +23,7 @@
 class Denial(Enum):
     """Why an attempt must not be started, or its first byte not be sent."""
 
-    ANSWERED = "answered"  # the request has its final answer
+    ANSWERED = "answered"  # the request is closed or unknown, or the attempt has ended
     SECOND_COPY = "second_copy"  # another attempt of the request is in flight
     ATTEMPTS_SPENT = "attempts_spent"
     OUT_OF_TIME = "out_of_time"
@@ -35,7 +35,7 @@
     """A broken rule; the value is its name in the log."""
 
     SECOND_COPY = "second_copy"  # started while another attempt of the request was in flight
-    AFTER_ANSWER = "after_answer"
+    AFTER_ANSWER = "after_answer"  # started after its request was closed
     OUT_OF_TIME = "out_of_time"
     WINDOW_OVER = "window_over"
     DRAINING_NODE = "draining_node"
@@ -63,7 +63,7 @@
 
 def deny_first_byte(attempt: Attempt, now_us: int) -> Denial | None:
     """Return why the first byte of an attempt may not be sent now, or None if it may."""
-    if attempt.ended or attempt.request_answered:
+    if attempt.ended or attempt.request_closed:
         return Denial.ANSWERED
     if 0 < attempt.start_before_us <= now_us:
         return Denial.WINDOW_OVER
@@ -104,7 +104,7 @@
         other = self._started.get(request)
         if other is not None and other is not attempt and not other.ended:
             self.report(RuleViolation.SECOND_COPY, request)
-        if attempt.request_answered:
+        if attempt.request_closed:
             self.report(RuleViolation.AFTER_ANSWER, request)
         if attempt.deadline_us <= now_us:
             self.report(RuleViolation.OUT_OF_TIME, request)
--- a/gaugesail/core/settings_transition.py
+++ b/gaugesail/core/settings_transition.py
@@ -6,7 +6,7 @@
 
 from gaugesail.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-TRANSITION_US = 1_500_000  # clients use the new settings 1.2 s after they are notified
+TRANSITION_US = 1_500_000  # how long both settings apply: clients switch within 1.2 s of a notification
 # In increasing order of strictness.
 _IDEMPOTENCY_BY_STRICTNESS = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NOT_IDEMPOTENT)
 _SCOPES_BY_STRICTNESS = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.SHARD)
@@ -26,7 +26,7 @@
 
 
 def _stricter(old: RequestClass, new: RequestClass) -> RequestClass:
-    """Merge a class that both settings have: the longer deadline, and no repeat that either one forbids."""
+    """Merge a class that both settings have: the longer deadline, and no retry that either one forbids."""
     return replace(
         new,
         deadline_us=max(old.deadline_us, new.deadline_us),
--- a/gaugesail/simulator/action_records.py
+++ b/gaugesail/simulator/action_records.py
@@ -30,7 +30,8 @@
 ATTEMPT_START = struct.Struct("<HII6sI")
 TIMER = struct.Struct("<HIQQ")
 NODE = struct.Struct("<HI6s")
-LOG_TEXT = "Log(text={0.text!r}, event={0.event!r}, fields={0.fields!r})"  # text of an event without one
+# Text of a WriteLog without one; it has the former name of the class, as replies are compared byte for byte.
+LOG_TEXT = "Log(text={0.text!r}, event={0.event!r}, fields={0.fields!r})"
 TEXT = struct.Struct("<HIII")  # offset and length in the tail
 MESSAGE = struct.Struct("<HIHII")  # receiver; offset and length in the tail
 
--- a/gaugesail/simulator/adapter.py
+++ b/gaugesail/simulator/adapter.py
@@ -30,7 +30,10 @@
 
 
 class Adapter:
-    """The running gateways and the endpoint sheets of one simulation run."""
+    """The running gateways of one simulation run, and its endpoint sheets.
+
+    A sheet is a numbered tuple of endpoints; the events that carry an endpoint list refer to it.
+    """
 
     def __init__(self) -> None:
         self._gateways: dict[int, Gateway] = {}
--- a/gaugesail/simulator/event_records.py
+++ b/gaugesail/simulator/event_records.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Batch:
+class FrameData:
     """The data that the records of one frame refer to."""
 
     tail: bytes
@@ -85,24 +85,24 @@
         return tuple(sheet)
 
 
-def _start(batch: Batch, fields: Fields) -> Started:
+def _start(frame: FrameData, fields: Fields) -> Started:
     seed, offset, length = fields
-    return Started(seed, parse_settings(batch.slice(offset, length)))
+    return Started(seed, parse_settings(frame.slice(offset, length)))
 
 
-def _stop(batch: Batch, fields: Fields) -> Stopped:
+def _stop(frame: FrameData, fields: Fields) -> Stopped:
     return Stopped()
 
 
-def _endpoint_list(batch: Batch, fields: Fields) -> EndpointList:
+def _endpoint_list(frame: FrameData, fields: Fields) -> EndpointList:
     _, sheet, kind_code = fields
     kind = _lookup(LIST_KINDS, kind_code, "list scope")
     if kind is EndpointListKind.FAILED:
         return EndpointList(kind)
-    return EndpointList(kind, _lookup(batch.sheets, sheet, "sheet"))
+    return EndpointList(kind, _lookup(frame.sheets, sheet, "sheet"))
 
 
-def _request_received(batch: Batch, fields: Fields) -> RequestReceived:
+def _request_received(frame: FrameData, fields: Fields) -> RequestReceived:
     request_id, class_index, flags, shard, plan_index, deadline_us, units, key, gateways, volume_id = fields
     return RequestReceived(
         request_id,
@@ -118,11 +118,11 @@
     )
 
 
-def _answer_started(batch: Batch, fields: Fields) -> AnswerStarted:
+def _answer_started(frame: FrameData, fields: Fields) -> AnswerStarted:
     return AnswerStarted(*fields)
 
 
-def _attempt_ended(batch: Batch, fields: Fields) -> AttemptEnded:
+def _attempt_ended(frame: FrameData, fields: Fields) -> AttemptEnded:
     request_id, code, attempt, node_id, quota_used, elapsed_us, finished, elsewhere, *report = fields
     return AttemptEnded(
         request_id,
@@ -137,22 +137,22 @@
     )
 
 
-def _client_disconnected(batch: Batch, fields: Fields) -> ClientDisconnected:
+def _client_disconnected(frame: FrameData, fields: Fields) -> ClientDisconnected:
     return ClientDisconnected(*fields)
 
 
-def _timer_fired(batch: Batch, fields: Fields) -> TimerFired:
+def _timer_fired(frame: FrameData, fields: Fields) -> TimerFired:
     return TimerFired(*fields)
 
 
-def _health_check_ended(batch: Batch, fields: Fields) -> HealthCheckEnded:
+def _health_check_ended(frame: FrameData, fields: Fields) -> HealthCheckEnded:
     node_id, elapsed_us, code, *report = fields
     return HealthCheckEnded(node_id, _result(code), elapsed_us, _load_report(tuple(report)))
 
 
-def _peer_message(batch: Batch, fields: Fields) -> PeerMessageReceived:
+def _peer_message(frame: FrameData, fields: Fields) -> PeerMessageReceived:
     sender, offset, length = fields
-    return PeerMessageReceived(sender, batch.slice(offset, length))
+    return PeerMessageReceived(sender, frame.slice(offset, length))
 
 
 @dataclass(slots=True, frozen=True)
@@ -160,7 +160,7 @@
     """The layout of one kind of event record after its header, and its decoder."""
 
     layout: struct.Struct
-    decode: Callable[[Batch, Fields], Event | Started | Stopped]
+    decode: Callable[[FrameData, Fields], Event | Started | Stopped]
 
 
 SHEET_LAYOUT = struct.Struct("<II")  # offset, entries
@@ -186,12 +186,12 @@
     records_size = count * EVENT_SIZE
     if len(body) < records_size:
         raise WireError(f"frame body: expected at least {records_size} bytes of records, got {len(body)}")
-    batch = Batch(body[records_size:], sheets)
+    frame = FrameData(body[records_size:], sheets)
     for at in range(0, records_size, EVENT_SIZE):
         code, number = RECORD_HEADER.unpack_from(body, at)
         if code == EventCode.ENDPOINT_SHEET:
-            sheets[number] = batch.endpoints(*SHEET_LAYOUT.unpack_from(body, at + RECORD_HEADER.size))
+            sheets[number] = frame.endpoints(*SHEET_LAYOUT.unpack_from(body, at + RECORD_HEADER.size))
         else:
             event_format = _lookup(EVENT_FORMATS, code, "event code")
             fields = event_format.layout.unpack_from(body, at + RECORD_HEADER.size)
-            yield number, event_format.decode(batch, fields)
+            yield number, event_format.decode(frame, fields)
--- a/gaugesail/simulator/protocol.py
+++ b/gaugesail/simulator/protocol.py
@@ -21,11 +21,11 @@
 
 EVENT_SIZE = 56  # bytes of an event record
 ACTION_SIZE = 24  # bytes of an action record
-HEADER = struct.Struct("<IIQ")  # records, bytes of the frame, time in microseconds
-RECORD_HEADER = struct.Struct("<HI")  # code, number of the gateway or sheet
-REPLY = struct.Struct("<II")  # records, bytes of the frame
-ENTRY = struct.Struct("<6sHHHBfQ")  # node, zone, flavor, shard, state, capacity, start
-ALL_GATEWAYS = 0xFFFF
+HEADER = struct.Struct("<IIQ")  # of a frame: count of records, bytes of the frame, time in microseconds
+RECORD_HEADER = struct.Struct("<HI")  # code, number of the gateway or endpoint sheet
+REPLY = struct.Struct("<II")  # header of a reply: count of records, bytes of the frame
+ENTRY = struct.Struct("<6sHHHBfQ")  # of a sheet: node, zone, flavor, shard, state, capacity, start
+ALL_GATEWAYS = 0xFFFF  # as the receiver of a peer message
 
 
 class EventCode(IntEnum):
--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -57,7 +57,7 @@
 
 def test_each_reason_to_deny_a_first_byte() -> None:
     answered, disconnected = attempt(), attempt()
-    answered.request_answered, disconnected.client_has_disconnected = True, lambda: True
+    answered.request_closed, disconnected.client_has_disconnected = True, lambda: True
     assert deny_first_byte(attempt(), NOW) is None
     assert deny_first_byte(answered, NOW) is Denial.ANSWERED
     assert deny_first_byte(attempt(deadline_us=NOW), NOW) is Denial.OUT_OF_TIME
@@ -82,7 +82,7 @@
 
 def test_the_monitor_detects_each_violation() -> None:
     answered, ended = attempt(), attempt()
-    answered.request_answered, ended.ended = True, True
+    answered.request_closed, ended.ended = True, True
     assert (
         violations_of(attempt())
         == violations_of(ended, attempt(1))
