--- a/gaugesail/coordination/bootstrap.py
+++ b/gaugesail/coordination/bootstrap.py
@@ -1,10 +1,10 @@
 """Bootstraps a fleet, once, from all the configured replicas, each bound to one founder.
 
 The founder is the replica whose name comes first in alphabetical order.  Each replica without a fleet
-promises, in its store, to be founded by that founder's store and by no other.  When all have promised, the
-founder persists the fleet's id and voters; from then on the voters are those of the log.  So one set of
-stores never forms two fleets, even if messages are delayed or duplicated, or a process starts under another's
-name.
+promises, in its store, to be a founding voter only of a fleet that this founder's store founds.  When all
+have promised, the founder persists the fleet's id and voters; from then on the voters are those of the log.
+So one set of stores never forms two fleets, even if messages are delayed or duplicated, or a process starts
+under another's name.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
     @property
     def is_founder(self) -> bool:
-        """Whether this replica founds the fleet: it is the first of the configured replicas."""
+        """Whether this replica founds the fleet: its name is the first in alphabetical order."""
         return self._name == self._replicas[0]
 
     def drain_applicants(self) -> dict[str, str]:
@@ -158,8 +158,8 @@
     def _join(self, status: BootstrapStatus) -> None:
         """Join an existing fleet, unless this replica is bound to another founder's store."""
         is_founding_voter = make_replica_id(self._name, self.store_id) in status.voters
-        founders = {store_id_of(voter) for voter in status.voters}
-        if is_founding_voter and self.record.bound_to and self.record.bound_to not in founders:
+        voter_stores = {store_id_of(voter) for voter in status.voters}
+        if is_founding_voter and self.record.bound_to and self.record.bound_to not in voter_stores:
             return
         if len(status.voters) <= MAX_VOTERS:
             self.record.fleet_id = status.fleet_id
--- a/gaugesail/coordination/consensus.py
+++ b/gaugesail/coordination/consensus.py
@@ -1,9 +1,10 @@
 """One replica of the log: Raft (Ongaro, Ousterhout 2014) without I/O and without a clock of its own.
 
-It includes pre-votes (Ongaro's thesis, 9.6), a leader that steps down when no majority responds (6.2),
-single-voter membership changes (4.1, after an entry of the leader's own term), and confirmed rounds ("read
-index", 6.4), on which leases rest.  A replica persists each promise before it sends it: the caller completes
-the write of ``pop_write`` before it sends ``drain_messages``.  The same calls return the same results.
+It includes pre-votes (Ongaro's thesis, 9.6), a leader that steps down when no majority responds (thesis,
+6.2), single-voter membership changes (thesis, 4.1, after an entry of the leader's own term), and confirmed
+rounds ("read index"; thesis, 6.4), on which leases rest.  A replica persists each promise before it sends it:
+the caller completes the write of ``pop_write`` before it sends ``drain_messages``.  The same calls return the
+same results.
 """
 
 from __future__ import annotations
@@ -151,7 +152,7 @@
                 self._start_election(now, pre_vote=True)
 
     def _heartbeat_or_step_down(self, now: int) -> None:
-        """Step down if no majority responds, as a majority may have elected another leader (6.2)."""
+        """Step down if no majority responds, as it may have elected another leader (thesis, 6.2)."""
         if self.replication.count_responsive(now) + self.is_voter < self.quorum_size:
             self._become_follower(now, self.term, "")
         else:
@@ -226,7 +227,8 @@
     def _respond_to_pre_vote(self, now: int, request: VoteRequest) -> None:
         has_leader = self.role is Role.LEADER or now - self._leader_contact_at < ELECTION_TIMEOUT_US
         granted = grants_pre_vote(request, self.term, has_leader, self._is_up_to_date(request))
-        # A refusal carries this term: a candidate with the longer log but an older term could never win.
+        # A refusal carries this term: otherwise a candidate with the longer log but an older term could never
+        # win.
         term = request.term if granted else self.term
         self._send(request.sender, VoteResponse(self.replica_id, term, True, granted))
 
@@ -313,7 +315,8 @@
         progress.acknowledge(now, response, self.log.last_index)
         self._advance_commit_index()
         if not self.is_voter and self.log.voters_committed:
-            self._become_follower(now, self.term, "")  # it leads until its own removal is committed (4.2.2)
+            # It leads until its own removal is committed (thesis, 4.2.2).
+            self._become_follower(now, self.term, "")
 
     # ---- the follower's side ----
 
--- a/gaugesail/coordination/elections.py
+++ b/gaugesail/coordination/elections.py
@@ -1,7 +1,7 @@
 """The rules of Raft's elections: a replica's role, its timeout, and which votes it grants.
 
-Section numbers are those of Ongaro's thesis (2014) where they have two parts after a chapter above 5, and of
-the Raft paper otherwise.
+In references to sections, "thesis" is Ongaro's (2014) and "paper" is the Raft paper by Ongaro and Ousterhout
+(2014).
 """
 
 from __future__ import annotations
--- a/gaugesail/coordination/fleet_terms.py
+++ b/gaugesail/coordination/fleet_terms.py
@@ -16,7 +16,7 @@
     """
 
     name: str
-    replicas: tuple[str, ...]  # the gateways that replicate the log, by name
+    replicas: tuple[str, ...]  # names of the gateways that replicate the log, in alphabetical order
     lease_us: int = 4_000_000
     max_drift_ppm: int = 10_000  # maximum error of a clock's rate, in either direction
     max_gateways: int = 8  # number of floors
--- a/gaugesail/coordination/gateway_floor.py
+++ b/gaugesail/coordination/gateway_floor.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class PersistedFloor:
-    """The floor as it is persisted: its slot in the ledger, and the limits that it goes by."""
+    """A floor that is or must be persisted: its slot in the ledger, and the limits that it goes by."""
 
     slot: int = -1  # -1: none
     limits_version: int = 0  # index of the entry that set the limits
--- a/gaugesail/coordination/lease_holder.py
+++ b/gaugesail/coordination/lease_holder.py
@@ -215,6 +215,7 @@
             case LeaseStatus.NOT_LEADER:
                 self._schedule.redirected(now, sender, response.leader, is_latest)
             case LeaseStatus.TERMS_DIFFER:
+                # The configurations of the two gateways differ in the fleet's terms.
                 self.refusal_reason = f"{sender}'s file differs in what binds the fleet"
                 self._schedule.wait_one_lease(now)
             case LeaseStatus.LEFT:
--- a/gaugesail/coordination/lease_manager.py
+++ b/gaugesail/coordination/lease_manager.py
@@ -31,8 +31,9 @@
 class LeaseManager:
     """The leases of all sessions, as one leader counts them in one term.  Times in microseconds.
 
-    ``just_started``: this replica may not know of all leases that an earlier leader has granted, because its
-    process or its log is new; it then grants no quota until those have expired.
+    ``may_miss_leases``: this replica may not know of all leases that an earlier leader has granted, as its
+    process is new or no other replica can confirm its store; it then grants no quota until those have
+    expired.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         ledger: QuotaLedger,
         raft: RaftNode,
         now: int,
-        just_started: bool,
+        may_miss_leases: bool,
     ) -> None:
         self._terms = terms
         self._digest = digest
@@ -66,7 +67,7 @@
         self._allocator = QuotaAllocator(
             terms, fleet, ledger, self.leases, self._proposals, self._outbox, now
         )
-        if just_started:
+        if may_miss_leases:
             self._allocator.defer_grants_until(earlier_leases_end)
 
     def drain_messages(self) -> list[tuple[str, Message]]:
@@ -145,7 +146,7 @@
             self._allocator.demand_reported(lease, demand)
 
     def _acknowledge_floor(self, number: int, request: LeaseRequest) -> None:
-        """Propose to stop reserving a floor by older limits than its holder reports to go by."""
+        """Propose to drop a floor's older limits once its holder reports that it uses newer ones."""
         session = self._ledger.sessions[number]
         slot = self._ledger.floor_slots.get(session.floor_slot)
         if slot is None or request.floor_slot != session.floor_slot:
@@ -193,7 +194,8 @@
     def _session_opened(self, now: int, command: OpenSession) -> None:
         """Process the opening of a session.
 
-        Its holder has no lease until its first request is granted; the session is closed if that never is.
+        Its holder has no lease until a request of the session is answered with RENEWED; if that takes longer
+        than a lease, the session is closed.
         """
         self._proposals.applied(command)
         session = self._ledger.session_of_process(command.process)
@@ -266,7 +268,7 @@
         seconds = round(max(0, lease.expires_at - now) / 1e6, 2)
         view: dict[str, float | str] = {"counted_s": seconds}
         if lease.closing:
-            view["why"] = "its end is being written down"
+            view["why"] = "its end is being written down"  # the session's closing is not committed yet
         return view
 
     def demand_view(self, quota_name: str, number: int) -> dict[str, float | str]:
--- a/gaugesail/coordination/lease_messages.py
+++ b/gaugesail/coordination/lease_messages.py
@@ -40,7 +40,7 @@
     floor_slot: int  # -1: none
     floor_version: int  # version of the limits that its floor goes by
     max_request: int  # largest request of the gateway's clients
-    fleet: str  # the fleet of the session
+    fleet: str  # id of the session's fleet
     last_seen_index: int  # of the latest entry of that fleet's log that the holder received
     demands: tuple[QuotaDemand, ...] = ()  # changed ones
     held: tuple[HeldQuota, ...] = ()  # changed ones
--- a/gaugesail/coordination/membership_messages.py
+++ b/gaugesail/coordination/membership_messages.py
@@ -53,7 +53,7 @@
 
 
 class StateSync(Record, frozen=True, tag="Sync"):
-    """All member updates of the sender; ``wants_reply`` requests those of the receiver."""
+    """The sender's member updates, or only its own if it leaves; ``wants_reply`` requests the receiver's."""
 
     updates: tuple[MemberUpdate, ...]
     wants_reply: bool
--- a/gaugesail/coordination/node.py
+++ b/gaugesail/coordination/node.py
@@ -228,7 +228,7 @@
 
     def _maintain_replica(self, now: int) -> None:
         mark = self._store.mark()  # as of the start of this step
-        if self._host.store_fence.stale:
+        if self._host.store_fence.outdated:
             store_id = self._host.replace_store(now)
             self.lease_holder.replace_store(now, store_id)
             self._persisted_floor = self.lease_holder.floor
@@ -319,7 +319,7 @@
             "members": members_view(now, self.membership),
         }
 
-    def view_budgets(self, now: int) -> JsonObject:
+    def view_quota(self, now: int) -> JsonObject:
         """Return this gateway's lease and quota and, on a replica, the complete ledger."""
         view = {
             "head": self.name,
--- a/gaugesail/coordination/notices.py
+++ b/gaugesail/coordination/notices.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """One log event with its fields.  The agent logs it as ``fleet_<event>``."""
+    """One log event with its fields.  The caller of ``FleetNode`` logs it as ``fleet_<event>``."""
 
     event: str
     fields: Mapping[str, NoticeField] = field(default_factory=dict)
--- a/gaugesail/coordination/persisted_state.py
+++ b/gaugesail/coordination/persisted_state.py
@@ -21,7 +21,7 @@
     starts: int = msgspec.field(default=0, name="life")  # number of processes started with this store
     writes: int = msgspec.field(default=0, name="saves")
     process: int = 0  # the process that wrote it
-    generation: int = 0  # of the member (membership.py)
+    generation: int = 0  # of the member: Unix ms of its start, or the previous one + 1 if that is later
     fleet_id: str = msgspec.field(default="", name="fleet")
     voters: tuple[str, ...] = msgspec.field(default=(), name="seats")  # the fleet's first
     bound_to: str = msgspec.field(default="", name="bound")  # the founder's store (bootstrap.py)
--- a/gaugesail/coordination/quota_allocator.py
+++ b/gaugesail/coordination/quota_allocator.py
@@ -1,7 +1,8 @@
 """Divides each quota among the sessions that demand it, and sends the resulting orders to their holders.
 
 An increase is committed to the log before it is sent to its holder.  A decrease is requested from the holder
-first, and committed once the holder reports the release.  So holders never spend by more than the ledger has.
+first, and committed once the holder reports the release.  So a holder never spends by more than its
+allocation in the ledger.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 MAX_ORDERS = 24  # in one message
 MAX_DIVIDED = 200  # quotas in one step
 RELEASE_TIMEOUT_US = 1_000_000  # to release the excess over a lowered limit, before renewal is denied
-BURST_TOLERANCE = 50  # a burst within 1/50 of the leasable burst of its target is left unchanged
+BURST_TOLERANCE = 50  # a burst is unchanged if it differs from its target by up to 1/50 of the leasable one
 
 
 class QuotaAllocator:
@@ -248,9 +249,9 @@
             "used": demand.used / 1000 if demand is not None else 0.0,
         }
         if quota_name in lease.release_targets:
-            view["why"] = "asked to give some up"
+            view["why"] = "asked to give some up"  # the holder was sent an order to release some
         elif quota_name in lease.unconfirmed:
-            view["why"] = "told, and not yet in its book"
+            view["why"] = "told, and not yet in its book"  # an order was sent, and is not confirmed
         return view
 
 
--- a/gaugesail/coordination/replica.py
+++ b/gaugesail/coordination/replica.py
@@ -25,7 +25,7 @@
 from .replica_id import make_replica_id, name_of, store_id_of
 
 REPLACE_VOTER_AFTER_US = 5_000_000  # without a response; its gateway has come back with another store
-MAX_ROUNDS = 8  # of applying the entries that one step commits
+MAX_APPLY_PASSES = 8  # in one step: applying entries may commit further ones
 
 
 class Replica:
@@ -106,7 +106,7 @@
     def process(self, now: int) -> None:
         """Apply committed entries, run the lease manager, and replicate the commands that it proposes."""
         log = self.raft.log
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_APPLY_PASSES):
             before = log.commit_index, log.last_index
             self._apply_committed(now)
             self._update_lease_manager(now)
@@ -143,9 +143,12 @@
                 self.notices.append(Notice("lost_leadership", {"term": manager.term}))
             self.lease_manager = None
         elif manager is None or manager.term != raft.term:
-            just_started = now - self._started_at < self._terms.lease_with_drift_us or len(raft.voters) == 1
+            # A single voter has no other replica that could confirm its store as the latest.
+            may_miss_leases = (
+                now - self._started_at < self._terms.lease_with_drift_us or len(raft.voters) == 1
+            )
             self.lease_manager = LeaseManager(
-                self._terms, self._digest, self._fleet, self.ledger, raft, now, just_started
+                self._terms, self._digest, self._fleet, self.ledger, raft, now, may_miss_leases
             )
             self.notices.append(Notice("became_leader", {"term": raft.term}))
 
--- a/gaugesail/coordination/store_fencing.py
+++ b/gaugesail/coordination/store_fencing.py
@@ -3,9 +3,10 @@
 A store that was restored from a backup lacks votes and entries that its replica has promised, and a replica
 that acts on it could elect two leaders in one term.  So each replica sends the others a mark of its store's
 latest write periodically, and they keep the latest mark that they received.  After a start it makes no
-promise before more than half of the others have confirmed that they know of no later mark: any two such
-groups share a replica, which has the earlier process's mark.  Writes of the last second before a stop may not
-have been marked; a copy that recent is detected by its file instead (docs/fleet-agreement.md).
+promise before more than half of the others have confirmed that they know of no later mark: any two groups of
+more than half of the others share a replica, which has the earlier process's mark.  Writes of the last second
+before a stop may not have been marked; a copy that recent is detected by its file instead
+(docs/fleet-agreement.md).
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
     def __init__(self, known_stores: dict[str, KnownStore], now: int) -> None:
         self.known_stores = known_stores
-        self.stale = False  # another replica knows of a later state of this store
+        self.outdated = False  # another replica knows of a later state of this store
         self.trusted_by_operator = False
         self.unsaved = False
         self._confirmed_by: set[str] = set()
@@ -54,12 +55,12 @@
     def may_vote(self, other_voters: int) -> bool:
         """Whether more than half of ``other_voters`` or an operator has confirmed this store."""
         needed = 0 if other_voters == 0 else other_voters // 2 + 1
-        return not self.stale and (self.trusted_by_operator or len(self._confirmed_by) >= needed)
+        return not self.outdated and (self.trusted_by_operator or len(self._confirmed_by) >= needed)
 
     def reset(self, now: int) -> None:
         """Start anew with a replaced store, which is not confirmed."""
         self._confirmed_by.clear()
-        self.stale = False
+        self.outdated = False
         self._mark_at = now
 
     @property
@@ -91,4 +92,4 @@
         if verdict.is_latest:
             self._confirmed_by.add(sender)
         else:
-            self.stale = True
+            self.outdated = True
--- a/gaugesail/fleet/operator_calls.py
+++ b/gaugesail/fleet/operator_calls.py
@@ -45,7 +45,7 @@
             case "GET", ["members"]:
                 return 200, json.dumps(node.view_members(self._clock.now_us()))
             case "GET", ["budgets"]:
-                return 200, json.dumps(node.view_budgets(self._clock.now_us()))
+                return 200, json.dumps(node.view_quota(self._clock.now_us()))
             case "GET", ["link"]:
                 return 200, json.dumps(self._link_counts())
             case "GET", ["petitions", number] if number.isdigit():
--- a/tests/coordination/test_store_fencing.py
+++ b/tests/coordination/test_store_fencing.py
@@ -24,4 +24,4 @@
     one.receive_verdict("b", m.StoreMarkVerdict("s", 1, True))
     assert one.may_vote(2)
     one.receive_verdict("a", m.StoreMarkVerdict("s", 1, False))
-    assert one.stale and not one.may_vote(2)
+    assert one.outdated and not one.may_vote(2)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -84,7 +84,7 @@
     world.run(6_000_000)
     node = world.heads["h0"].node
     assert node is not None
-    before = repr((node.view_members(0), node.view_budgets(0)))
+    before = repr((node.view_members(0), node.view_quota(0)))
     wire, other = Wire("f", "h0", 1, KEY), Wire("f", "h1", 2, KEY)
     sent = [
         other.pack("h0", message)
@@ -112,7 +112,7 @@
         if received is not None and bytes(data) not in sent:
             accepted += 1
             node.receive(world.heads["h0"].now(), *received)
-    assert repr((node.view_members(0), node.view_budgets(0))) == before
+    assert repr((node.view_members(0), node.view_quota(0))) == before
     assert len(wire._windows) <= 1 and len(wire.dropped) < 10, "dropped frames change only the counters"
     return accepted
 
