--- a/gaugesail/fleet/agent.py
+++ b/gaugesail/fleet/agent.py
@@ -39,6 +39,7 @@
 MIN_TICK_GAP_US = 1_000
 FIRST_STORE_RETRY_US = 500_000
 LONGEST_STORE_RETRY_US = 8_000_000
+# Notices that are logged as errors.
 ERROR_EVENTS = frozenset({"store_failed", "log_broken", "stores_are_old", "store_outdated", "name_taken"})
 
 
@@ -61,13 +62,13 @@
         self._settings = settings
         self._log = log
         self._begin_process(process or _draw_process())
-        self.node: FleetNode | None = None
+        self.fleet_node: FleetNode | None = None
         self.address: tuple[str, int] | None = None
         self._store: FleetStore | None = None
         self._engine: Engine | None = None
         self._gateway_settings: Settings | None = None
         self._tick_call: DelayedCall | None = None
-        self._tick_at = 0
+        self._tick_at_us = 0
         self._closed = False
         self._start_delayed = False  # that another process holds the address or the store was logged
         self._timers_started = False
@@ -100,7 +101,7 @@
             self._delay_start(str(error))
             return
         host, port = self._settings.advertise or address
-        self._start_node(f"{host}:{port}", loaded)
+        self._start_fleet_node(f"{host}:{port}", loaded)
         self._step(lambda node, now: node.tick(now))
         if not self._timers_started:
             self._timers_started = True
@@ -108,7 +109,7 @@
             self._sweep()
 
     def _listen(self) -> tuple[str, int]:
-        """Listen unless the link does already, and return the address.  CannotListenError."""
+        """Listen unless the link does already, and return the address.  Raises CannotListenError."""
         if not self.link.listening:
             host, port = self.address or self._settings.listen
             self.address = self.link.listen(host, port)
@@ -121,19 +122,19 @@
             self._log.warning("fleet_start_delayed", why=reason)
         self._clock.call_later(START_RETRY_US, self._start)
 
-    def _start_node(self, address: str, loaded: StoredState | None) -> None:
+    def _start_fleet_node(self, address: str, loaded: StoredState | None) -> None:
         settings = self._settings
         now = self._clock.now_us()
         identity = GatewayIdentity(settings.gateway, address, self.process, now // 1000)
         seed = secrets.randbits(63)
-        self.node = FleetNode(settings.terms, digest(settings.terms), identity, loaded, seed, now)
-        self._pass_limits_to_node()
+        self.fleet_node = FleetNode(settings.terms, digest(settings.terms), identity, loaded, seed, now)
+        self._pass_limits_to_fleet_node()
         self._log.info(
             "fleet_started",
             fleet=settings.terms.name,
             head=settings.gateway,
             address=address,
-            keeper=self.node.is_replica,
+            keeper=self.fleet_node.is_replica,
             store=loaded is not None,
             process=self.process,
         )
@@ -141,35 +142,35 @@
     def change_settings(self, settings: Settings) -> None:
         """Apply the limits of a new configuration of this gateway."""
         self._gateway_settings = settings
-        self._pass_limits_to_node()
+        self._pass_limits_to_fleet_node()
 
-    def _pass_limits_to_node(self) -> None:
-        """Pass the limits of this gateway's configuration to the node, in thousandths of a unit."""
+    def _pass_limits_to_fleet_node(self) -> None:
+        """Pass the limits of this gateway's configuration to the fleet node, in thousandths of a unit."""
         settings = self._gateway_settings
-        if self.node is None or settings is None:
+        if self.fleet_node is None or settings is None:
             return
         limits = {
             plan.name: (round(plan.limit * 1000), round(plan.limit_burst * 1000))
             for plan in settings.plans
             if plan.limit
         }
-        self.node.set_limits(limits, round(settings.max_request_units * 1000))
+        self.fleet_node.set_limits(limits, round(settings.max_request_units * 1000))
 
     def leave(self) -> None:
         """Leave the fleet in order: return the quota, and notify the other members."""
-        if self.node is not None and not self.node.lease_holder.leaving:
+        if self.fleet_node is not None and not self.fleet_node.lease_holder.leaving:
             self._log.info("fleet_leaving", head=self._settings.gateway)
             self._step(lambda node, now: node.leave(now))
 
     def close(self) -> None:
         """Stop sending and receiving, and close the store."""
         self._closed = True
-        self._stop_node()
+        self._stop_fleet_node()
         if self._store is not None:
             self._store.close()
 
-    def _stop_node(self) -> None:
-        self.node = None
+    def _stop_fleet_node(self) -> None:
+        self.fleet_node = None
         if self._tick_call is not None and self._tick_call.active():
             self._tick_call.cancel()
         self.link.close()
@@ -177,7 +178,7 @@
     # ---- the store ----
 
     def _open_store(self) -> StoredState | None:
-        """Open the store and return its contents; None if there is no usable store.  StoreBusy."""
+        """Open the store and return its contents; None if there is no usable store.  Raises StoreBusy."""
         if self._settings.folder is None:
             return None
         store = FleetStore(self._settings.folder, self._settings.gateway)
@@ -205,7 +206,7 @@
     def _retry_store(self) -> None:
         """Restart from the store if it can be read and written again; else retry later."""
         self._store_retry_pending = False
-        leaving = self.node is not None and self.node.lease_holder.leaving
+        leaving = self.fleet_node is not None and self.fleet_node.lease_holder.leaving
         if self._closed or leaving or self._settings.folder is None or self._store is not None:
             return
         store = FleetStore(self._settings.folder, self._settings.gateway)
@@ -227,7 +228,7 @@
         Quota held under the old lease ends when the leader counts the lease as expired; the floor stays.
         """
         self._log.info("fleet_restarted", head=self._settings.gateway)
-        self._stop_node()
+        self._stop_fleet_node()
         self._begin_process(_draw_process())
         self._start()
 
@@ -240,8 +241,8 @@
         self._receive(self._settings.gateway, self.process, message)
 
     def _step(self, call: Callable[[FleetNode, int], StepOutput]) -> None:
-        """Run one step of the node, execute its output, and schedule the next tick."""
-        node = self.node
+        """Run one step of the fleet node, execute its output, and schedule the next tick."""
+        node = self.fleet_node
         if node is None:
             return
         now = self._clock.now_us()
@@ -290,16 +291,16 @@
     # ---- timers ----
 
     def _schedule_tick(self) -> None:
-        node = self.node
+        node = self.fleet_node
         if node is None or self._closed:
             return
         now = self._clock.now_us()
         at = max(now + MIN_TICK_GAP_US, node.next_at)
         if self._tick_call is not None and self._tick_call.active():
-            if self._tick_at <= at:
+            if self._tick_at_us <= at:
                 return
             self._tick_call.cancel()
-        self._tick_at = at
+        self._tick_at_us = at
         self._tick_call = self._clock.call_later(at - now, self._tick)
 
     def _tick(self) -> None:
@@ -307,7 +308,7 @@
         self._step(lambda node, now: node.tick(now))
 
     def _report_demand(self) -> None:
-        """Report the clients' demand since the last reading to the node."""
+        """Report the clients' demand since the last reading to the fleet node."""
         if self._closed or self._engine is None or self._gateway_settings is None:
             return
         weights = {
@@ -332,7 +333,7 @@
         configured = self._settings.peers.get(gateway)
         if configured is not None:
             return configured
-        advertised = self.node.membership.address_of(gateway) if self.node is not None else ""
+        advertised = self.fleet_node.membership.address_of(gateway) if self.fleet_node is not None else ""
         try:
             return split_address(advertised) if advertised else None
         except BadList:
@@ -345,7 +346,7 @@
 
     def call(self, method: str, path: list[str]) -> tuple[int, str]:
         """Answer a call at the management address with an HTTP status and a body (operator_calls.py)."""
-        return self._operator_calls.answer(self.node, method, path)
+        return self._operator_calls.answer(self.fleet_node, method, path)
 
 
 def _draw_process() -> int:
--- a/gaugesail/fleet/ctl.py
+++ b/gaugesail/fleet/ctl.py
@@ -22,7 +22,7 @@
 
 
 def _request(at: str, method: str, path: str) -> tuple[int, str]:
-    """Send one request; return HTTP status and body.  ClickException if there is no response."""
+    """Send one request; return HTTP status and body.  Raises ClickException if there is no response."""
     host, _, port = at.rpartition(":")
     if not host or not port.isdigit():
         raise click.BadParameter(f"expected HOST:PORT, got {at!r}", param_hint="--at")
@@ -106,7 +106,7 @@
 
 
 def _await_result(at: str, number: int) -> dict[str, Any]:
-    """Poll for the result of a command.  ClickException if there is none within TIMEOUT_S."""
+    """Poll for the result of a command.  Raises ClickException if there is none within TIMEOUT_S."""
     end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         result: dict[str, Any] = json.loads(_call(at, "GET", f"/fleet/petitions/{number}"))
--- a/gaugesail/fleet/link.py
+++ b/gaugesail/fleet/link.py
@@ -28,10 +28,10 @@
         """Schedule a call after ``delay`` seconds."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Accept connections.  CannotListenError."""
+        """Accept connections.  Raises CannotListenError."""
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:  # noqa: N803
-        """Receive datagrams.  CannotListenError."""
+        """Receive datagrams.  Raises CannotListenError."""
 
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None  # noqa: N803
@@ -86,7 +86,7 @@
         return bool(self._ports)
 
     def listen(self, host: str, port: int) -> Address:
-        """Listen for TCP and UDP at one address, and return it.  CannotListenError."""
+        """Listen for TCP and UDP at one address, and return it.  Raises CannotListenError."""
         accepting = self._reactor.listenTCP(port, self._accepted, interface=host)
         port = accepting.getHost().port
         try:
@@ -140,7 +140,7 @@
         """Close idle channels."""
         now = self._clock.now_us()
         for address, channel in list(self._channels.items()):
-            if now - channel.used_at > IDLE_TIMEOUT_US:
+            if now - channel.used_at_us > IDLE_TIMEOUT_US:
                 channel.close()
                 del self._channels[address]
         self._accepted.close_idle(now)
--- a/gaugesail/fleet/operator_calls.py
+++ b/gaugesail/fleet/operator_calls.py
@@ -22,7 +22,7 @@
     """Answers GET members, budgets, link, petitions/N; POST trust-store, forget/NAME.
 
     :param clock: the time for the views.
-    :param run_step: runs one step of the node and executes its output.
+    :param run_step: runs one step of the fleet node and executes its output.
     :param link_counts: returns the counters of the link and the wire.
     """
 
@@ -36,7 +36,7 @@
     def answer(self, node: FleetNode | None, method: str, path: list[str]) -> Answer:
         """Execute one call.
 
-        :param node: None before the gateway has joined the fleet.
+        :param node: the fleet node; None before the gateway has joined the fleet.
         :param path: the parts of the path below ``/fleet``.
         """
         if node is None:
--- a/gaugesail/fleet/settings.py
+++ b/gaugesail/fleet/settings.py
@@ -47,7 +47,7 @@
     """Table [budgets]."""
 
     lease_ms: Annotated[int, Meta(ge=1000, le=60_000)] = 4000
-    drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.01
+    drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.01  # largest relative error of a clock's rate
     most_heads: Annotated[int, Meta(ge=1, le=1000)] = 8
     floor_share: Share = 0.1
     floor_burst_share: Share = 0.5
@@ -173,7 +173,7 @@
 
 
 def read_fleet(data: dict[str, Any]) -> FleetSettings:
-    """Return the settings of a file's parsed contents.  FleetError lists all errors."""
+    """Return the settings of a file's parsed contents.  Raises FleetError, which lists all errors."""
     reader = _FileReader(data)
     reader.check_table_names()
     fleet = reader.table("fleet", _Fleet)
@@ -204,7 +204,7 @@
 
 
 def load_fleet(path: str) -> FleetSettings:
-    """Read the file at a path.  FleetError has the path and an error in each line."""
+    """Read the file at a path.  Raises FleetError with the path and an error in each line."""
     try:
         return read_fleet(tomllib.loads(Path(path).read_text()))
     except (OSError, ValueError) as error:
--- a/gaugesail/fleet/store.py
+++ b/gaugesail/fleet/store.py
@@ -81,7 +81,10 @@
     # ---- opening ----
 
     def open(self) -> StoredState:
-        """Lock the store, creating it if there is none, and return its contents.  StoreBusy, StoreFailed."""
+        """Lock the store, creating it if there is none, and return its contents.
+
+        Raises StoreBusy or StoreFailed.
+        """
         for _ in range(2):
             try:
                 return self._open()
@@ -124,7 +127,8 @@
             raise DamagedStore(f"damaged: both records {LOCATION!r} and {STATE!r} are needed")
         if location != self._location():
             raise DamagedStore(
-                f"a copy: created at {location.decode(errors='replace')!r} (host, device, inode)"
+                f"a copy: created at {location.decode(errors='replace')!r} (host, device, inode),"
+                f" but {str(self.path)!r} is elsewhere"
             )
         snapshot = _read_snapshot(tables)
         entries = [_entry_decoder.decode(data) for data in tables.entries(snapshot.index + 1)]
@@ -142,7 +146,7 @@
         return f"{socket.gethostname()} {stat.st_dev} {stat.st_ino}".encode()
 
     def _quarantine(self, reason: str) -> None:
-        """Rename a store that cannot be used, to keep it.  StoreFailed."""
+        """Rename a store that cannot be used, to keep it.  Raises StoreFailed."""
         self.close()
         number = 1
         while (target := self.path.with_suffix(f".aside-{number}")).exists():
@@ -158,7 +162,10 @@
     # ---- writing ----
 
     def write(self, write: StoreWrite) -> None:
-        """Persist a write, synced to disk on return.  StoreFailed: all of it is stored, or nothing."""
+        """Persist a write, synced to disk on return.
+
+        Raises StoreFailed; then either all of the write is stored, or nothing.
+        """
         db = self._opened()
         try:
             db.execute("begin")
@@ -168,7 +175,10 @@
             self._fail(error)
 
     def check_writable(self) -> None:
-        """Check that the store can be written, by a synced write of a record of its own.  StoreFailed."""
+        """Check that the store can be written, by a synced write of a record of its own.
+
+        Raises StoreFailed.
+        """
         db = self._opened()
         try:
             db.execute("begin")
@@ -196,7 +206,7 @@
     # ---- moving ----
 
     def accept_move(self) -> None:
-        """Record the present location of a file that was moved here without leaving its original.
+        """Record the present location of a file that was moved here; its original must not exist any more.
 
         Raises StoreBusy or StoreFailed.
         """
--- a/gaugesail/fleet/store_tables.py
+++ b/gaugesail/fleet/store_tables.py
@@ -39,7 +39,7 @@
     # ---- named records ----
 
     def record(self, name: str) -> bytes | None:
-        """Return a record; None if there is none.  DamagedStore if its checksum differs."""
+        """Return a record; None if there is none.  Raises DamagedStore if its checksum differs."""
         row = self._db.execute("select data, sum from one where name = ?", (name,)).fetchone()
         if row is None:
             return None
@@ -63,11 +63,17 @@
         return self._db.execute("select 1 from log").fetchone() is not None
 
     def entries(self, first_index: int) -> Iterator[bytes]:
-        """Yield all entries in order.  DamagedStore if one is damaged, or missing from this index on."""
+        """Yield all entries in order.
+
+        Raises DamagedStore if one is damaged, or missing from this index on.
+        """
         expected = first_index
         for index, data, checksum in self._db.execute("select at, data, sum from log order by at"):
             if index != expected or _checksum(data) != checksum:
-                raise DamagedStore(f"damaged: log entry {index}, expected entry {expected} and its checksum")
+                raise DamagedStore(
+                    f"damaged: log entry {index} was read where entry {expected} is expected;"
+                    " if the numbers are equal, its checksum differs from the stored one"
+                )
             expected += 1
             yield data
 
--- a/gaugesail/fleet/tcp_channel.py
+++ b/gaugesail/fleet/tcp_channel.py
@@ -32,27 +32,27 @@
 
     def __init__(self, channels: AcceptedChannels) -> None:
         self._channels = channels
-        self.used_at = 0
+        self.used_at_us = 0
 
     @property
-    def pipe(self) -> Any:
-        """The transport, untyped: Twisted's interfaces are not known to mypy."""
+    def link(self) -> Any:
+        """The transport, untyped, as mypy does not understand Twisted's zope interfaces."""
         return self.transport
 
     def connectionMade(self) -> None:
         """Twisted: the channel is open."""
-        self.used_at = self._channels.clock.now_us()
+        self.used_at_us = self._channels.clock.now_us()
         self._channels.open[self] = None
 
     def stringReceived(self, string: bytes) -> None:
         """Twisted: a frame was received."""
-        self.used_at = self._channels.clock.now_us()
+        self.used_at_us = self._channels.clock.now_us()
         self._channels.receive(string)
 
     def lengthLimitExceeded(self, length: int) -> None:
         """Twisted: the announced length is over MAX_LENGTH."""
         self._channels.counts["too_large"] += 1
-        self.pipe.abortConnection()
+        self.link.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted: the channel was closed."""
@@ -79,15 +79,15 @@
 
     def close_idle(self, now: int) -> None:
         """Close channels without a frame for twice the idle time after which the dialling end closes them."""
-        idle = [channel for channel in self.open if now - channel.used_at > 2 * IDLE_TIMEOUT_US]
+        idle = [channel for channel in self.open if now - channel.used_at_us > 2 * IDLE_TIMEOUT_US]
         for channel in idle:
-            channel.pipe.abortConnection()
+            channel.link.abortConnection()
 
     def close(self) -> None:
         """Close all channels and accept no more."""
         self._closed = True
         for channel in list(self.open):
-            channel.pipe.abortConnection()
+            channel.link.abortConnection()
 
 
 class _DialledConnection(Connection):
@@ -115,11 +115,11 @@
         self._queued_bytes = 0
         self._connection: _DialledConnection | None = None
         self._dialling = False
-        self.used_at = 0
+        self.used_at_us = 0
 
     def send(self, frame: bytes) -> None:
         """Queue a frame; frames are sent in order, without acknowledgement."""
-        self.used_at = self._clock.now_us()
+        self.used_at_us = self._clock.now_us()
         self._queue.append(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
         self._queued_bytes += len(frame)
         while self._queued_bytes > MAX_QUEUED_BYTES and len(self._queue) > 1:
@@ -148,7 +148,7 @@
         self._flush()
 
     def _not_connected(self, failure: Failure) -> None:
-        """Drop the queue: the decisions that need a response send their request again."""
+        """Drop the queue: a sender that needs a response repeats its request."""
         self._dialling = False
         self._counts["no_exchange"] += 1
         self._queue.clear()
--- a/gaugesail/importer/apache.py
+++ b/gaugesail/importer/apache.py
@@ -64,7 +64,9 @@
 
 
 def read_apache(file: str, text: str) -> ImportedConfig:
-    """Read the balancers of an Apache configuration.  ConfigLineError names a line that cannot be read.
+    """Read the balancers of an Apache configuration.
+
+    Raises ConfigLineError, which names a line that cannot be read.
 
     :param file: the file's name, for errors and warnings.
     :param text: its contents.
--- a/gaugesail/importer/jk.py
+++ b/gaugesail/importer/jk.py
@@ -81,7 +81,9 @@
 
 
 def read_jk(file: str, text: str) -> ImportedConfig:
-    """Read the lb workers of a worker file.  ConfigLineError names a line that cannot be read.
+    """Read the lb workers of a worker file.
+
+    Raises ConfigLineError, which names a line that cannot be read.
 
     :param file: the file's name, for errors and warnings.
     :param text: its contents.
@@ -92,15 +94,15 @@
     for name, worker in resolved.items():
         kind, line = worker.get("type", ("ajp13", 0))
         if kind in LB_TYPES:
-            members, at = worker.get("balance_workers", ("", line))
+            members, members_line = worker.get("balance_workers", ("", line))
             if not members:
                 if name in listed:
-                    raise config.error(at, f"the lb worker {name!r} has no balance_workers")
+                    raise config.error(members_line, f"the lb worker {name!r} has no balance_workers")
                 continue  # a template that other workers refer to
-            balancer = config.balancers[name] = Balancer(name, line=at)
+            balancer = config.balancers[name] = Balancer(name, line=members_line)
             for member in re.split(r"[\s,]+", members):
                 if member not in resolved:
-                    raise config.error(at, f"worker {member!r} is not defined")
+                    raise config.error(members_line, f"worker {member!r} is not defined")
                 balancer.members.append(_member(config, member, resolved[member]))
         elif kind not in NODE_TYPES:
             config.warn(line, f"a worker of the type {kind!r} is ignored")
@@ -167,23 +169,25 @@
 
 
 def _member(config: ImportedConfig, name: str, worker: Worker) -> Member:
-    port, line = worker.get("port", ("8009", 0))
-    host, at = worker.get("host", ("127.0.0.1", line))
-    member = Member(name, host, int(parse_number(config, line, "port", port, 1, 65535)), line=at or line)
-    for key, (value, where) in worker.items():
+    port, port_line = worker.get("port", ("8009", 0))
+    host, host_line = worker.get("host", ("127.0.0.1", port_line))
+    member = Member(
+        name, host, int(parse_number(config, port_line, "port", port, 1, 65535)), line=host_line or port_line
+    )
+    for key, (value, line) in worker.items():
         if key == "lbfactor":
-            member.capacity = parse_number(config, where, key, value, 0.01, 1000)
+            member.capacity = parse_number(config, line, key, value, 0.01, 1000)
         elif key in ("route", "jvm_route"):
             member.name = value
         elif key == "activation":
             phase = PHASES.get(value.lower())
             if phase is None:
-                raise config.error(where, f"activation: expected one of {', '.join(PHASES)}, got {value!r}")
+                raise config.error(line, f"activation: expected one of {', '.join(PHASES)}, got {value!r}")
             member.phase = phase
         elif key in ("disabled", "stopped") and value.lower() in ("1", "true", "on", "yes"):
             member.phase = "Terminating"
         elif key == "reply_timeout":
-            config.extend_deadline(int(parse_number(config, where, key, value, 0, 3_600_000)))
+            config.extend_deadline(int(parse_number(config, line, key, value, 0, 3_600_000)))
         elif key == "socket_connect_timeout":
-            config.limit_connect_timeout(int(parse_number(config, where, key, value, 0, 60_000)))
+            config.limit_connect_timeout(int(parse_number(config, line, key, value, 0, 60_000)))
     return member
--- a/gaugesail/importer/model.py
+++ b/gaugesail/importer/model.py
@@ -75,7 +75,7 @@
 
 
 def parse_number(config: ImportedConfig, line: int, key: str, text: str, low: float, high: float) -> float:
-    """Return the number in ``text``.  ConfigLineError unless it is one from ``low`` to ``high``."""
+    """Return the number in ``text``.  Raises ConfigLineError unless it is one from ``low`` to ``high``."""
     if not re.match(r"\d{1,9}(\.\d{1,6})?\Z", text) or not low <= float(text) <= high:
         raise config.error(line, f"{key}: expected a number from {low:g} to {high:g}, got {text!r}")
     return float(text)
@@ -159,7 +159,7 @@
 def render(config: ImportedConfig, hosts: dict[str, str]) -> str:
     """Return the text of the operator's file; its first lines say what the operator has to check."""
     return (
-        f"# Imported from {config.file}.  The import has no block layout and no plans to read:\n"
+        f"# Imported from {config.file}.  The imported file has no block layout and no plans:\n"
         "# check [target], each [[lun.extent]] and each [[plan]] before use.\n"
         + write_toml(operator_file(config, hosts)).strip()
         + "\n"
--- a/gaugesail/iscsi/initiator.py
+++ b/gaugesail/iscsi/initiator.py
@@ -303,7 +303,7 @@
 
 @dataclass(slots=True, eq=False)
 class _NodeState:
-    """One node's current session or dial, and the commands that wait for it."""
+    """One node's current session or dial, and the pending commands, which wait for it."""
 
     node_id: NodeId
     session: NodeSession | None = None
--- a/gaugesail/iscsi/operator.py
+++ b/gaugesail/iscsi/operator.py
@@ -81,11 +81,11 @@
     plan: int  # its index in the settings
     shard: int
     hosts: float  # gateways through which the volume is used
-    blocks_per_unit: int
+    blocks_per_unit: int  # per unit of work: a command's units are its blocks divided by this, rounded up
 
 
 @dataclass(slots=True, frozen=True)
-class Unit:
+class LogicalUnit:
     """A logical unit."""
 
     number: int
@@ -121,7 +121,7 @@
     settings: Settings
     read_class: int
     write_class: int
-    units: dict[int, Unit]
+    units: dict[int, LogicalUnit]
     nodes: dict[bytes, StorageNode]
     connect_timeout_us: int
     sockets: int
@@ -211,8 +211,8 @@
         raise OperatorError(f"[rules] {error}") from None
 
 
-def _units(data: dict[str, Any], plans: dict[str, int]) -> dict[int, Unit]:
-    units: dict[int, Unit] = {}
+def _units(data: dict[str, Any], plans: dict[str, int]) -> dict[int, LogicalUnit]:
+    units: dict[int, LogicalUnit] = {}
     for where, row in _rows(data, "lun"):
         try:
             number = _integer(row, "number", 0, 16383)
@@ -240,7 +240,7 @@
                 extents.append(extent)
             if number in units:
                 raise OperatorError(f"number: {number} is used by another [[lun]]")
-            units[number] = Unit(number, size, end, tuple(extents))
+            units[number] = LogicalUnit(number, size, end, tuple(extents))
         except ValueError as error:
             raise OperatorError(f"{where}: {error}") from None
     return units
@@ -266,7 +266,10 @@
 
 
 def read_operator(data: dict[str, Any], environ: Mapping[str, str]) -> OperatorConfig:
-    """Return the configuration in a file's parsed contents.  OperatorError names the entry that is wrong."""
+    """Return the configuration in a file's parsed contents.
+
+    Raises OperatorError, which names the entry that is wrong.
+    """
     settings = _settings(data)
     writes = [spec.writes for spec in settings.classes]
     if True not in writes or False not in writes:
@@ -299,7 +302,10 @@
 
 
 def load_operator(path: str) -> OperatorConfig:
-    """Read the operator's file at a path.  OperatorError names the path and the entry that is wrong."""
+    """Read the operator's file at a path.
+
+    Raises OperatorError, which names the path and the entry that is wrong.
+    """
     try:
         return read_operator(tomllib.loads(Path(path).read_text()), os.environ)
     except (OSError, ValueError) as error:
--- a/gaugesail/iscsi/pdu.py
+++ b/gaugesail/iscsi/pdu.py
@@ -132,7 +132,7 @@
         self._input += data
 
     def pdus(self) -> Iterator[Pdu]:
-        """Yield the complete PDUs.  BadPdu if the stream cannot be framed any further."""
+        """Yield the complete PDUs.  Raises BadPdu if the stream cannot be framed any further."""
         while len(self._input) >= BHS_BYTES:
             header = bytes(self._input[:BHS_BYTES])
             size = int.from_bytes(header[5:8], "big")
@@ -153,7 +153,7 @@
 
 
 def read_text(data: bytes) -> dict[str, str]:
-    """Return the key=value pairs of a login or text PDU.  BadPdu."""
+    """Return the key=value pairs of a login or text PDU.  Raises BadPdu."""
     pairs: dict[str, str] = {}
     for pair in data.split(b"\0"):
         if pair:
@@ -188,7 +188,7 @@
 
 
 def negotiate(offered: dict[str, str], limits: Limits) -> dict[str, str]:
-    """Return the answers to an initiator's keys, RFC 7143 section 13, and set ``limits``.  BadPdu."""
+    """Return the answers to an initiator's keys, RFC 7143 section 13, and set ``limits``.  Raises BadPdu."""
     answers: dict[str, str] = {}
     for key, value in offered.items():
         if key in ("HeaderDigest", "DataDigest", "AuthMethod"):
--- a/gaugesail/iscsi/target.py
+++ b/gaugesail/iscsi/target.py
@@ -17,7 +17,7 @@
 from ..core.engine import Engine
 from ..core.ports import BodySource, ClientRequest, Clock, FailureReason, Logger
 from ..net import Connection, unread
-from .operator import Extent, OperatorConfig, Unit
+from .operator import Extent, LogicalUnit, OperatorConfig
 from .pdu import (
     FINAL,
     NO_TAG,
@@ -44,7 +44,7 @@
 EXTRA_SESSIONS = 8  # beyond the limit, rejected at login; further connections wait in the kernel
 LOGIN_DELAY_US = 250_000  # after which a session without a login may be closed in favour of another
 SLOW_READER_US = 10_000_000  # after which a client that does not read is disconnected
-MAX_READS_AHEAD = 4  # of a connection before its turn in the event loop
+MAX_READS_AHEAD = 4  # of a connection, before the next reactor iteration reads it
 # Sense keys, then additional sense codes with their qualifiers (SCSI Primary Commands).
 ILLEGAL_REQUEST, ABORTED_COMMAND, HARDWARE_ERROR = 0x05, 0x0B, 0x04
 NO_SUCH_UNIT, INVALID_OPCODE, LBA_OUT_OF_RANGE, INVALID_CDB_FIELD = (0x25, 0), (0x20, 0), (0x21, 0), (0x24, 0)
@@ -70,7 +70,7 @@
         "body",
         "connection",
         "data_sn",
-        "deadline",
+        "deadline_us",
         "done",
         "expected",
         "extent",
@@ -80,17 +80,22 @@
         "lun",
         "r2t_end",
         "r2t_sn",
-        "received_at",
-        "ticket",
+        "received_at_us",
+        "request_id",
         "write",
     )  # fmt: skip
 
-    def __init__(self, connection: TargetConnection, pdu: Pdu, received_at: int) -> None:
-        self.connection, self.itt, self.lun, self.received_at = connection, pdu.itt, pdu.lun, received_at
+    def __init__(self, connection: TargetConnection, pdu: Pdu, received_at_us: int) -> None:
+        self.connection, self.itt, self.lun, self.received_at_us = (
+            connection,
+            pdu.itt,
+            pdu.lun,
+            received_at_us,
+        )
         self.expected = pdu.word(20)  # Expected Data Transfer Length
         self.body: Body | None = None
         self.extent: Extent | None = None
-        self.length = self.lba = self.deadline = self.ticket = 0
+        self.length = self.lba = self.deadline_us = self.request_id = 0
         self.r2t_sn = self.r2t_end = self.data_sn = 0
         self.write = self.done = False
 
@@ -130,8 +135,8 @@
         self._stat_sn = 1
         self._exp_cmd_sn = 0
         self._tasks: dict[int, Task] = {}
-        self._phase_since = 0  # when the present wait began: for the login, the reader or the close
-        self._partial_since = 0  # when the first bytes of an incomplete PDU came; 0 if there is none
+        self._phase_since_us = 0  # when the present wait began: for the login, the reader or the close
+        self._partial_since_us = 0  # when the first bytes of an incomplete PDU came; 0 if there is none
         self._write_paused = self._closing = False
         self.lost = self.reject_login = False
         self._handlers: dict[int, Callable[[Pdu], None]] = {
@@ -147,9 +152,10 @@
 
     @property
     def client_disconnected(self) -> bool:
-        """Whether the client has disconnected, including an end that is still unread.
+        """Return whether the client has disconnected; if polling shows that, abort the connection.
 
-        It may be unread while the client does not read, or while the event loop serves other connections.
+        Its end may be unread while the client does not read, or while the reactor serves other connections.
+        Then pending input is read and handled here, as it may contain an abort of the task.
         """
         if self._write_paused or self.may_have_unread(self._front.clock):
             if self.peer_closed(True):
@@ -158,14 +164,14 @@
         return self.lost
 
     def _read_ahead(self) -> None:
-        """Read before the connection's turn in the event loop: the data may contain an abort of the task."""
+        """Read and handle input before the next reactor iteration: it may contain an abort of the task."""
         for _ in range(MAX_READS_AHEAD):
             if self.lost or self._closing or not unread(self.link) or self.link.doRead() is not None:
-                break  # the event loop will see the end of the connection again
+                break  # the reactor will see the end of the connection again
 
     def connectionMade(self) -> None:
         """Twisted: the connection is open."""
-        self._phase_since = self._front.clock.now_us()
+        self._phase_since_us = self._front.clock.now_us()
         self.link.setTcpNoDelay(True)
         self.link.registerProducer(self, True)
         self._front.opened(self)
@@ -181,7 +187,7 @@
 
     def pauseProducing(self) -> None:
         """Twisted: the client does not read; stop reading from it."""
-        self._write_paused, self._phase_since = True, self._front.clock.now_us()
+        self._write_paused, self._phase_since_us = True, self._front.clock.now_us()
         self.link.pauseProducing()
 
     def resumeProducing(self) -> None:
@@ -203,7 +209,7 @@
         self._reader.feed(data)
         try:
             for pdu in self._reader.pdus():
-                self._partial_since = 0
+                self._partial_since_us = 0
                 if self._closing or self.lost:
                     return
                 try:
@@ -222,13 +228,13 @@
             self._reject(error.reason, error.header, str(error))
             self.close()
         if not self._reader.buffered:
-            self._partial_since = 0
-        elif not self._partial_since:
-            self._partial_since = self._front.clock.now_us()
+            self._partial_since_us = 0
+        elif not self._partial_since_us:
+            self._partial_since_us = self._front.clock.now_us()
 
     def is_login_late(self, now: int) -> bool:
         """Whether the login is missing after LOGIN_DELAY_US, so that another session may take its place."""
-        return self._state == "login" and not self._closing and now - self._phase_since >= LOGIN_DELAY_US
+        return self._state == "login" and not self._closing and now - self._phase_since_us >= LOGIN_DELAY_US
 
     def _dispatch(self, pdu: Pdu) -> None:
         if self._state == "login":
@@ -347,7 +353,7 @@
             self._front.engine.counts["no_buffers"] += 1
             self.end(task, Status.TASK_SET_FULL)
 
-    def _answer_locally(self, task: Task, unit: Unit | None, cdb: bytes) -> None:
+    def _answer_locally(self, task: Task, unit: LogicalUnit | None, cdb: bytes) -> None:
         """Answer a command that needs no node: REPORT LUNS, INQUIRY, TEST UNIT READY, READ CAPACITY."""
         if cdb[0] == 0xA0:
             numbers = sorted(self._front.operator.units)
@@ -370,7 +376,7 @@
         else:
             self.check_condition(task, ILLEGAL_REQUEST, INVALID_OPCODE)
 
-    def _inquiry(self, task: Task, unit: Unit | None, cdb: bytes) -> None:
+    def _inquiry(self, task: Task, unit: LogicalUnit | None, cdb: bytes) -> None:
         size = int.from_bytes(cdb[3:5], "big")
         kind = 0x00 if unit is not None else 0x7F  # peripheral qualifier and type; 0x7F: no logical unit
         if not cdb[1] & 1 and not cdb[2]:
@@ -388,7 +394,7 @@
     def _send_parameter_data(self, task: Task, data: bytes, allowed: int) -> None:
         self.end(task, Status.GOOD, data[:allowed])
 
-    def _read_or_write(self, task: Task, unit: Unit | None, pdu: Pdu) -> None:
+    def _read_or_write(self, task: Task, unit: LogicalUnit | None, pdu: Pdu) -> None:
         cdb = pdu.cdb
         task.write = cdb[0] in (0x2A, 0x8A)
         if cdb[0] & 0x80:
@@ -415,7 +421,7 @@
             self.check_condition(task, ILLEGAL_REQUEST, INVALID_CDB_FIELD)
             return
         kind = self._front.operator.write_class if task.write else self._front.operator.read_class
-        task.deadline = task.received_at + self._front.settings.classes[kind].deadline_us
+        task.deadline_us = task.received_at_us + self._front.settings.classes[kind].deadline_us
         task.body = Body(self._front.pool)
         if task.write:
             if pdu.data and not self._limits.immediate_data:
@@ -444,7 +450,7 @@
         size = min(self._limits.max_burst, task.length - start)
         task.r2t_end, task.data_sn = start + size, 0
         words = {20: task.itt, 24: self._stat_sn, 36: task.r2t_sn, 40: start, 44: size}
-        self._send(Op.R2T, FINAL, task.itt, words, lun=task.lun, counts=False)
+        self._send(Op.R2T, FINAL, task.itt, words, lun=task.lun, advances_stat_sn=False)
         task.r2t_sn += 1
 
     def _data_out(self, pdu: Pdu) -> None:
@@ -486,7 +492,7 @@
             front.next_request_id(),
             front.settings,
             kind,
-            task.deadline - task.received_at,
+            task.deadline_us - task.received_at_us,
             transfer,
             extent.shard,
             extent.plan,
@@ -495,7 +501,7 @@
             extent.volume,
             extent.hosts,
         )
-        task.ticket = front.engine.submit(request, task, task.received_at)
+        task.request_id = front.engine.submit(request, task, task.received_at_us)
 
     # ---- ends of tasks ----
 
@@ -505,8 +511,8 @@
             task.done = True
             if task.body is not None:
                 task.body.release()
-            if task.ticket:
-                self._front.engine.client_disconnected(task.ticket)
+            if task.request_id:
+                self._front.engine.client_disconnected(task.request_id)
 
     def check_condition(self, task: Task, key: int, code: tuple[int, int]) -> None:
         """End a task with status CHECK CONDITION and this sense key, code and qualifier."""
@@ -537,7 +543,7 @@
                     {20: NO_TAG, 36: number, 40: offset, 44: residual if last else 0},
                     lun=task.lun if last else bytes(8),
                     data=part,
-                    counts=last,
+                    advances_stat_sn=last,
                 )
                 offset, number = offset + len(part), number + 1
             if moved:
@@ -565,15 +571,15 @@
         byte3: int = 0,
         lun: bytes = bytes(8),
         data: bytes = b"",
-        counts: bool = True,
+        advances_stat_sn: bool = True,
     ) -> None:
         window = max(0, COMMAND_WINDOW - len(self._tasks))
         serials = {
-            24: self._stat_sn if counts else 0,
+            24: self._stat_sn if advances_stat_sn else 0,
             28: self._exp_cmd_sn,
             32: self._exp_cmd_sn + window - 1,
         }
-        if counts:
+        if advances_stat_sn:
             self._stat_sn = (self._stat_sn + 1) % SERIAL_MODULUS
         pdu = Pdu(opcode, flags, itt, byte2, byte3, lun, fields(serials | (words or {})), data)
         self.link.write(pdu.encode())
@@ -588,7 +594,7 @@
         """Abort all tasks, and close the connection once all is sent."""
         if not self._closing and not self.lost:
             self._closing = True
-            self._phase_since = self._front.clock.now_us()
+            self._phase_since_us = self._front.clock.now_us()
             for task in list(self._tasks.values()):
                 self._abort_task(task)
             self.link.unregisterProducer()
@@ -596,20 +602,24 @@
 
     def sweep(self, now: int) -> None:
         """Enforce the time limits of logins, of clients that do not read, of PDUs and of write data."""
-        if (self._write_paused or self._closing) and now - self._phase_since > SLOW_READER_US:
+        if (self._write_paused or self._closing) and now - self._phase_since_us > SLOW_READER_US:
             self.link.abortConnection()
-        elif self._state == "login" and now - self._phase_since > LOGIN_TIMEOUT_US:
+        elif self._state == "login" and now - self._phase_since_us > LOGIN_TIMEOUT_US:
             self.close()
-        elif self._partial_since and not self._write_paused and now - self._partial_since > LOGIN_TIMEOUT_US:
+        elif (
+            self._partial_since_us
+            and not self._write_paused
+            and now - self._partial_since_us > LOGIN_TIMEOUT_US
+        ):
             self._front.engine.counts["half_sent"] += 1
             self.close()
         for task in list(self._tasks.values()):
-            if task.r2t_end and now >= task.deadline:
+            if task.r2t_end and now >= task.deadline_us:
                 self.check_condition(task, ABORTED_COMMAND, COMMUNICATION_TIMEOUT)
 
 
 class TargetFront(ClientAdmission):
-    """Accepts sessions within its part of the sockets; sessions beyond that are rejected at login.
+    """The iSCSI client server: accepts sessions up to its limit, and rejects further ones at login.
 
     :param pool: buffers for the bodies of transfers.
     :param max_connections: sessions that are served at once.
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -133,7 +133,7 @@
         raise StoreFailed("full")
 
     monkeypatch.setattr(agent._store, "write", disk_full.__get__(agent._store))
-    node = agent.node
+    node = agent.fleet_node
     assert node is not None
     fleet.run(5)
     view = json.loads(agent.call("GET", ["budgets"])[1])
@@ -164,15 +164,15 @@
     fleet = Fleet(tmp_path)
     fleet.run(3)
     agent = fleet.agents["a"]
-    assert agent.node is not None
+    assert agent.fleet_node is not None
 
     def raising(*_: Any) -> Any:
         raise ZeroDivisionError
 
     with monkeypatch.context() as patch:
-        patch.setattr(agent.node, "receive", raising)
+        patch.setattr(agent.fleet_node, "receive", raising)
         fleet.run(0.5)
-    assert "fleet_raised" in fleet.log.getvalue() and not agent.node.is_replica
+    assert "fleet_raised" in fleet.log.getvalue() and not agent.fleet_node.is_replica
     fleet.run(8)
     assert json.loads(agent.call("GET", ["budgets"])[1])["own"]["lease_s"] > 0
     fleet.end()
@@ -184,12 +184,12 @@
     first = fleet.agents["b"]
     second = fleet.start("b")
     fleet.run(2)
-    assert second.node is None and second.call("GET", ["members"])[0] == 503
+    assert second.fleet_node is None and second.call("GET", ["members"])[0] == 503
     assert "fleet_start_delayed" in fleet.log.getvalue()
     first.leave()
     first.close()
     fleet.run(4)
-    assert second.node is not None and second.node.lease_holder.lease_until > fleet.clock.now_us()
+    assert second.fleet_node is not None and second.fleet_node.lease_holder.lease_until > fleet.clock.now_us()
     fleet.end()
 
 
--- a/tests/iscsi/test_operator_file.py
+++ b/tests/iscsi/test_operator_file.py
@@ -13,7 +13,7 @@
 from gaugesail.policy.settings import Settings
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "operator.example.toml"
-KEYS_OF_DBD4A08 = {
+RULE_KEYS_IN_USE = {  # those of commit dbd4a08, with which operators' files were written
     "gateways",
     "me",
     "tick_us",
@@ -52,8 +52,8 @@
     return tomllib.loads(EXAMPLE.read_text())
 
 
-def test_the_keys_are_those_of_commit_dbd4a08() -> None:
-    assert set(RULE_KEYS) == KEYS_OF_DBD4A08
+def test_the_keys_of_the_rules_table_are_those_of_existing_files() -> None:
+    assert set(RULE_KEYS) == RULE_KEYS_IN_USE
     assert set(RULE_KEYS.values()) == {item.name for item in fields(Settings)} - {"classes", "plans"}
 
 
