--- a/gaugesail/client_admission.py
+++ b/gaugesail/client_admission.py
@@ -11,9 +11,12 @@
 from .core.engine import Engine
 from .core.ports import Clock, DelayedCall
 
-# Times after closing begins.  A request that crosses a close fails.
-CLOSING_BEGINS_US = 500_000  # until then connections are closed only with their answers
-CLOSING_ENDS_US = 1_800_000  # all idle connections are closed; what arrived before is over 2 s old at 4 s
+# Times after a GradualClose is switched on.  A request that the client sends while the gateway closes its
+# connection fails.
+FIRST_CLOSE_US = 500_000  # until then a connection is closed only after an answer
+# All idle connections are closed by then, so that 4 s after the start the latest requests on them are over
+# 2 s old.
+CLOSING_ENDS_US = 1_800_000
 MIGRATION_ENDS_US = 2_500_000  # of clients to the successor process; SIGKILL follows at 3.7 s or later
 CLOSING_STEP_US = 100_000
 
@@ -58,7 +61,7 @@
             self._since_us = self._clock.now_us()
         self.on = on
         if on and self._step is None:
-            self._step = self._clock.call_later(CLOSING_BEGINS_US, self._close_some)
+            self._step = self._clock.call_later(FIRST_CLOSE_US, self._close_some)
 
     def _close_some(self) -> None:
         self._step = None
--- a/gaugesail/config.py
+++ b/gaugesail/config.py
@@ -21,7 +21,8 @@
 RESERVED_DESCRIPTORS = 24
 MIN_USABLE_DESCRIPTORS = 4
 # Shares of the usable descriptors.  A node has at most four attempts in flight (the largest congestion
-# window), so that 14 nodes use 56; a few more connections are idle, or hang next to a test attempt.
+# window), so 14 nodes need 56 connections; a few more are idle, or carry an attempt that hangs: it does not
+# count against the window, so another attempt tests its node.
 CLIENT_PERCENT = 65
 CLIENT_OVERFLOW_PERCENT = 5  # for clients whose connections are closed after their answer
 NODE_PERCENT = 30
@@ -40,7 +41,7 @@
     management_connections: int = 0  # reserved, if there is a management address
 
     def of(self, processes: int) -> Limits:
-        """The limits of each of several processes that run in parallel."""
+        """The limits of each of several processes that run in parallel; only the descriptors are divided."""
         return replace(self, sockets=self.sockets // processes)
 
     @property
@@ -74,7 +75,7 @@
     seed: int
     limits: Limits
     settings: Settings
-    known: Any
+    known: Any  # the endpoint list to start with, in discovery's JSON form
     conn_idle_us: int
     connect_timeout_us: int
     zones: list[str]
--- a/gaugesail/handover.py
+++ b/gaugesail/handover.py
@@ -84,11 +84,14 @@
 
 @implementer(IFileDescriptorReceiver)
 class HandoverConnection(Connection):
-    """A connection between two processes of one gateway, open until either of them ends."""
+    """A connection between two processes of one gateway, open until either of them ends.
+
+    :param is_successor: whether this process, at this end of the connection, is the successor.
+    """
 
     def __init__(self, handover: Handover, is_successor: bool) -> None:
         self._handover = handover
-        self.is_successor = is_successor  # this process is the successor
+        self.is_successor = is_successor
         self.successor_serves = False  # reported by the successor
         self.received_descriptors: deque[int] = deque()  # not yet claimed by a message
         self.unconfirmed: deque[int] = deque()  # sent descriptors, open until their receipt is confirmed
@@ -343,7 +346,8 @@
         if offer.version != VERSION or not connection.received_descriptors or self._requested is None:
             raise MalformedMessage(
                 f"expected a requested takeover of version {VERSION} with a descriptor,"
-                f" received version {offer.version}"
+                f" received version {offer.version} with {len(connection.received_descriptors)} descriptors"
+                f" (pending request: {self._requested!r})"
             )
         self._owner.sibling_process(True)
         takeover = Takeover(connection.received_descriptors.popleft(), offer.state)
--- a/gaugesail/handover_messages.py
+++ b/gaugesail/handover_messages.py
@@ -92,7 +92,8 @@
 def decode(line: bytes) -> HandoverMessage | None:
     """Decode one line; returns None for a kind of message that this version does not know.
 
-    Raises MalformedMessage if the line is not a JSON object or a value has the wrong type.
+    Raises MalformedMessage if the line is not valid JSON, or a key is missing or its value cannot be
+    converted.
     """
     try:
         return _from_json(json.loads(line))
--- a/gaugesail/http/client_connection.py
+++ b/gaugesail/http/client_connection.py
@@ -43,7 +43,7 @@
         self._reading = False
         self.output_full = False  # the client reads more slowly than it is written to
         self._answered_early = False  # before its request was complete: the rest is discarded
-        self._discarded = 0  # bytes received after the end of the connection
+        self._discarded = 0  # bytes received since the gateway began to close
         self.body_bytes = 0
         self.last_received_us = 0  # when the latest byte was received
         self.blocked_since_us = 0  # when the client stopped reading, or the gateway started to close
@@ -51,7 +51,7 @@
         self.closing = False
         self.lost = False
         self.opened_at_us = self.last_used_us = owner.clock.now_us()
-        self.unread_bytes = 0  # upper bound of what is in the write buffer
+        self.unsent_bytes = 0  # upper bound of what is in the write buffer
         self.requests_received = 0
         self.surplus = False  # accepted beyond the limit: closed after its answer if that is still exceeded
 
@@ -68,7 +68,10 @@
 
     @property
     def disconnected(self) -> bool:
-        """Whether the client has disconnected; its FIN may be behind input that was not read."""
+        """Return whether the client has disconnected; if polling shows that, abort the connection.
+
+        The client's FIN may be behind input that was not read.
+        """
         unread_input = self.input.paused or self.input.truncated or self.input.excess > 0
         return self.peer_closed(unread_input or self.may_have_unread(self.owner.clock))
 
@@ -271,7 +274,7 @@
             return
         self.owner.used(self)
         keep_alive = self._stays_open() and not close
-        self.unread_bytes = len(body)
+        self.unsent_bytes = len(body)
         self.link.write(answer_head(status, len(body), retry_after_us, keep_alive) + body)
         if not self._answered_early:
             self._answer_written(keep_alive, close)
@@ -333,7 +336,7 @@
 
     def _add_stream(self, source: BodySource, chunked: bool) -> AnswerStream:
         self._request_id = 0
-        self.unread_bytes = READ_BYTES
+        self.unsent_bytes = READ_BYTES
         self.stream = AnswerStream(self, source, chunked)
         return self.stream
 
--- a/gaugesail/http/client_limits.py
+++ b/gaugesail/http/client_limits.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-HEAD_TIMEOUT_US = 2_500_000  # for a header section to arrive, and for the first on a new connection
+# For a header section; also from the opening of a connection to the end of its first header section.
+HEAD_TIMEOUT_US = 2_500_000
 BODY_TIMEOUT_US = 2_500_000  # longest gap in a body
 BODY_BYTES_PER_S = 16 * 1024  # lowest mean rate of a body, beside BODY_TIMEOUT_US of slack
 UNREAD_US = 60_000_000  # a client that reads nothing for longer is treated as lost
--- a/gaugesail/http/client_server.py
+++ b/gaugesail/http/client_server.py
@@ -20,7 +20,7 @@
 from .request_reader import RequestReader
 from .slow_readers import SlowReaders
 
-MIN_CAPACITY_BESIDE = 16  # connections, beside another process and whatever that one still has
+MIN_CAPACITY_BESIDE = 16  # connections; the limit beside another process, however many that one has
 FIRST_PRIORITY = 3  # highest rank of client_limits.closing_priority
 
 
--- a/gaugesail/http/discovery.py
+++ b/gaugesail/http/discovery.py
@@ -19,7 +19,8 @@
 from .node_state import NodeAddress
 
 PATH = "/catalog/members"
-LONG_CALL_US = 2_250_000  # a failed call this long was delay enough: the policy's backoff starts again
+# A call that fails after at least this time resets the policy's backoff, as the call was a delay itself.
+LONG_CALL_US = 2_250_000
 SILENCE_CHECK_US = 20_000  # shortest interval between checks for silence
 PUSHED_RETRY_US = 250_000  # longest delay before an agent is watched again
 PUSHED_RETRY_DIVISOR = 5  # that delay is also at most 1/5 of the drain grace
@@ -32,8 +33,8 @@
     """Address of discovery, and the names of zones and kinds in its lists.
 
     ``pushed_grace_us`` is the drain grace where an agent on the same host has the endpoint list pushed to it,
-    else None.  The gateway counts as notified of the agent's list from its own start.  So it requests the
-    full list, and until that is received its own list may be older than the one that binds it.
+    else None.  The gateway must respect the agent's list from its own start, so it requests the full list;
+    until that is received, its own list may lack drains that it has to respect already.
     """
 
     address: tuple[str, int]
@@ -65,9 +66,12 @@
         self._members: dict[str, Any] = {}  # the current list in discovery's JSON form, by id
         self._pushed = settings.pushed_grace_us is not None
         # An agent answers at once and at no cost.  A silent agent has lost its own source, and the gateway
-        # counts as notified of a list as soon as the agent receives it: a call must be open then, or follow.
+        # must respect a list as soon as the agent receives it: a call must be open at that moment, or be made
+        # soon after.
         self._pushed_retry_us = min(PUSHED_RETRY_US, (settings.pushed_grace_us or 0) // PUSHED_RETRY_DIVISOR)
-        self.up = False  # a list was received or a watch answered: the list is up to date
+        # A list was received, or discovery has answered a watch, which confirms the cached list.  Never
+        # becomes False again.
+        self.list_confirmed = False
         self._calls: set[DiscoveryCall] = set()
         self._dials: set[Deferred[Any]] = set()
         self._watching: DiscoveryCall | None = None
@@ -107,21 +111,21 @@
     def receive(self, data: Any, since: int = 0) -> int:
         """Apply a full list, or the changes after ``since``; return its revision.  Raises BadList."""
         listed = read_list(data, self._zones, self._kinds)
-        self.up = True
+        self.list_confirmed = True
         if since <= listed.revision < self._revision:
             return listed.revision  # older than the list of another call
         # The revisions of a watch increase.  A lower one means that discovery has lost its count and started
         # over: this change is valid, but earlier changes may have been missed.
-        restarted = listed.revision < since and not listed.complete
+        restarted = listed.revision < since and not listed.full
         self._revision = 0 if restarted else listed.revision
-        self._remember(data, listed.complete)
+        self._remember(data, listed.full)
         self._report(listed)
         if restarted:
             raise BadList(f"revision {listed.revision} is below {since}: requesting the full list")
         return listed.revision
 
-    def _remember(self, data: Any, complete: bool) -> None:
-        if complete:
+    def _remember(self, data: Any, full: bool) -> None:
+        if full:
             self._members = {}
         for member in data["members"]:
             if member["phase"] == "Gone":
@@ -130,8 +134,8 @@
                 self._members[member["id"]] = member
 
     def _report(self, listed: ListedEndpoints) -> None:
-        self._update_addresses(listed.addresses, listed.complete)
-        kind = EndpointListKind.FULL if listed.complete else EndpointListKind.CHANGES
+        self._update_addresses(listed.addresses, listed.full)
+        kind = EndpointListKind.FULL if listed.full else EndpointListKind.CHANGES
         self._update_endpoints(EndpointList(kind, tuple(listed.endpoints)))
 
     # ---- calls ----
@@ -201,7 +205,7 @@
 
     def call_answered(self, call: DiscoveryCall) -> None:
         """The answer to a call has started."""
-        self.up = self.up or (call.follow and not self._pushed)
+        self.list_confirmed = self.list_confirmed or (call.follow and not self._pushed)
 
     def call_ended(self, call: DiscoveryCall, reason: str) -> None:
         """A call has ended; a non-empty ``reason`` makes it a failure, which is logged and reported."""
--- a/gaugesail/http/discovery_call.py
+++ b/gaugesail/http/discovery_call.py
@@ -16,7 +16,7 @@
 from .parser import Parser
 
 SILENCE_TIMEOUT_US = 4_500_000  # discovery sends an empty line every 2 s; two missing ones end the watch
-MAX_LINE_BYTES = 4 * 1024 * 1024  # of a line, or of an object that spans several lines
+MAX_UNPROCESSED_BYTES = 4 * 1024 * 1024  # of received lines or a poll's answer; also of one object
 _JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -56,10 +56,12 @@
         self._depth = 0  # open brackets in it
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes.  Raises BadList if a line is longer than MAX_LINE_BYTES."""
+        """Add received bytes.  Raises BadList if more than MAX_UNPROCESSED_BYTES are unprocessed."""
         self._text += data
-        if len(self._text) > MAX_LINE_BYTES:
-            raise BadList(f"a line is longer than {MAX_LINE_BYTES} bytes")
+        if len(self._text) > MAX_UNPROCESSED_BYTES:
+            raise BadList(
+                f"expected at most {MAX_UNPROCESSED_BYTES} unprocessed bytes, received {len(self._text)}"
+            )
 
     def end_line(self) -> None:
         """Terminate the last line at the end of the stream."""
@@ -70,7 +72,7 @@
         return bytes(self._text)
 
     def objects(self) -> Iterator[bytes]:
-        """Yield the complete objects, and an empty one for each empty line between them."""
+        """Yield the complete objects, and ``b""`` for each empty line between them."""
         while (end := self._text.find(b"\n")) >= 0:
             line = bytes(self._text[:end]).strip()
             del self._text[: end + 1]
@@ -83,8 +85,8 @@
 
     def _add(self, line: bytes) -> None:
         self._object += line
-        if len(self._object) > MAX_LINE_BYTES:
-            raise BadList(f"an object is longer than {MAX_LINE_BYTES} bytes")
+        if len(self._object) > MAX_UNPROCESSED_BYTES:
+            raise BadList(f"an object is longer than {MAX_UNPROCESSED_BYTES} bytes")
         # JSON strings contain no line breaks, so brackets can be counted line by line.
         bare = _JSON_STRING.sub(b"", line)
         self._depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
@@ -113,7 +115,7 @@
 
     @property
     def due_us(self) -> int:
-        """When the call counts as silent; incomplete lines and objects, which may trickle, do not count."""
+        """When the call is overdue; incomplete lines and objects, which may trickle, do not defer that."""
         return self.last_message_us + (
             SILENCE_TIMEOUT_US if self._answered else self._owner.answer_timeout_us
         )
--- a/gaugesail/http/endpoint_reader.py
+++ b/gaugesail/http/endpoint_reader.py
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True)
 class ListedEndpoints:
-    """A full endpoint list, or changes to one."""
+    """A full endpoint list, or changes to one (``complete`` in discovery's JSON)."""
 
     revision: int
-    complete: bool
+    full: bool  # every node is listed; otherwise the list has changes only
     endpoints: list[Endpoint] = field(default_factory=list)
     addresses: dict[NodeId, NodeAddress | None] = field(default_factory=dict)  # None: removed
 
@@ -41,14 +41,17 @@
 def read_list(data: Any, zones: list[str], kinds: list[str]) -> ListedEndpoints:
     """Read one of discovery's lists.  Zones and kinds become their index, 0 for an unknown name.
 
-    Raises BadList.
+    Raises BadList if a key is missing or its value cannot be converted; the text does not name the member.
     """
     try:
         listed = ListedEndpoints(int(data["revision"]), bool(data["complete"]))
         for member in data["members"]:
             _read_member(member, zones, kinds, listed)
     except (KeyError, TypeError, ValueError) as error:
-        raise BadList(f"{type(error).__name__}: {error}") from None
+        raise BadList(
+            "expected revision, complete and members, each with id, phase, cell and host_port;"
+            f" received a list with {type(error).__name__}: {error}"
+        ) from None
     return listed
 
 
--- a/gaugesail/http/management.py
+++ b/gaugesail/http/management.py
@@ -17,7 +17,7 @@
 from .parser import Parser
 
 MAX_CONNECTIONS = 16  # their descriptors are reserved, apart from those of clients
-ACCEPTS_PER_TURN = 4  # bounds the delay that a flood of callers causes
+ACCEPTS_PER_ITERATION = 4  # of the reactor; bounds the delay that a flood of callers causes
 MAX_HEAD_BYTES = 4096
 MAX_BODY_BYTES = 4096
 MAX_CALL_US = 10_000_000  # for the call to arrive and its answer to be read
@@ -117,7 +117,7 @@
         self._open[connection] = None
         if len(self._open) > MAX_CONNECTIONS:
             # Silent callers must not block others.  The oldest is unregistered here: its descriptor is closed
-            # a reactor turn later, and others may connect before that.
+            # one reactor iteration later, and others may connect before that.
             self._open.popitem(last=False)[0].link.abortConnection()
 
     def closed(self, connection: CallConnection) -> None:
--- a/gaugesail/http/management_calls.py
+++ b/gaugesail/http/management_calls.py
@@ -28,7 +28,7 @@
         ...
 
     def trace(self, subject: str | None) -> str:
-        """Return the latest trace entries, or those of one request or node."""
+        """Return the latest steps of the trace, or those of one request or node."""
         ...
 
     def maintain(self, node_id: bytes, on: bool) -> bool:
--- a/gaugesail/http/node_connection.py
+++ b/gaugesail/http/node_connection.py
@@ -319,6 +319,7 @@
         self._request = self._sink = None
         self.lost = True
         self._pool.connection_ended(self)
+        # The engine counts a streamed answer that ends NOT_STARTED as moved to the other process.
         self._pool.finish(request, AttemptResult.NOT_STARTED)
         return state
 
--- a/gaugesail/http/node_pool.py
+++ b/gaugesail/http/node_pool.py
@@ -82,14 +82,14 @@
         """
         if full:
             for node_id in [node_id for node_id in self._addresses if node_id not in addresses]:
-                self._stop_waiting(node_id)
+                self._end_unstarted(node_id)
                 del self._addresses[node_id]
         for node_id, address in addresses.items():
             self._update_address(node_id, address)
 
     def _update_address(self, node_id: NodeId, address: NodeAddress | None) -> None:
         if address is None:
-            self._stop_waiting(node_id)
+            self._end_unstarted(node_id)
             self._addresses.pop(node_id, None)
             return
         old = self._addresses.get(node_id)
@@ -98,7 +98,7 @@
             (old.host, old.port, old.started_us) != (address.host, address.port, address.started_us)
         )
         if not address.ready or changed:
-            self._stop_waiting(node_id)
+            self._end_unstarted(node_id)
 
     def set_maintenance(self, node_id: NodeId, on: bool) -> None:
         """Start or end the maintenance of a node, which overrides the endpoint list.
@@ -106,7 +106,7 @@
         Requests in flight may finish; pending ones end.
         """
         (self._in_maintenance.add if on else self._in_maintenance.discard)(node_id)
-        self._stop_waiting(node_id)
+        self._end_unstarted(node_id)
 
     def _usable_address(self, node_id: NodeId) -> NodeAddress | None:
         """Return the address of a node that may receive new requests, else None."""
@@ -114,21 +114,21 @@
         usable = address is not None and address.ready and node_id not in self._in_maintenance
         return address if usable else None
 
-    def _stop_waiting(self, node_id: NodeId) -> None:
-        """End the dials, idle connections, staged uploads and pending requests of a node's old address."""
+    def _end_unstarted(self, node_id: NodeId) -> None:
+        """Cancel a node's dials, abort its idle connections and staged uploads, end its pending requests."""
         node = self._nodes.get(node_id)
         if node is None:
             return
         node.generation += 1
-        waiting = node.waiting
-        node.waiting = deque()
+        pending = node.pending
+        node.pending = deque()
         for dialled in list(node.dials):
             dialled.cancel()
         for connection in list(node.idle):
             connection.abort()
         for connection in list(node.busy):
             connection.drop_upload()  # it has not started to run
-        for request in waiting:
+        for request in pending:
             self.finish(request, AttemptResult.NO_CONNECTION)
 
     # ---- attempts, uploads and health checks ----
@@ -181,7 +181,7 @@
             return connection.written
         node = self._nodes.get(attempt.node_id)
         if node is not None:
-            node.waiting = deque(request for request in node.waiting if request.attempt is not attempt)
+            node.pending = deque(request for request in node.pending if request.attempt is not attempt)
         return False
 
     def cancel_unwritten(self, attempt: Attempt) -> bool:
@@ -230,24 +230,24 @@
         node = self._nodes.get(request.node_id)
         if node is None:
             node = self._nodes[request.node_id] = NodeState(request.node_id)
-        node.waiting.append(request)
-        self._start_waiting(node)
+        node.pending.append(request)
+        self._start_pending(node)
 
-    def _start_waiting(self, node: NodeState) -> None:
+    def _start_pending(self, node: NodeState) -> None:
         """Start pending requests on usable connections; dial if there are too few."""
         now_us = self.clock.now_us()
-        while node.waiting:
-            request = node.waiting[0]
+        while node.pending:
+            request = node.pending[0]
             if request.obsolete or not request.may_start():
-                node.waiting.popleft()
+                node.pending.popleft()
                 self.finish(request, AttemptResult.NOT_STARTED)
                 continue
             connection = self._pop_idle(node, now_us)
             if connection is None:
                 break
-            node.waiting.popleft()
+            node.pending.popleft()
             self._start(connection, node, request)
-        if node.waiting:
+        if node.pending:
             if node.idle and node.wakeup is None:
                 wait_us = max(0, min(connection.usable_at_us for connection in node.idle) - now_us)
                 node.wakeup = self.clock.call_later(wait_us, lambda: self._wake(node))
@@ -266,7 +266,7 @@
 
     def _wake(self, node: NodeState) -> None:
         node.wakeup = None
-        self._start_waiting(node)
+        self._start_pending(node)
 
     def _start(self, connection: NodeConnection, node: NodeState, request: NodeRequest) -> None:
         """Check the address again, as the node may drain by now, and write the request."""
@@ -301,7 +301,7 @@
             return
         if self.connections >= self._max_connections and not self._close_longest_idle():
             if not node.connections:  # none could become free for it
-                self.finish(node.waiting.popleft(), AttemptResult.NO_CONNECTION)
+                self.finish(node.pending.popleft(), AttemptResult.NO_CONNECTION)
             return
         generation = node.generation
         dialled = dial(
@@ -316,11 +316,11 @@
 
     def _needs_dial(self, node: NodeState) -> bool:
         """Whether the pending requests need another connection to the node."""
-        waiting, dials = len(node.waiting), len(node.dials)
-        if self._closing or dials >= MAX_DIALS or dials >= waiting:
+        pending, dials = len(node.pending), len(node.dials)
+        if self._closing or dials >= MAX_DIALS or dials >= pending:
             return False
         # One spare connection: a request right after an answer would wait for the connection to settle.
-        return dials + len(node.idle) <= waiting
+        return dials + len(node.idle) <= pending
 
     def _dialled(self, connection: NodeConnection, node: NodeState, dialled: Deferred[Any]) -> None:
         node.dials.discard(dialled)
@@ -337,10 +337,10 @@
 
     def _dial_unsuccessful(self, node: NodeState) -> None:
         """End the oldest pending request if no dial or idle connection is left for it."""
-        while node.waiting and node.waiting[0].obsolete:
-            node.waiting.popleft()
-        if len(node.waiting) > len(node.dials) + len(node.idle):
-            self.finish(node.waiting.popleft(), AttemptResult.NO_CONNECTION)
+        while node.pending and node.pending[0].obsolete:
+            node.pending.popleft()
+        if len(node.pending) > len(node.dials) + len(node.idle):
+            self.finish(node.pending.popleft(), AttemptResult.NO_CONNECTION)
         self._dial(node)
 
     def _dial_raised(self, failure: Failure) -> None:
@@ -369,7 +369,7 @@
         connection.idle_since_us = now_us
         connection.usable_at_us = now_us + settle_us
         connection.node.idle.append(connection)
-        self._start_waiting(connection.node)
+        self._start_pending(connection.node)
 
     def connection_ended(self, connection: NodeConnection) -> None:
         """Forget a closed connection; pending requests may need a new one."""
@@ -377,7 +377,7 @@
         node.busy.discard(connection)
         if connection in node.idle:
             node.idle.remove(connection)
-        if node.waiting and node.wakeup is None:
+        if node.pending and node.wakeup is None:
             node.wakeup = self.clock.call_later(0, lambda: self._wake(node))
 
     def sweep(self) -> None:
@@ -390,7 +390,7 @@
             for connection in list(node.idle):
                 if now_us - connection.idle_since_us >= self._idle_us:
                     connection.abort()
-            if node_id not in self._addresses and not node.connections and not node.waiting:
+            if node_id not in self._addresses and not node.connections and not node.pending:
                 del self._nodes[node_id]
 
     def close(self) -> None:
--- a/gaugesail/http/node_state.py
+++ b/gaugesail/http/node_state.py
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True, eq=False)
 class NodeState:
-    """The connections of one node, and the requests that wait for one."""
+    """The connections of one node, and the pending requests, which wait for one."""
 
     node_id: NodeId
     idle: list[NodeConnection] = field(default_factory=list)  # the latest used last
     busy: set[NodeConnection] = field(default_factory=set)
-    waiting: deque[NodeRequest] = field(default_factory=deque)
+    pending: deque[NodeRequest] = field(default_factory=deque)
     dials: set[Deferred[Any]] = field(default_factory=set)
-    wakeup: DelayedCall | None = None  # retries the waiting requests once an idle connection is usable
+    wakeup: DelayedCall | None = None  # retries the pending requests once an idle connection is usable
     generation: int = 0  # increases when connections to the old address may no longer be used
 
     @property
--- a/gaugesail/http/request_reader.py
+++ b/gaugesail/http/request_reader.py
@@ -1,7 +1,7 @@
 """Validates a client's header fields against the settings and builds the engine's request record.
 
-The values that a client states are charged to accounts that it shares with other clients, so values beyond
-the settings are rejected.
+The values that a client states count against limits that it shares with other clients, so values beyond the
+settings are rejected.
 """
 
 from __future__ import annotations
@@ -44,7 +44,10 @@
         self._deadlines_us = [spec.deadline_us for spec in settings.classes]
 
     def read(self, head: Head, body: Body) -> ClientRequest:
-        """Return the request of this head.  Raises BadMessage that names the missing or malformed header."""
+        """Return the request of this head.
+
+        Raises BadMessage, which names the missing or malformed header field.
+        """
         headers = head.headers
         client_request_id = headers.get("request-id", "")
         class_index = self._class_indexes.get(headers.get("request-class", ""))
--- a/gaugesail/http/slow_readers.py
+++ b/gaugesail/http/slow_readers.py
@@ -19,15 +19,15 @@
 
     def __init__(self, pool: BufferPool) -> None:
         self._pool = pool
-        self._unread_bytes: OrderedDict[ClientConnection, int] = OrderedDict()
+        self._unsent_bytes: OrderedDict[ClientConnection, int] = OrderedDict()
 
     def add(self, connection: ClientConnection) -> None:
         """Register a slow reader; being slow alone does not end a connection."""
-        self._unread_bytes[connection] = connection.unread_bytes
+        self._unsent_bytes[connection] = connection.unsent_bytes
 
     def remove(self, connection: ClientConnection) -> None:
         """Unregister a client that reads again or is lost."""
-        self._unread_bytes.pop(connection, None)
+        self._unsent_bytes.pop(connection, None)
 
     def pop_slowest(self, now_us: int) -> ClientConnection | None:
         """Remove and return the connection to abort: the one that has read nothing for longest.
@@ -35,10 +35,10 @@
         None while all together hold less than the bound, or if that one has been blocked for less than
         SLOW_READER_US.
         """
-        if sum(self._unread_bytes.values()) <= self._pool.limit * self._pool.size // MEMORY_DIVISOR:
+        if sum(self._unsent_bytes.values()) <= self._pool.limit * self._pool.size // MEMORY_DIVISOR:
             return None
-        slowest = next(iter(self._unread_bytes))
+        slowest = next(iter(self._unsent_bytes))
         if not slowest.output_full or now_us - slowest.blocked_since_us <= SLOW_READER_US:
             return None
-        del self._unread_bytes[slowest]
+        del self._unsent_bytes[slowest]
         return slowest
--- a/gaugesail/http/staged_upload.py
+++ b/gaugesail/http/staged_upload.py
@@ -45,7 +45,7 @@
         self._held_back = b""  # the end of the body: the last byte received, or the last chunk
         self._complete = False
         self._paused = False
-        self._waiting: NodeRequest | None = None  # the attempt, until there is a connection
+        self._pending: NodeRequest | None = None  # carries the attempt, until there is a connection
         self._state = UploadState.RECEIVING
         self.request: NodeRequest | None = None
 
@@ -58,8 +58,8 @@
         received = body.read()
         body.release()
         self.write(received)
-        if self._complete and self._waiting is not None:
-            self._send_end(connection, self._waiting)
+        if self._complete and self._pending is not None:
+            self._send_end(connection, self._pending)
         elif not (self._paused or self._complete):
             self._source.resume()
 
@@ -114,35 +114,38 @@
     # ---- the node's side ----
 
     def connection_lost(self) -> None:
-        """The connection is lost or there is none: stop the client, or end the waiting attempt."""
+        """The connection is lost or there is none: stop the client, or end the pending attempt."""
         if self._state is not UploadState.RECEIVING:
             return
         self._state = UploadState.BROKEN
         if not self._complete:
             self._source.stop()
-        elif self._waiting is not None:
-            self._finish(self._waiting, AttemptResult.NO_CONNECTION)
+        elif self._pending is not None:
+            self._finish(self._pending, AttemptResult.NO_CONNECTION)
 
-    def send(self, attempt: NodeRequest) -> bool:
-        """Write the end of the body as the attempt; False if the upload is incomplete or abandoned."""
+    def send(self, request: NodeRequest) -> bool:
+        """Write the end of the body, for the attempt of ``request``.
+
+        Returns False if the upload is incomplete or abandoned.
+        """
         if self._state is not UploadState.RECEIVING or not self._complete:
             return False
         if self._connection is None:
-            self._waiting = attempt
+            self._pending = request
         else:
-            self._send_end(self._connection, attempt)
+            self._send_end(self._connection, request)
         return True
 
-    def _send_end(self, connection: NodeConnection, attempt: NodeRequest) -> None:
-        if attempt.obsolete:
+    def _send_end(self, connection: NodeConnection, request: NodeRequest) -> None:
+        if request.obsolete:
             self.fail()
             return
-        if not attempt.may_start():
+        if not request.may_start():
             self.fail()
-            self._finish(attempt, AttemptResult.NOT_STARTED)
+            self._finish(request, AttemptResult.NOT_STARTED)
             return
         self._state = UploadState.SENT
-        if attempt.listener is not None and attempt.attempt is not None:
-            attempt.listener.attempt_started(attempt.attempt)
-        connection.finish_upload(attempt, self._held_back)
+        if request.listener is not None and request.attempt is not None:
+            request.listener.attempt_started(request.attempt)
+        connection.finish_upload(request, self._held_back)
         self._held_back = b""
--- a/gaugesail/iscsi/app.py
+++ b/gaugesail/iscsi/app.py
@@ -24,7 +24,7 @@
 class FileDiscovery:
     """The endpoint list from the operator's file, which changes with a reload."""
 
-    up = True
+    list_confirmed = True
 
     def __init__(self, gateway: IscsiGateway) -> None:
         self._gateway = gateway
@@ -83,11 +83,11 @@
         return min(MAX_SESSIONS, max(1, sockets * 6 // 10))
 
     def limit(self, processes: int) -> None:
-        """Keep within this process's part of the sockets."""
+        """Limit the sessions to one process's share of the descriptors among ``processes``."""
         self.front.limit(self._sessions(processes))
 
-    def _open(self, inherited: Takeover | None) -> None:
-        super()._open(inherited)
+    def _open(self, takeover: Takeover | None) -> None:
+        super()._open(takeover)
         self.front.address = self.address
 
     def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
--- a/gaugesail/net.py
+++ b/gaugesail/net.py
@@ -17,7 +17,7 @@
 
 from .core.ports import Clock
 
-MAX_POLL_AGE_US = 40_000  # after an older pass over the sockets, the socket in question is polled itself
+MAX_POLL_AGE_US = 40_000  # if the latest reactor iteration is older, the socket in question is polled itself
 MIN_KERNEL_WAIT_MS = 20  # shorter waits are negligible
 MAX_KERNEL_WAIT_MS = 60_000  # no client waits longer: a larger value is ignored
 _TCP_INFO = struct.Struct("=52xI")  # struct tcp_info up to tcpi_last_data_recv, milliseconds
@@ -38,16 +38,16 @@
     def may_have_unread(self, clock: Clock) -> bool:
         """Whether data from the peer may be unread.
 
-        That is so if bytes arrived in the latest pass over the sockets, so that more may follow them, or if
-        that pass is older than MAX_POLL_AGE_US, as the reactor is busy with other connections.
+        That is so if bytes arrived in the latest reactor iteration, so that more may follow them, or if it
+        polled the sockets over MAX_POLL_AGE_US ago, as the reactor is busy with other connections.
         """
         polled = clock.polled_us
         return self.last_received_us >= polled or clock.now_us() - polled > MAX_POLL_AGE_US
 
     def peer_closed(self, may_have_unread: bool) -> bool:
-        """Whether the peer has closed the connection.
+        """Return whether the peer has closed the connection; if polling shows that, abort it.
 
-        Reading detects that; if data may be unread, and the close behind it, the socket is polled as well.
+        Reading detects a close.  If data may be unread, the close may be behind it, so the socket is polled.
         """
         if not self.lost and may_have_unread and hung_up(self.link):
             self.link.abortConnection()
@@ -92,7 +92,7 @@
     """
     connection = getattr(link, "socket", None)
     if not clock.matches_kernel_clock or not isinstance(connection, socket.socket):
-        return 0  # in memory
+        return 0  # the rehearsal's reactor in memory: no real socket
     try:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
     except OSError:
@@ -104,7 +104,7 @@
 def _poll_events(link: Any) -> int:
     connection = getattr(link, "socket", None)
     if not isinstance(connection, socket.socket) or connection.fileno() < 0:
-        return 0  # in memory, or closed already
+        return 0  # no real socket (the rehearsal's reactor in memory), or closed already
     poller = select.poll()
     poller.register(connection.fileno(), select.POLLIN | select.POLLRDHUP)
     return next((events for _, events in poller.poll(0)), 0)
@@ -113,9 +113,9 @@
 def send_now(link: Any, data: bytes) -> bool:
     """Write data, sending as much as the system accepts in this call; returns whether that is all of it.
 
-    Twisted sends at the end of the reactor turn, which may take long, so that checks made before the first
-    byte, for example that the client is still connected, would be outdated.  If the socket has unread input,
-    for example the peer's close, the data is left to Twisted, which reads first.
+    Twisted sends at the end of the reactor iteration, which may take long, so that checks made before the
+    first byte, for example that the client is still connected, would be outdated.  If the socket has unread
+    input, for example the peer's close, the data is left to Twisted, which reads first.
     """
     connection = getattr(link, "socket", None)
     plain = isinstance(connection, socket.socket) and not (link.dataBuffer or link._tempDataLen)
@@ -130,10 +130,10 @@
 def abort(link: Any) -> None:
     """Abort a connection within this call.
 
-    Twisted closes it one turn later; an attempt written meanwhile, for example to another node, would run in
-    parallel with the one on this connection.
+    Twisted closes it one reactor iteration later; an attempt written meanwhile, for example to another node,
+    would run in parallel with the one on this connection.
     """
-    with suppress(AttributeError, OSError):  # in memory, or already closed
+    with suppress(AttributeError, OSError):  # no real socket, or already closed
         link.socket.shutdown(socket.SHUT_WR)
     link.abortConnection()
 
--- a/gaugesail/operations.py
+++ b/gaugesail/operations.py
@@ -166,5 +166,5 @@
     def trace(self, subject: str | None) -> str:
         """The latest steps, or with ``subject`` those of one request or node, one per line."""
         trace = self._engine.trace
-        entries = trace.latest(MAX_TRACE_STEPS) if subject is None else trace.steps_of(subject)
-        return "\n".join(map(str, entries)) or "nothing is known"
+        steps = trace.latest(MAX_TRACE_STEPS) if subject is None else trace.steps_of(subject)
+        return "\n".join(map(str, steps)) or "nothing is known"
--- a/gaugesail/service.py
+++ b/gaugesail/service.py
@@ -19,7 +19,7 @@
 from .core.ports import Clock, Logger, Reactor
 from .core.settings_transition import TRANSITION_US, transition_settings
 from .handover import Handover, Takeover, adopt_port
-from .http.management import ACCEPTS_PER_TURN, ManagementServer
+from .http.management import ACCEPTS_PER_ITERATION, ManagementServer
 from .listening import ACCEPT_RETRY_US, ListeningPort, retry_while_in_use
 from .logs import RateLimitedLogger
 from .operations import Operations
@@ -67,7 +67,8 @@
 class Service:
     """The lifecycle of a gateway, the base of the gateways of all wire protocols.
 
-    Subclasses set ``engine``, ``front`` (the client server), ``transport``, ``discovery`` and ``operations``.
+    Subclasses set ``engine``, ``front`` (the client server, which accepts and serves clients), ``transport``,
+    ``discovery`` and ``operations``.
     ``folder`` is shared by the processes of this gateway; without it there is no handover and no state file.
     """
 
@@ -166,7 +167,7 @@
         """
         if self._stopping:
             return
-        if self.discovery.up or self.clock.now_us() >= self._serve_by_us:
+        if self.discovery.list_confirmed or self.clock.now_us() >= self._serve_by_us:
             self._serve()
         else:
             self.clock.call_later(LIST_RETRY_US, self._serve_when_listed)
@@ -186,7 +187,7 @@
         if self.fleet is not None:
             server.set_fleet_handler(self.fleet.call)
         listener = self._reactor.listenTCP(port, server, backlog=LISTEN_BACKLOG, interface=host)
-        ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_TURN, lambda: True)
+        ListeningPort(listener, self.clock, lambda: ACCEPTS_PER_ITERATION, lambda: True)
         self.management_address = host, listener.getHost().port
 
     def initial_endpoints(self, handed_over: dict[str, Any]) -> EndpointList:
@@ -338,7 +339,8 @@
         self._port = None
 
     def _close_idle(self) -> None:
-        # Clients of a replaced process can migrate gradually: a request that crosses a close is lost.
+        # Clients of a replaced process can migrate gradually: a request that a client sends while the gateway
+        # closes its connection is lost.
         if self._replaced and self.clock.now_us() < self._stopping_since_us + MIGRATION_ENDS_US:
             self.clock.call_later(SWEEP_INTERVAL_US, self._close_idle)
             if self.front.connections:
--- a/gaugesail/state.py
+++ b/gaugesail/state.py
@@ -69,8 +69,8 @@
     def write(self, state: State) -> None:
         """Replace the file atomically; it is on disk when this returns.
 
-        Neither a reader nor a kill of this process leaves it half written.  Raises OSError if the file is
-        unchanged.
+        A reader never sees it half written, nor does a kill of this process leave it so.  Raises OSError if
+        the file is unchanged.
         """
         if self.path is None:
             return
--- a/tests/core/test_rule_monitor.py
+++ b/tests/core/test_rule_monitor.py
@@ -122,7 +122,7 @@
         node_table = rig.gateway.engine.policy.gateway.node_table
         monkeypatch.setattr(node_table, "_set_unready", lambda node: None)
         monkeypatch.setattr(NodePool, "_usable_address", lambda self, node: self._addresses.get(node))
-        monkeypatch.setattr(NodePool, "_stop_waiting", lambda self, node: None)
+        monkeypatch.setattr(NodePool, "_end_unstarted", lambda self, node: None)
         rig.watch.send(rig.drain(rig.nodes[0], 2))
         rig.pass_time(0.4)
         rig.client().send(rig.request("late"))
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -547,7 +547,7 @@
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-BYTE_S = 2e-6  # 16 KiB are read in 33 ms
+BYTE_S = 2e-6  # seconds on the rig's clock to read one byte: 33 ms for 16 KiB
 
 
 @pytest.mark.parametrize("sockets", ["1024", "72"])
--- a/tests/http/test_discovery_notifications.py
+++ b/tests/http/test_discovery_notifications.py
@@ -428,7 +428,7 @@
 
 
 class Caller(Connection):
-    """One call on the side of discovery, whose course depends on the mood as it arrives."""
+    """One call on the side of discovery, which answers it by the ``mood`` that is set when it arrives."""
 
     def __init__(self, world: FailingDiscovery) -> None:
         self.world, self.mood = world, world.mood
--- a/tests/http/test_parser.py
+++ b/tests/http/test_parser.py
@@ -159,7 +159,7 @@
     row = {"id": "n", "host_port": "10.0.0.1:9", "cell": 3, "phase": "Ready", "up_since_ms": 0}
     gone = {"id": "g", "cell": 1, "phase": "Gone", "up_since_ms": 1_700_000_000_123}
     listed = read_list({"revision": 4, "complete": False, "members": [row, gone]}, [], [])
-    assert (listed.revision, listed.complete) == (4, False)
+    assert (listed.revision, listed.full) == (4, False)
     assert [endpoint.started_us for endpoint in listed.endpoints] == [0, 1_700_000_000_123_000]
     address = listed.addresses[b"n"]
     assert address is not None and address.ready and listed.addresses[b"g"] is None
